--- a/src/heathercleat/steering/process/capacity/ends.py
+++ b/src/heathercleat/steering/process/capacity/crash_detector.py
@@ -6,15 +6,15 @@
 
 #: Seconds in which a target has to accept a connection; shorter than the first TCP
 #: retransmission, since another target responds by then.
-CONNECT_TIMEOUT = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds in which a terminating process closes all its sockets; until then it may
 #: still accept a connection.
-CLOSE_SECONDS = 0.03
+SOCKET_CLOSE_SECONDS = 0.03
 #: Most crashed targets remembered; enough for all targets of a large service.
-MOST_REMEMBERED = 1024
+MAX_REMEMBERED_CRASHES = 1024
 
 
-class TargetEnds:
+class CrashDetector:
     """Checks whether a target crashed when its connection broke during a request.
 
     The host refuses connections to a process that has terminated. If the host is
@@ -29,41 +29,41 @@
         # Incarnation ids of crashed targets, the latest last.
         self._ended = {}
 
-    async def has_ended(self, entry):
+    async def has_crashed(self, entry):
         """Return whether a target has crashed, by opening a connection to it.
 
         A connection that is accepted stays in the pool for later requests.
 
         :param entry: its :class:`TargetEntry`.
         """
-        if entry.life in self._ended:
+        if entry.incarnation_id in self._ended:
             return True
         try:
             # A process that was terminating at the first attempt refuses the second.
             if not await self._accepts(entry):
                 await self._accepts(entry)
         except ConnectionRefusedError:
-            self._remember(entry.life)
+            self._remember(entry.incarnation_id)
         except (OSError, TimeoutError):
             return False
-        return entry.life in self._ended
+        return entry.incarnation_id in self._ended
 
     async def _accepts(self, entry):
         """Return whether a target accepts a new connection and keeps it open.
 
         :raises OSError: if the connection cannot be opened.
         """
-        deadline = self._clock.now() + CONNECT_TIMEOUT
+        deadline = self._clock.now() + CONNECT_TIMEOUT_SECONDS
         opening = self._pool.checkout(entry.host, entry.port, fresh=True)
         stream = await before(deadline, self._clock, opening)
-        await sleep(CLOSE_SECONDS)
+        await sleep(SOCKET_CLOSE_SECONDS)
         if not stream.is_clean():
             await self._pool.discard(entry.host, entry.port, stream)
             return False
-        await self._pool.keep_new(entry.host, entry.port, stream)
+        await self._pool.add_unused(entry.host, entry.port, stream)
         return True
 
-    def _remember(self, life):
-        self._ended[life] = None
-        if len(self._ended) > MOST_REMEMBERED:
+    def _remember(self, incarnation_id):
+        self._ended[incarnation_id] = None
+        if len(self._ended) > MAX_REMEMBERED_CRASHES:
             del self._ended[next(iter(self._ended))]
--- a/src/heathercleat/steering/process/capacity/rests.py
+++ b/src/heathercleat/steering/process/capacity/ejection_limit.py
@@ -5,10 +5,10 @@
 """
 
 #: Share of the targets of a service that may be ejected at the same time.
-MOST_RESTING = 1 / 3
+MAX_EJECTED_SHARE = 1 / 3
 
 
-class RestLimit:
+class EjectionLimit:
     """Decides whether one more target of a service may be ejected.
 
     :param view: the :class:`TargetView`.
@@ -18,14 +18,14 @@
         self._view = view
         self._clock = clock
 
-    def may_rest(self, service):
+    def may_eject(self, service):
         """Return whether the ejection of one more target stays within the limit."""
         now = self._clock.now()
         limits = [
-            candidate.room.limit(now)
+            candidate.capacity.limit(now)
             for targets in self._view.regions(service).values()
             for candidate in targets.candidates
-            if candidate.room.is_known(now)
+            if candidate.capacity.is_known(now)
         ]
         resting = sum(limit == 0 for limit in limits)
-        return resting + 1 <= max(1.0, MOST_RESTING * len(limits))
+        return resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))
--- a/src/heathercleat/steering/process/capacity/health.py
+++ b/src/heathercleat/steering/process/capacity/health.py
@@ -2,24 +2,24 @@
 
 from random import uniform
 
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 
 #: Weight of the newest response in the moving averages.
 LATENCY_WEIGHT = 0.15
 FAILURE_WEIGHT = 0.2
 #: Failure rate from which a target is ejected; four failures in a row reach it.
-REST_SHARE = 0.55
+EJECTION_FAILURE_RATE = 0.55
 #: Seconds of the first and of the longest ejection; each one doubles the last.
-FIRST_REST = 0.5
-LONGEST_REST = 4.0
+INITIAL_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 4.0
 #: A target is unresponsive once its oldest request has run for this multiple of the
 #: mean latency, and for at least this many seconds.
-SILENT_FACTOR = 5.0
-SILENT_LEAST = 0.9
+UNRESPONSIVE_FACTOR = 5.0
+MIN_UNRESPONSIVE_SECONDS = 0.9
 #: A target is slow if its latency exceeds this multiple of the median of its service by
 #: more than this many seconds.
 SLOW_FACTOR = 2.5
-SLOW_LEAST = 0.05
+MIN_SLOW_EXCESS_SECONDS = 0.05
 
 
 class TargetHealth:
@@ -30,69 +30,69 @@
 
     __slots__ = (
         "latency",
-        "failures",
-        "rest_began_at",
-        "rest_until",
+        "failure_rate",
+        "ejected_at",
+        "ejected_until",
         "rests",
-        "on_trial",
+        "is_half_open",
     )
 
     def __init__(self):
         self.latency = 0.0
-        self.failures = 0.0
-        self.rest_began_at = NEVER
-        self.rest_until = 0.0
+        self.failure_rate = 0.0
+        self.ejected_at = DISTANT_PAST
+        self.ejected_until = 0.0
         self.rests = 0
-        self.on_trial = False
+        self.is_half_open = False
 
     def succeeded(self, seconds):
         """Record a complete response that took ``seconds``."""
         weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
-        self.failures -= FAILURE_WEIGHT * self.failures
-        if self.on_trial:
-            self.on_trial = False
-            self.failures = 0.0
+        self.failure_rate -= FAILURE_WEIGHT * self.failure_rate
+        if self.is_half_open:
+            self.is_half_open = False
+            self.failure_rate = 0.0
         self.rests = max(0, self.rests - 1)
 
-    def is_known(self, began_at):
+    def predates_ejection(self, started_at):
         """Return whether a request was sent before the last ejection.
 
         Its failure is not counted again: requests that are cut together must not
         extend the ejection.
         """
-        return began_at <= self.rest_began_at
+        return started_at <= self.ejected_at
 
-    def failed(self, now, began_at, may_rest=True):
+    def record_failure(self, now, started_at, may_eject=True):
         """Record a failed request; return whether the target is ejected for it.
 
-        :param began_at: instant at which the request was sent.
-        :param may_rest: whether enough other targets of the service are available.
+        :param started_at: instant at which the request was sent.
+        :param may_eject: whether enough other targets of the service are available.
         """
-        if self.is_known(began_at):
+        if self.predates_ejection(started_at):
             return False
-        self.failures += FAILURE_WEIGHT * (1.0 - self.failures)
-        if self.failures < REST_SHARE and not self.on_trial:
+        self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate)
+        if self.failure_rate < EJECTION_FAILURE_RATE and not self.is_half_open:
             return False
-        if not may_rest:
-            self.on_trial = False
+        if not may_eject:
+            self.is_half_open = False
             return False
-        self.rest(now)
+        self.eject(now)
         return True
 
-    def rest(self, now):
+    def eject(self, now):
         """Eject the target for a jittered time; then one request probes it."""
-        self.rest_began_at = now
-        length = min(LONGEST_REST, FIRST_REST * 2**self.rests)
-        self.rest_until = now + uniform(0.8, 1.2) * length
+        self.ejected_at = now
+        length = min(MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.rests)
+        self.ejected_until = now + uniform(0.8, 1.2) * length
         self.rests += 1
-        self.on_trial = True
+        self.is_half_open = True
 
-    def is_silent(self, now, oldest_start):
+    def is_unresponsive(self, now, oldest_start):
         """Return whether the request sent at ``oldest_start`` has run for too long."""
-        patience = max(SILENT_LEAST, SILENT_FACTOR * self.latency)
+        patience = max(MIN_UNRESPONSIVE_SECONDS, UNRESPONSIVE_FACTOR * self.latency)
         return now - oldest_start > patience
 
     def is_slow(self, median):
         """Return whether its latency is well above the ``median`` of its service."""
-        return self.latency > SLOW_FACTOR * median + SLOW_LEAST
+        return self.latency > SLOW_FACTOR * median + MIN_SLOW_EXCESS_SECONDS
--- a/src/heathercleat/steering/process/capacity/held.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -2,7 +2,7 @@
 
 #: Seconds in which the former owner of a target reports the slots it still uses: two
 #: heartbeats, since the first may precede its learning of the change.
-TELL_SECONDS = 0.3
+FORMER_OWNER_REPORT_SECONDS = 0.3
 #: A count that exceeds the slots of any target.
 _ALL = 1 << 20
 
@@ -28,7 +28,7 @@
     hold expires at the deadline of its last request, or when the VM terminates.
 
     :param members: the live VMs.
-    :param rooms: the :class:`RoomView`; its reports count for a former owner until that
+    :param rooms: the :class:`CapacityReports`; its reports count for a former owner until that
         VM reports its remaining requests.
     """
 
@@ -54,20 +54,23 @@
         for target_id, count, seconds in held:
             self._put(target_id, vm, Hold(count, now + seconds))
 
-    def expect(self, target_id, former):
+    def add_target(self, target_id, former):
         """Start counting for a target that this VM owns from now on.
 
         Until the former owner reports its remaining requests, its last report as the
         owner counts. Without a recent report all slots count as in use, for
-        :data:`TELL_SECONDS` at most.
+        :data:`FORMER_OWNER_REPORT_SECONDS` at most.
 
         :param former: name of the former owner, or ``None``.
         """
         now = self._clock.now()
-        if former is not None and self._rooms.told_at(former) < now - TELL_SECONDS:
-            self._put(target_id, former, Hold(_ALL, now + TELL_SECONDS))
+        if (
+            former is not None
+            and self._rooms.reported_at(former) < now - FORMER_OWNER_REPORT_SECONDS
+        ):
+            self._put(target_id, former, Hold(_ALL, now + FORMER_OWNER_REPORT_SECONDS))
         for vm in self._rooms.owners():
-            if self._rooms.told_at(vm) >= now - TELL_SECONDS:
+            if self._rooms.reported_at(vm) >= now - FORMER_OWNER_REPORT_SECONDS:
                 self._expect_of(target_id, vm, now)
 
     def count(self, target_id, now):
@@ -88,9 +91,9 @@
             del self._incarnations[vm]
 
     def _expect_of(self, target_id, vm, now):
-        room = self._rooms.reported(target_id, vm)
-        if room is not None and now < room.valid_until:
-            self._put(target_id, vm, Hold(room.used, room.valid_until))
+        capacity = self._rooms.find(target_id, vm)
+        if capacity is not None and now < capacity.valid_until:
+            self._put(target_id, vm, Hold(capacity.used, capacity.valid_until))
 
     def _put(self, target_id, vm, hold):
         member = self._members.live(vm)
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -5,10 +5,10 @@
 hashing from the targets and VMs that it knows.
 """
 
-from heathercleat.version.hashing import assign
+from heathercleat.version.hashing import assign_evenly
 
 
-class Division:
+class Assignment:
     """The owners of a service's targets in a failure domain, with their inputs."""
 
     __slots__ = ("targets", "candidates", "owners")
@@ -16,7 +16,7 @@
     def __init__(self, targets, candidates):
         self.targets = targets
         self.candidates = candidates
-        self.owners = assign(targets, candidates)
+        self.owners = assign_evenly(targets, candidates)
 
 
 class Owners:
@@ -98,11 +98,11 @@
 
 
 def _divide(before, targets, candidates):
-    """Return the previous :class:`Division` if its inputs are unchanged, or a new one.
+    """Return the previous :class:`Assignment` if its inputs are unchanged, or a new one.
 
     Computing one is slow for many targets and VMs, and most changes affect a single
     service of one failure domain.
     """
     if before and before.targets == targets and before.candidates == candidates:
         return before
-    return Division(targets, candidates)
+    return Assignment(targets, candidates)
--- a/src/heathercleat/steering/process/capacity/losses.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -1,15 +1,15 @@
 """Loss rates of each region, from the reports of its VMs."""
 
 #: Seconds for which the means are cached; shorter than the heartbeat interval.
-LIFE = 0.05
+CACHE_TTL_SECONDS = 0.05
 
 
-class RegionLosses:
+class RegionLossRates:
     """The mean loss rate of the VMs of each region, by service.
 
     :param members: the live VMs.
-    :param rooms: the :class:`RoomView` with the loss rates of other VMs.
-    :param pressure: the :class:`Pressure` of this VM.
+    :param rooms: the :class:`CapacityReports` with the loss rates of other VMs.
+    :param pressure: the :class:`LossRates` of this VM.
     """
 
     def __init__(self, members, rooms, pressure, clock):
@@ -25,7 +25,7 @@
         now = self._clock.now()
         if now >= self._until:
             self._means.clear()
-            self._until = now + LIFE
+            self._until = now + CACHE_TTL_SECONDS
         means = self._means.get(service)
         if means is None:
             means = self._means[service] = self._compute(service)
@@ -34,12 +34,12 @@
     def _compute(self, service):
         regions = {}
         for member in self._members.serving():
-            loss = self._loss(member.vm, service)
-            if loss is not None:
-                regions.setdefault(member.region, []).append(loss)
+            loss_rate = self._loss(member.vm, service)
+            if loss_rate is not None:
+                regions.setdefault(member.region, []).append(loss_rate)
         return {region: sum(each) / len(each) for region, each in regions.items()}
 
     def _loss(self, vm, service):
         if vm == self._members.own.vm:
-            return self._pressure.lost(service)
-        return self._rooms.loss(vm, service)
+            return self._pressure.rate(service)
+        return self._rooms.loss_rate(vm, service)
--- a/src/heathercleat/steering/process/capacity/shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -1,15 +1,15 @@
 """Limit on how fast traffic shifts between regions."""
 
 #: Length of a window in seconds.
-WINDOW = 1.0
+WINDOW_SECONDS = 1.0
 #: Change allowed per window, as a share of the change allowed within two seconds; low,
 #: since the windows of the VMs of a region are not aligned.
-USED_SHARE = 0.35
+STEP_SHARE = 0.35
 #: Fewest requests of a window from which a share is computed.
-LEAST_REQUESTS = 10
+MIN_REQUESTS = 10
 
 
-class ShiftLimit:
+class RegionShiftLimit:
     """Limits the change of the share of requests that this VM sends to other regions.
 
     There is no limit until the first window with enough requests has ended.
@@ -20,7 +20,7 @@
     __slots__ = ("_step", "_clock", "_ends_at", "_total", "_moved", "_last_share")
 
     def __init__(self, most, clock):
-        self._step = USED_SHARE * most
+        self._step = STEP_SHARE * most
         self._clock = clock
         self._ends_at = 0.0
         self._total = 0
@@ -47,7 +47,7 @@
         if self._last_share is None:
             return True
         limit = self._last_share + self._step
-        return self._moved + 1 <= limit * max(self._total + 1, LEAST_REQUESTS)
+        return self._moved + 1 <= limit * max(self._total + 1, MIN_REQUESTS)
 
     def must_move(self):
         """Return whether requests should go to other regions, to shift back slowly."""
@@ -60,7 +60,7 @@
         now = self._clock.now()
         if now < self._ends_at:
             return
-        if self._total >= LEAST_REQUESTS:
+        if self._total >= MIN_REQUESTS:
             self._last_share = self._moved / self._total
-        self._ends_at = now + WINDOW
+        self._ends_at = now + WINDOW_SECONDS
         self._total = self._moved = 0
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -5,13 +5,13 @@
 
 #: Seconds after an outage of the store in which targets renew entries that lapsed: the
 #: platform's limit of two seconds, and the interval at which a VM retries the store.
-LAPSE_GRACE = 2.45
+LAPSE_GRACE_SECONDS = 2.45
 #: Seconds for which the last entry of a removed target is kept; well above the longest
 #: delay of a write in the store.
-DEPARTED_LIFE = 60.0
+REMOVED_RETENTION_SECONDS = 60.0
 
 
-class Departed:
+class RemovedTarget:
     """The last entry of a removed target.
 
     :param forget_at: instant at which it is dropped.
@@ -28,7 +28,7 @@
     """All known targets by id.
 
     An entry that disappeared during an outage of the store lapses: its target may still
-    run, and is used until :data:`LAPSE_GRACE` has passed. A target whose entry
+    run, and is used until :data:`LAPSE_GRACE_SECONDS` has passed. A target whose entry
     disappears at any other time is removed at once. Later reports never extend the
     deadline of a lapse.
 
@@ -96,7 +96,7 @@
 
         :param since: earliest instant at which the outage can have ended.
         """
-        self._lapse_until = since + LAPSE_GRACE
+        self._lapse_until = since + LAPSE_GRACE_SECONDS
 
     def lapsing(self):
         """Return the remaining seconds of each lapsing target, by id."""
@@ -205,8 +205,8 @@
         if restarted:
             self._log.restarted(before, entry)
         elif entry.draining != before.draining:
-            self._log.turned(before, entry)
-        return turned_cold or not entry.steers_like(before)
+            self._log.log_draining(before, entry)
+        return turned_cold or not entry.has_same_steering_fields(before)
 
     def _is_old_news(self, entry, before):
         """Return whether an entry is outdated by a later one or by the removal.
@@ -256,10 +256,12 @@
         now = self._clock.now()
         self._forget_departed(now)
         entry = self._targets.pop(target_id)
-        self._departed[target_id] = Departed(entry, now + DEPARTED_LIFE)
+        self._departed[target_id] = RemovedTarget(
+            entry, now + REMOVED_RETENTION_SECONDS
+        )
         self._lapsing.pop(target_id, None)
         self._cold_until.pop(target_id, None)
-        self._log.gone(target_id, reason)
+        self._log.log_removal(target_id, reason)
 
     def _forget_departed(self, now):
         """Drop expired entries of removed targets; they are in order of expiry."""
--- a/src/heathercleat/steering/process/capacity/work.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -2,20 +2,20 @@
 
 from collections import deque
 
-from heathercleat.steering.process.means import move_mean
+from heathercleat.steering.process.moving_average import update_moving_average
 
 #: Weight of the newest response in the moving averages.
 WEIGHT = 0.05
 #: Most responses of affinity targets remembered for each route, and the number of new
 #: ones after which the time for a known object is computed again.
-REMEMBERED = 100
-RENEWED_AFTER = 20
+MAX_SAMPLES = 100
+RECOMPUTE_INTERVAL = 20
 #: Quantile of the remembered times that is taken for a known object; low, since most
 #: of the first requests are for new objects, which take longer.
-KNOWN_SHARE = 0.1
+KNOWN_OBJECT_QUANTILE = 0.1
 
 
-class WorkTimes:
+class ResponseTimes:
     """Mean seconds from sending a request to its complete response, by route.
 
     The affinity target of a request takes less time than other targets.
@@ -35,14 +35,14 @@
         if home:
             self._known.setdefault(route, _KnownTime()).observe(seconds)
         parts = self._home if home else self._other
-        move_mean(self._means, route, seconds, WEIGHT)
-        move_mean(parts, route, seconds, WEIGHT)
+        update_moving_average(self._means, route, seconds, WEIGHT)
+        update_moving_average(parts, route, seconds, WEIGHT)
 
     def of(self, route):
         """Return the mean of a route, 0 before the first response."""
         return self._means.get(route, 0.0)
 
-    def at_home(self, route):
+    def at_affinity_target(self, route):
         """Return the mean at affinity targets, 0 before the first response."""
         return self._home.get(route, 0.0)
 
@@ -66,13 +66,15 @@
 
     def __init__(self):
         self.seconds = None
-        self._latest = deque(maxlen=REMEMBERED)
+        self._latest = deque(maxlen=MAX_SAMPLES)
         self._new = 0
 
     def observe(self, seconds):
         """Record the time of one response of an affinity target."""
         self._latest.append(seconds)
         self._new += 1
-        if len(self._latest) == REMEMBERED and self._new >= RENEWED_AFTER:
+        if len(self._latest) == MAX_SAMPLES and self._new >= RECOMPUTE_INTERVAL:
             self._new = 0
-            self.seconds = sorted(self._latest)[int(KNOWN_SHARE * REMEMBERED)]
+            self.seconds = sorted(self._latest)[
+                int(KNOWN_OBJECT_QUANTILE * MAX_SAMPLES)
+            ]
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -4,34 +4,34 @@
 from contextlib import contextmanager
 
 #: Most runs remembered for each route and service.
-REMEMBERED = 100
+MAX_SAMPLES = 100
 #: Runs needed to compute a bound.
-LEAST_RUNS = 30
+MIN_RUNS = 30
 #: Factor by which a bound exceeds the longest known run.
-BOUND_MARGIN = 1.25
+BOUND_FACTOR = 1.25
 #: The bound while too few runs are known.
 UNBOUNDED = float("inf")
 
 
-class Run:
+class ActiveRun:
     """A run in progress.
 
-    :param began_at: instant at which its request was sent.
+    :param started_at: instant at which its request was sent.
     :param seconds: its duration as reported by the VM that ran it, or ``None``.
     :param may_have_run: whether the request may have reached a target.
     :param succeeded: whether a target sent a complete response without a server error.
     """
 
-    __slots__ = ("began_at", "seconds", "may_have_run", "succeeded")
+    __slots__ = ("started_at", "seconds", "may_have_run", "succeeded")
 
-    def __init__(self, began_at):
-        self.began_at = began_at
+    def __init__(self, started_at):
+        self.started_at = started_at
         self.seconds = None
         self.may_have_run = True
         self.succeeded = False
 
     def take(self, result):
-        """Record the :class:`TryResult`; a run that was aborted has none."""
+        """Record the :class:`AttemptResult`; a run that was aborted has none."""
         self.seconds = result.work
         self.may_have_run = not result.end.not_run
         self.succeeded = result.succeeded
@@ -51,7 +51,7 @@
     def watch(self, call):
         """Track a run during a ``with`` block, which receives the run."""
         times = self._of(call)
-        run = Run(self._clock.now())
+        run = ActiveRun(self._clock.now())
         times.running.add(run)
         try:
             yield run
@@ -70,7 +70,7 @@
         """
         return self._of(call).bound(self._clock.now())
 
-    def longest(self, route):
+    def longest_bound(self, route):
         """Return the longest bound over the services of a route, in seconds.
 
         :param route: name of the route.
@@ -104,7 +104,7 @@
     __slots__ = ("latest", "running")
 
     def __init__(self):
-        self.latest = deque(maxlen=REMEMBERED)
+        self.latest = deque(maxlen=MAX_SAMPLES)
         self.running = set()
 
     def end(self, run, now):
@@ -112,13 +112,13 @@
         self.running.discard(run)
         if not run.may_have_run:
             return
-        seconds = now - run.began_at if run.seconds is None else run.seconds
+        seconds = now - run.started_at if run.seconds is None else run.seconds
         if run.succeeded or seconds > max(self.latest, default=0.0):
             self.latest.append(seconds)
 
     def bound(self, now):
         """Return the bound in seconds."""
-        if len(self.latest) < LEAST_RUNS:
+        if len(self.latest) < MIN_RUNS:
             return UNBOUNDED
-        ages = (now - run.began_at for run in self.running)
-        return BOUND_MARGIN * max(*self.latest, *ages)
+        ages = (now - run.started_at for run in self.running)
+        return BOUND_FACTOR * max(*self.latest, *ages)
--- a/src/heathercleat/steering/process/capacity/target.py
+++ b/src/heathercleat/steering/process/capacity/target.py
@@ -67,7 +67,7 @@
         self.version = version
 
     @property
-    def life(self):
+    def incarnation_id(self):
         """Return an id that is unique to this incarnation of the target."""
         return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
@@ -88,7 +88,7 @@
             return False
         return self.sequence < other.sequence
 
-    def steers_like(self, other):
+    def has_same_steering_fields(self, other):
         """Return whether both entries are equal in all fields that affect steering."""
         return all(
             getattr(self, name) == getattr(other, name) for name in _STEERING_FIELDS
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -8,24 +8,24 @@
 from math import ceil
 from typing import Protocol
 
-from heathercleat.steering.process.capacity.slots import is_half
+from heathercleat.steering.process.capacity.slots import reaches_idle_share
 from heathercleat.version.hashing import weight
 
 #: Seconds for which the summary of a region is cached; well below the heartbeat
 #: interval.
-SUMMARY_LIFE = 0.015
+SUMMARY_TTL_SECONDS = 0.015
 #: Most targets cached for an affinity key; all targets are ranked if none of these is
 #: healthy.
-MOST_RANKED = 4
+MAX_RANKED_TARGETS = 4
 #: Share of a region's targets that may run requests suspected of crashing targets.
 CONFINED_SHARE = 0.25
 #: Most affinity keys cached for each service and region.
-MOST_OBJECTS = 2048
+MAX_OBJECTS = 2048
 #: Affinity key by which targets for confined requests are selected.
 _CONFINED = "confined"
 
 
-class SlotSource(Protocol):
+class TargetCapacity(Protocol):
     """The slots of one target, as far as they are known here."""
 
     def is_known(self, now):
@@ -44,41 +44,41 @@
     :param entry: its :class:`TargetEntry`.
     :param owner: name of the VM that owns it.
     :param owner_region: the region of that VM.
-    :param room: its :class:`SlotSource`.
+    :param room: its :class:`TargetCapacity`.
     """
 
-    __slots__ = ("entry", "owner", "owner_region", "room")
+    __slots__ = ("entry", "owner", "owner_region", "capacity")
 
-    def __init__(self, entry, owner, owner_region, room):
+    def __init__(self, entry, owner, owner_region, capacity):
         self.entry = entry
         self.owner = owner
         self.owner_region = owner_region
-        self.room = room
+        self.capacity = capacity
 
-    def is_sound(self, now):
+    def is_healthy(self, now):
         """Return whether the target is not limited to a small share of its slots."""
-        limit = self.room.limit(now)
-        return limit is None or is_half(self.entry, limit)
+        limit = self.capacity.limit(now)
+        return limit is None or reaches_idle_share(self.entry, limit)
 
 
-class Summary:
+class RegionSummary:
     """Sums over the targets of a service in a region whose slots are known here.
 
     :param targets: number of all targets, with known slots or not.
     :param idle: whether any target has :data:`IDLE_SHARE` of its slots free.
     """
 
-    __slots__ = ("targets", "sound", "slots", "free", "idle")
+    __slots__ = ("targets", "healthy", "slots", "free", "idle")
 
     def __init__(self, candidates, now):
         self.targets = len(candidates)
-        candidates = [each for each in candidates if each.room.is_known(now)]
-        self.sound = sum(each.is_sound(now) for each in candidates)
+        candidates = [each for each in candidates if each.capacity.is_known(now)]
+        self.healthy = sum(each.is_healthy(now) for each in candidates)
         self.slots = sum(each.entry.slots for each in candidates)
-        free = [each.room.free(now) for each in candidates]
+        free = [each.capacity.free(now) for each in candidates]
         self.free = sum(max(0, each) for each in free)
         self.idle = any(
-            count > 0 and is_half(each.entry, count)
+            count > 0 and reaches_idle_share(each.entry, count)
             for count, each in zip(free, candidates, strict=True)
         )
 
@@ -106,10 +106,10 @@
         self._until = 0.0
 
     def summary(self, now):
-        """Return the :class:`Summary`, cached for :data:`SUMMARY_LIFE` seconds."""
+        """Return the :class:`RegionSummary`, cached for :data:`SUMMARY_TTL_SECONDS` seconds."""
         if self._summary is None or now >= self._until:
-            self._summary = Summary(self.candidates, now)
-            self._until = now + SUMMARY_LIFE
+            self._summary = RegionSummary(self.candidates, now)
+            self._until = now + SUMMARY_TTL_SECONDS
         return self._summary
 
     @property
@@ -124,7 +124,7 @@
             self._confined = nlargest(count, self.candidates, key=weight_of)
         return self._confined
 
-    def homes(self, affinity, count, usable, now):
+    def affinity_targets(self, affinity, count, usable, now):
         """Return the healthy candidates that rank first for an affinity key.
 
         :param count: most candidates to return.
@@ -140,9 +140,11 @@
     def _rank(self, affinity):
         ranked = self._ranked.get(affinity)
         if ranked is None:
-            if len(self._ranked) >= MOST_OBJECTS:
+            if len(self._ranked) >= MAX_OBJECTS:
                 self._ranked.clear()
-            ranked = nlargest(MOST_RANKED, self.candidates, key=_weight_for(affinity))
+            ranked = nlargest(
+                MAX_RANKED_TARGETS, self.candidates, key=_weight_for(affinity)
+            )
             self._ranked[affinity] = ranked
         return ranked
 
@@ -154,7 +156,7 @@
     :param registry: the :class:`TargetRegistry`.
     :param owners: the :class:`Owners`.
     :param ledger: the :class:`SlotLedger` of own targets.
-    :param rooms: the :class:`RoomView` of other VMs' targets.
+    :param rooms: the :class:`CapacityReports` of other VMs' targets.
     """
 
     def __init__(self, members, registry, owners, ledger, rooms):
@@ -181,8 +183,8 @@
             if member is None:
                 continue
             region = self._members.region_of(entry.failure_domain)
-            room = self._room(entry.id, owner)
-            candidate = Candidate(entry, owner, member.region, room)
+            capacity = self._room(entry.id, owner)
+            candidate = Candidate(entry, owner, member.region, capacity)
             groups.setdefault(region, []).append(candidate)
         return {
             region: RegionTargets(region, candidates)
@@ -191,7 +193,7 @@
 
     def _room(self, target_id, owner):
         owned = self._ledger.get(target_id) if self._is_own(owner) else None
-        return owned or self._rooms.room(target_id, owner)
+        return owned or self._rooms.capacity(target_id, owner)
 
     def _is_own(self, owner):
         return owner == self._members.own.vm
@@ -203,7 +205,7 @@
     for each in ranked:
         if len(found) == count:
             break
-        if usable(each) and each.is_sound(now):
+        if usable(each) and each.is_healthy(now):
             found.append(each)
     return found
 
--- a/src/heathercleat/steering/process/quarantine/rules.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -10,65 +10,85 @@
 from hashlib import blake2b
 
 #: Prefixes of group keys; not hexadecimal, so distinct from keys of requests.
-SENDER, STRANGERS = "s", "t"
+SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX = "s", "t"
 #: As for the fingerprints of requests.
 DIGEST_BYTES = 8
 #: Most digests of routes to services to cache.
-MOST_PLACES = 1024
+MAX_CACHED_ROUTES = 1024
 
 
-class Rule:
+class CrashPolicy:
     """When requests of a key are refused, and for how long.
 
     :param ends: number of crashes from which requests are refused.
-    :param ends_to_return: number of crashes from which a request is no longer retried
+    :param crashes_to_stop_retries: number of crashes from which a request is no longer retried
         at another target within one attempt.
-    :param first_hold: seconds of refusal after ``ends`` crashes; doubles with each
+    :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles with each
         further crash.
-    :param longest_hold: upper limit of these seconds.
+    :param max_refusal_seconds: upper limit of these seconds.
     :param memory: seconds after the last crash for which crashes count.
     """
 
-    __slots__ = ("ends", "ends_to_return", "first_hold", "longest_hold", "memory")
-
-    def __init__(self, ends, ends_to_return, first_hold, longest_hold, memory):
+    __slots__ = (
+        "ends",
+        "crashes_to_stop_retries",
+        "initial_refusal_seconds",
+        "max_refusal_seconds",
+        "retention_seconds",
+    )
+
+    def __init__(
+        self,
+        ends,
+        crashes_to_stop_retries,
+        initial_refusal_seconds,
+        max_refusal_seconds,
+        retention_seconds,
+    ):
         self.ends = ends
-        self.ends_to_return = ends_to_return
-        self.first_hold = first_hold
-        self.longest_hold = longest_hold
-        self.memory = memory
+        self.crashes_to_stop_retries = crashes_to_stop_retries
+        self.initial_refusal_seconds = initial_refusal_seconds
+        self.max_refusal_seconds = max_refusal_seconds
+        self.retention_seconds = retention_seconds
 
-    def hold(self, count):
+    def refusal_seconds(self, count):
         """Return the seconds for which requests are refused after a crash.
 
         :param count: number of known crashes, at least ``ends``.
         """
-        return min(self.longest_hold, self.first_hold * 2 ** (count - self.ends))
+        return min(
+            self.max_refusal_seconds,
+            self.initial_refusal_seconds * 2 ** (count - self.ends),
+        )
 
 
 #: A request that crashes targets does so each time, and is refused for a day.
-REQUEST_RULE = Rule(3, 2, 86_400.0, 86_400.0, 600.0)
+REQUEST_POLICY = CrashPolicy(3, 2, 86_400.0, 86_400.0, 600.0)
 #: A sender may also send harmless requests; one of them is tried after each refusal.
-SENDER_RULE = Rule(3, 3, 5.0, 300.0, 600.0)
+SENDER_POLICY = CrashPolicy(3, 3, 5.0, 300.0, 600.0)
 #: Mild, since unknown senders share only their route and include all new callers.
-STRANGERS_RULE = Rule(6, 6, 2.0, 30.0, 60.0)
+UNKNOWN_SENDERS_POLICY = CrashPolicy(6, 6, 2.0, 30.0, 60.0)
 
 
-def rule_of(key):
-    """Return the :class:`Rule` for the key of a request or a group."""
-    if key.startswith(SENDER):
-        return SENDER_RULE
-    return STRANGERS_RULE if key.startswith(STRANGERS) else REQUEST_RULE
+def policy_for(key):
+    """Return the :class:`CrashPolicy` for the key of a request or a group."""
+    if key.startswith(SENDER_PREFIX):
+        return SENDER_POLICY
+    return (
+        UNKNOWN_SENDERS_POLICY
+        if key.startswith(UNKNOWN_SENDERS_PREFIX)
+        else REQUEST_POLICY
+    )
 
 
-def is_group(key):
+def is_group_key(key):
     """Return whether a key is of a group, not of one request."""
-    return key.startswith((SENDER, STRANGERS))
+    return key.startswith((SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX))
 
 
-def is_of_strangers(key):
+def is_unknown_senders_key(key):
     """Return whether a key is of the unknown senders on a route."""
-    return key.startswith(STRANGERS)
+    return key.startswith(UNKNOWN_SENDERS_PREFIX)
 
 
 def sender_key(service, route, sender):
@@ -76,15 +96,15 @@
 
     :param sender: digest of the sender, as hexadecimal digits.
     """
-    return SENDER + _place(service, route) + sender
+    return SENDER_PREFIX + _place(service, route) + sender
 
 
-def strangers_key(service, route):
+def unknown_senders_key(service, route):
     """Return the key of unknown senders' requests on one route to one service."""
-    return STRANGERS + _place(service, route)
+    return UNKNOWN_SENDERS_PREFIX + _place(service, route)
 
 
-@lru_cache(maxsize=MOST_PLACES)
+@lru_cache(maxsize=MAX_CACHED_ROUTES)
 def _place(service, route):
     """Return a digest of a route to a service, as hexadecimal digits."""
     text = f"{len(service)}:{service}{route}".encode()
--- a/src/heathercleat/steering/process/quarantine/answers.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -6,22 +6,22 @@
 #: Seconds after a complete response in which a crash is not attributed to its request,
 #: since a frequent request is in progress at most targets that crash for other reasons.
 #: Short, since a request may start to crash targets that responded to it before.
-ANSWERED_SECONDS = 3.0
+EXEMPTION_SECONDS = 3.0
 #: Most credits of a key; equal to the number of crashes remembered of a group.
-MOST_CREDITS = 16
+MAX_CREDITS = 16
 
 
-class Answers(Protocol):
+class ResponseHistory(Protocol):
     """Tells which crashes are exempted by complete responses."""
 
     def note(self, key, now):
         """Record a complete response to a request of a key."""
 
-    def excuse(self, key, now):
+    def exempts_crash(self, key, now):
         """Return whether a crash reported now is not attributed to a key."""
 
 
-class AnswerMemory:
+class RecentResponses:
     """Responses each of which exempts its key from all crashes for some seconds.
 
     :param most: most keys to remember; the least recent is evicted.
@@ -41,10 +41,10 @@
         if len(self._instants) > self._most:
             del self._instants[next(iter(self._instants))]
 
-    def excuse(self, key, now):
+    def exempts_crash(self, key, now):
         """Return whether the last response is recent."""
         answered_at = self._instants.get(key)
-        return answered_at is not None and now - answered_at <= ANSWERED_SECONDS
+        return answered_at is not None and now - answered_at <= EXEMPTION_SECONDS
 
     def __contains__(self, key):
         return key in self._instants
@@ -53,7 +53,7 @@
         return len(self._instants)
 
 
-class AnswerCredits:
+class ResponseCredits:
     """Responses each of which exempts its key from a single crash.
 
     :param most: most keys to remember; the least recent is evicted.
@@ -69,17 +69,19 @@
     def note(self, key, now):
         """Record a complete response."""
         credits = self._credits.pop(key, None)
-        self._credits[key] = deque(maxlen=MOST_CREDITS) if credits is None else credits
+        self._credits[key] = deque(maxlen=MAX_CREDITS) if credits is None else credits
         self._credits[key].append(now)
         if len(self._credits) > self._most:
             del self._credits[next(iter(self._credits))]
 
-    def excuse(self, key, now):
+    def exempts_crash(self, key, now):
         """Use up a recent response; return whether there was one."""
         credits = self._credits.get(key)
         if not credits:
             return False
-        return now - credits.popleft() <= ANSWERED_SECONDS or self.excuse(key, now)
+        return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(
+            key, now
+        )
 
     def __len__(self):
         return len(self._credits)
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -16,17 +16,17 @@
     encode_quarantine,
 )
 from heathercleat.steering.process.store.protocol import HistoryLostError
-from heathercleat.steering.process.store.rejections import Rejections
+from heathercleat.steering.process.store.rejected_rows import RejectedRowLog
 
 #: Seconds for which a read waits for a change; long, since quarantines are rare.
-WAIT = 25.0
+LONG_POLL_SECONDS = 25.0
 #: Seconds between checks whether this VM is a reader, and before the first one.
-SETTLE_SECONDS = 1.0
+READER_CHECK_SECONDS = 1.0
 #: Seconds before a retry after a failed call, and between two writes.
-RETRY_INTERVAL = 2.0
-WRITE_INTERVAL = 1.0
+RETRY_SECONDS = 2.0
+WRITE_SECONDS = 1.0
 #: Most quarantines queued for writing; the oldest is dropped.
-MOST_WAITING = 256
+MAX_PENDING_WRITES = 256
 
 
 class QuarantineTable:
@@ -47,8 +47,8 @@
         self._vm = vm
         self._journal = journal
         self._clock = clock
-        self._rejections = Rejections(journal, clock)
-        self._waiting = deque(maxlen=MOST_WAITING)
+        self._rejections = RejectedRowLog(journal, clock)
+        self._waiting = deque(maxlen=MAX_PENDING_WRITES)
         # Version of the table at the last read, or ``None``.
         self._version = None
 
@@ -59,16 +59,16 @@
     async def follow(self):
         """Read the table while this VM is a reader, until cancelled."""
         while True:
-            await sleep(SETTLE_SECONDS)
+            await sleep(READER_CHECK_SECONDS)
             while self._is_reader():
                 await self._read()
 
     async def write(self):
         """Write queued quarantines until cancelled."""
         while True:
-            await sleep(WRITE_INTERVAL)
+            await sleep(WRITE_SECONDS)
             if self._waiting and not await self._write_next():
-                await sleep(RETRY_INTERVAL)
+                await sleep(RETRY_SECONDS)
 
     async def _write_next(self):
         """Write the next quarantine; return ``False`` if it has to be retried."""
@@ -88,11 +88,11 @@
             snapshot = await self._next_snapshot()
         except HistoryLostError:
             self._version = None
-            await sleep(RETRY_INTERVAL)
+            await sleep(RETRY_SECONDS)
             return
         except PlatformError as error:
             self._log_failed(error)
-            await sleep(RETRY_INTERVAL)
+            await sleep(RETRY_SECONDS)
             return
         self._version = snapshot.version
         for row in snapshot.rows:
@@ -101,7 +101,9 @@
     async def _next_snapshot(self):
         if self._version is None:
             return await self._reading.read(QUARANTINE_TABLE)
-        return await self._reading.follow(QUARANTINE_TABLE, self._version, WAIT)
+        return await self._reading.follow(
+            QUARANTINE_TABLE, self._version, LONG_POLL_SECONDS
+        )
 
     async def _take(self, row):
         """Merge a row; a deleted row lifts its quarantine."""
