--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -90,7 +90,7 @@
     ),
     Mutation(
         "DENIED",
-        f"{STEERING}/connection/reading.py",
+        f"{STEERING}/connection/call_reader.py",
         "                ResultCode.NO_CONFIGURATION,",
         "                ResultCode.NO_ROUTE,",
         "tests/test_steering_start.py",
@@ -104,7 +104,7 @@
     ),
     Mutation(
         "GONE",
-        f"{STEERING}/process/leavers.py",
+        f"{STEERING}/process/active_requests.py",
         "if not call.left and call.stream.is_closed():",
         "if False:",
         "tests/test_steering_path.py",
@@ -115,15 +115,15 @@
         "LOST",
         f"{STEERING}/process/node.py",
         "        await self._finish_requests()",
-        "        self.departure.begin(self.clock.now(), 0.0)",
+        "        self.shutdown.begin(self.clock.now(), 0.0)",
         "tests/test_steering_path.py",
         "-k",
         "planned_stop",
     ),
     Mutation(
         "LOST-departure",
-        f"{STEERING}/process/departure.py",
-        "return now >= self.send_by(call)",
+        f"{STEERING}/process/shutdown.py",
+        "return now >= self.send_deadline(call)",
         "return False",
         "tests/test_departure.py",
         "tests/test_planned_stops.py",
@@ -131,14 +131,14 @@
     Mutation(
         "LOST-owner-is-told",
         f"{STEERING}/request/local.py",
-        "if now >= call.send_by:",
+        "if now >= call.send_deadline:",
         "if False:",
         "tests/test_departure.py",
     ),
     Mutation(
         "LOST-little-known",
         f"{STEERING}/process/capacity/run_times.py",
-        "if len(self.latest) < LEAST_RUNS:",
+        "if len(self.latest) < MIN_RUNS:",
         "if not self.latest:",
         "tests/test_departure.py",
     ),
@@ -151,7 +151,7 @@
     ),
     Mutation(
         "LOST-late-in-a-stop",
-        f"{STEERING}/process/departure.py",
+        f"{STEERING}/process/shutdown.py",
         "if call.arrived_at >= self._keeps_until:",
         "if False:",
         "tests/test_departure.py",
@@ -183,7 +183,7 @@
     Mutation(
         "LOST-sent-ahead",
         f"{STEERING}/connection/client.py",
-        "if self._clock.now() >= self._node.departure.keeps_until:",
+        "if self._clock.now() >= self._node.shutdown.keep_alive_until:",
         "if False:",
         "tests/test_pipelining.py",
         "-k",
@@ -208,14 +208,14 @@
     Mutation(
         "SHIFT-homes",
         f"{STEERING}/request/estimates.py",
-        "self._work_times.known(route.name)",
-        "self._work_times.at_home(route.name)",
+        "self._response_times.known(route.name)",
+        "self._response_times.at_affinity_target(route.name)",
         "tests/test_object_homes.py",
     ),
     Mutation(
         "RESTS",
-        f"{STEERING}/process/capacity/rests.py",
-        "resting + 1 <= max(1.0, MOST_RESTING * len(limits))",
+        f"{STEERING}/process/capacity/ejection_limit.py",
+        "resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
         "True",
         "tests/test_rests.py",
     ),
@@ -269,14 +269,14 @@
     ),
     Mutation(
         "DRAIN-removed-row-passed-on",
-        f"{STEERING}/process/store/copy.py",
+        f"{STEERING}/process/store/table_copy.py",
         "            self._rows.pop(row.key, None)\n",
         "",
         "tests/test_lapses.py",
     ),
     Mutation(
         "DRAIN-earlier-change-of-a-row",
-        f"{STEERING}/process/store/copy.py",
+        f"{STEERING}/process/store/table_copy.py",
         "row.version <= (known.version if known else self._gone_at(row.key))",
         "False",
         "tests/test_follower.py",
@@ -355,7 +355,7 @@
     ),
     Mutation(
         "SHIFT",
-        f"{STEERING}/process/capacity/shift.py",
+        f"{STEERING}/process/capacity/region_shift.py",
         "        return self._moved + 1 <= limit",
         "        return True or limit",
         "tests/test_limits.py",
@@ -430,7 +430,7 @@
     Mutation(
         "STOP-short-answers",
         f"{STEERING}/process/directory.py",
-        "        return LOOKUP_TTL if stays else SHORT_TTL\n",
+        "        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS\n",
         "        return LOOKUP_TTL\n",
         "tests/test_look_ups.py",
         "-k",
@@ -492,7 +492,7 @@
     ),
     Mutation(
         "SIZE-news-told-often",
-        f"{STEERING}/process/membership/rumours.py",
+        f"{STEERING}/process/membership/pending_updates.py",
         "TELL_HEARTBEATS = 2.5",
         "TELL_HEARTBEATS = 25",
         "tests/test_membership.py",
@@ -565,7 +565,8 @@
     Mutation(
         "HANDOVER-owner-before",
         f"{STEERING}/process/capacity/slots.py",
-        "            self._held.expect(target_id, self._owners.before(target_id))\n",
+        "            self._held.add_target(target_id, "
+        "self._owners.before(target_id))\n",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -573,8 +574,9 @@
     ),
     Mutation(
         "HANDOVER-owner-before-untold",
-        f"{STEERING}/process/capacity/held.py",
-        "            self._put(target_id, former, Hold(_ALL, now + TELL_SECONDS))\n",
+        f"{STEERING}/process/capacity/held_slots.py",
+        "            self._put(target_id, former, Hold(_ALL, now + "
+        "FORMER_OWNER_REPORT_SECONDS))\n",
         "            pass\n",
         "tests/test_handing_over.py",
         "-k",
@@ -609,7 +611,7 @@
     ),
     Mutation(
         "HANDOVER-hold-ends",
-        f"{STEERING}/process/capacity/held.py",
+        f"{STEERING}/process/capacity/held_slots.py",
         "            if now < hold.until and self._runs(vm)\n",
         "            if self._runs(vm)\n",
         "tests/test_handing_over.py",
@@ -618,7 +620,7 @@
     ),
     Mutation(
         "HANDOVER-end-of-a-process",
-        f"{STEERING}/process/capacity/held.py",
+        f"{STEERING}/process/capacity/held_slots.py",
         "            if now < hold.until and self._runs(vm)\n",
         "            if now < hold.until\n",
         "tests/test_handing_over.py",
@@ -654,7 +656,7 @@
     ),
     Mutation(
         "SIZE-whole-tables",
-        f"{STEERING}/process/store/copy.py",
+        f"{STEERING}/process/store/table_copy.py",
         " or self._is_in_gap(version):\n",
         " or True:\n",
         "tests/test_follower.py",
@@ -690,7 +692,7 @@
     ),
     Mutation(
         "LOST-removal-in-a-gap",
-        f"{STEERING}/process/store/copy.py",
+        f"{STEERING}/process/store/table_copy.py",
         "return self.since < version < self.until",
         "return False",
         "tests/test_follower.py",
@@ -699,9 +701,9 @@
     ),
     Mutation(
         "QUARANTINE-third-end",
-        f"{STEERING}/process/quarantine/rules.py",
-        "REQUEST_RULE = Rule(3, 2,",
-        "REQUEST_RULE = Rule(3000, 2,",
+        f"{STEERING}/process/quarantine/policies.py",
+        "REQUEST_POLICY = CrashPolicy(3, 2,",
+        "REQUEST_POLICY = CrashPolicy(3000, 2,",
         "tests/test_suspects.py",
         "-k",
         "third_end",
@@ -744,8 +746,8 @@
     ),
     Mutation(
         "QUARANTINE-answers",
-        f"{STEERING}/process/quarantine/answers.py",
-        "return answered_at is not None and now - answered_at <= ANSWERED_SECONDS",
+        f"{STEERING}/process/quarantine/responses.py",
+        "return answered_at is not None and now - answered_at <= EXEMPTION_SECONDS",
         "return False",
         "tests/test_suspects.py",
         "-k",
@@ -754,7 +756,7 @@
     Mutation(
         "QUARANTINE-end-counted-once",
         f"{STEERING}/process/quarantine/suspect.py",
-        "            if life not in self.ends:\n",
+        "            if incarnation_id not in self.ends:\n",
         "            if True:\n",
         "tests/test_suspects.py",
     ),
@@ -779,8 +781,8 @@
     Mutation(
         "QUARANTINE-same-ends-kept",
         f"{STEERING}/process/quarantine/suspect.py",
-        "kept = nsmallest(MOST_ENDS, self.ends, key=self._order)",
-        "kept = self.ends[:MOST_ENDS]",
+        "kept = nsmallest(MAX_CRASHES, self.ends, key=self._order)",
+        "kept = self.ends[:MAX_CRASHES]",
         "tests/test_suspects.py",
         "-k",
         "too_many",
@@ -816,7 +818,7 @@
     Mutation(
         "CONTAINED-proven-run-on",
         f"{STEERING}/request/containment.py",
-        "if self._suspects.was_answered(call.fingerprint):",
+        "if self._suspects.has_response(call.fingerprint):",
         "if False:",
         "tests/test_containment.py",
         "-k",
@@ -824,8 +826,10 @@
     ),
     Mutation(
         "CONTAINED-answers",
-        f"{STEERING}/process/quarantine/answers.py",
-        "return now - credits.popleft() <= ANSWERED_SECONDS or self.excuse(key, now)",
+        f"{STEERING}/process/quarantine/responses.py",
+        "return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(\n"
+        "            key, now\n"
+        "        )",
         "return False",
         "tests/test_containment.py",
         "-k",
@@ -842,9 +846,9 @@
     ),
     Mutation(
         "CONTAINED-longer-holds",
-        f"{STEERING}/process/quarantine/rules.py",
-        "self.first_hold * 2 ** (count - self.ends)",
-        "self.first_hold",
+        f"{STEERING}/process/quarantine/policies.py",
+        "self.initial_refusal_seconds * 2 ** (count - self.ends)",
+        "self.initial_refusal_seconds",
         "tests/test_containment.py",
         "-k",
         "doubles",
@@ -852,15 +856,16 @@
     Mutation(
         "CONTAINED-cleared-forgotten",
         f"{STEERING}/process/quarantine/suspect.py",
-        "return CLEARED_SECONDS if is_over else self.rule.memory",
-        "return self.rule.memory",
+        "return CLEARED_RETENTION_SECONDS if is_over else "
+        "self.policy.retention_seconds",
+        "return self.policy.retention_seconds",
         "tests/test_containment.py",
         "-k",
         "leave_room",
     ),
     Mutation(
         "CONTAINED-few-targets",
-        f"{STEERING}/request/places.py",
+        f"{STEERING}/request/destinations.py",
         "confined = self._confined(choice) if call.confined else None",
         "confined = None",
         "tests/test_containment.py",
@@ -869,8 +874,8 @@
     ),
     Mutation(
         "QUARANTINE-evidence",
-        f"{STEERING}/process/capacity/ends.py",
-        "return entry.life in self._ended",
+        f"{STEERING}/process/capacity/crash_detector.py",
+        "return entry.incarnation_id in self._ended",
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
