--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -122,7 +122,7 @@
             del self._reports[owner]
 
     def capacity(self, target_id, owner):
-        """Return the :class:`ReportedCapacity` of an owner's target, created if missing."""
+        """Return the :class:`ReportedCapacity` of a target; creates it if missing."""
         report = self._report(owner)
         capacity = report.rooms.get(target_id)
         if capacity is None:
@@ -134,7 +134,7 @@
         return list(self._reports)
 
     def reported_at(self, owner):
-        """Return the instant of an owner's last report, :data:`DISTANT_PAST` without one."""
+        """Return the instant of the last report, or :data:`DISTANT_PAST`."""
         return self._report(owner).reported_at
 
     def find(self, target_id, owner):
@@ -146,7 +146,7 @@
         return self._clock.now() < self._report(owner).valid_until
 
     def waits(self, owner, service):
-        """Return the :class:`WaitEstimate` at an owner, ``None`` if no slot is in service."""
+        """Return the :class:`WaitEstimate`, ``None`` if no slot is in service."""
         return self._report(owner).waits.get(service)
 
     def loss_rate(self, owner, service):
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -28,8 +28,8 @@
     hold expires at the deadline of its last request, or when the VM terminates.
 
     :param members: the live VMs.
-    :param rooms: the :class:`CapacityReports`; its reports count for a former owner until that
-        VM reports its remaining requests.
+    :param rooms: the :class:`CapacityReports`; the last one of a former owner counts
+        until that VM reports its remaining requests.
     """
 
     def __init__(self, members, rooms, clock):
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -98,7 +98,7 @@
 
 
 def _divide(before, targets, candidates):
-    """Return the previous :class:`Assignment` if its inputs are unchanged, or a new one.
+    """Return the previous :class:`Assignment` if the inputs are the same, or a new one.
 
     Computing one is slow for many targets and VMs, and most changes affect a single
     service of one failure domain.
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -54,7 +54,7 @@
     """A target whose slots this VM counts.
 
     :param entry: its :class:`TargetEntry`.
-    :param cold_limit: requests within :data:`COLD_WINDOW_SECONDS` while cold, or ``None``.
+    :param cold_limit: most requests per window while it is cold, or ``None``.
     :param held: the :class:`HeldSlots`.
     """
 
@@ -197,7 +197,7 @@
                 yield target_id, owner, len(target.uses), deadline
 
     def new_owners(self):
-        """Return the names of the VMs that own the targets of :meth:`handed_over_targets`."""
+        """Return the owners of :meth:`handed_over_targets`."""
         return {owner for _, owner, _, _ in self.handed_over_targets()}
 
     def pop_new_owners(self):
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -106,7 +106,7 @@
         self._until = 0.0
 
     def summary(self, now):
-        """Return the :class:`RegionSummary`, cached for :data:`SUMMARY_TTL_SECONDS` seconds."""
+        """Return the :class:`RegionSummary`, which is cached briefly."""
         if self._summary is None or now >= self._until:
             self._summary = RegionSummary(self.candidates, now)
             self._until = now + SUMMARY_TTL_SECONDS
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -21,11 +21,11 @@
     """When requests of a key are refused, and for how long.
 
     :param ends: number of crashes from which requests are refused.
-    :param crashes_to_stop_retries: number of crashes from which a request is no longer retried
-        at another target within one attempt.
-    :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles with each
-        further crash.
-    :param max_refusal_seconds: upper limit of these seconds.
+    :param crashes_to_stop_retries: number of crashes from which a request is no longer
+        retried at another target.
+    :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles
+        with each further crash.
+    :param max_refusal_seconds: upper limit of the seconds of refusal.
     :param memory: seconds after the last crash for which crashes count.
     """
 
