--- a/bench/places.py
+++ b/bench/places.py
@@ -75,7 +75,7 @@
         rooms.report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
     for owned in parts.ledger.all():
         for _ in range(SLOTS):
-            owned.take(clock.now())
+            owned.claim(clock.now())
     admission = Admission(parts.ledger, members.region_of, clock)
     return DestinationSelector(
         TargetView(members, parts.registry, parts.owners, parts.ledger, rooms),
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -68,7 +68,7 @@
         made.fingerprint = fingerprint(b"GET", next(paths), HEADERS, b"")
         containment.refusal(made)
         suspects.refused_until(made.fingerprint)
-        suspects.answered(made.fingerprint)
+        suspects.record_response(made.fingerprint)
         containment.record_result(made, answered, True)
 
     return guard
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -61,7 +61,7 @@
         """Return the expected wait in seconds, or ``None`` if no slot is in service."""
         waits = self.waits(call.service, call)
         hold = self._queue(call.service).mean_hold_seconds
-        return waits and waits.of(call, self._clock.now(), hold)
+        return waits and waits.for_call(call, self._clock.now(), hold)
 
     async def acquire(self, call, preferred, avoid, until):
         """Return a :class:`Use`, or ``None`` if no slot became free in time.
@@ -131,7 +131,7 @@
             if waiter is None:
                 return
             queue.waiters.remove(waiter)
-            waiter.slot_use = target.take(now, waiter.call.deadline)
+            waiter.slot_use = target.claim(now, waiter.call.deadline)
             await waiter.signal.set()
 
     async def _wait(self, waiter, until):
@@ -162,7 +162,7 @@
         def order(target):
             return waiter.place(target.entry.id), -target.free(now)
 
-        return min(free, key=order).take(now, waiter.call.deadline)
+        return min(free, key=order).claim(now, waiter.call.deadline)
 
     def _queue(self, service):
         queue = self._queues.get(service)
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -71,7 +71,7 @@
         """Invalidate the last report."""
         self._valid_until = 0.0
 
-    def take(self):
+    def reserve(self):
         """Count a request sent to the target."""
         self._free = max(0, self._free - 1)
 
@@ -116,7 +116,7 @@
         }
         report.losses = dict(losses)
 
-    def keep(self, owners):
+    def retain(self, owners):
         """Drop the reports of all owners except these."""
         for owner in self._reports.keys() - owners:
             del self._reports[owner]
--- a/src/heathercleat/steering/process/capacity/health.py
+++ b/src/heathercleat/steering/process/capacity/health.py
@@ -33,7 +33,7 @@
         "failure_rate",
         "ejected_at",
         "ejected_until",
-        "rests",
+        "ejection_count",
         "is_half_open",
     )
 
@@ -42,10 +42,10 @@
         self.failure_rate = 0.0
         self.ejected_at = DISTANT_PAST
         self.ejected_until = 0.0
-        self.rests = 0
+        self.ejection_count = 0
         self.is_half_open = False
 
-    def succeeded(self, seconds):
+    def record_success(self, seconds):
         """Record a complete response that took ``seconds``."""
         weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
@@ -53,7 +53,7 @@
         if self.is_half_open:
             self.is_half_open = False
             self.failure_rate = 0.0
-        self.rests = max(0, self.rests - 1)
+        self.ejection_count = max(0, self.ejection_count - 1)
 
     def predates_ejection(self, started_at):
         """Return whether a request was sent before the last ejection.
@@ -83,9 +83,11 @@
     def eject(self, now):
         """Eject the target for a jittered time; then one request probes it."""
         self.ejected_at = now
-        length = min(MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.rests)
+        length = min(
+            MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.ejection_count
+        )
         self.ejected_until = now + uniform(0.8, 1.2) * length
-        self.rests += 1
+        self.ejection_count += 1
         self.is_half_open = True
 
     def is_unresponsive(self, now, oldest_start):
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -84,7 +84,7 @@
             if now < hold.until and self._runs(vm)
         )
 
-    def keep(self, vms):
+    def retain(self, vms):
         """Drop all VMs except these."""
         for vm in self._targets.keys() - vms:
             self._drop(vm)
--- a/src/heathercleat/steering/process/capacity/loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/loss_rates.py
@@ -12,11 +12,11 @@
     def __init__(self):
         self._lost = {}
 
-    def answered(self, service, late):
+    def record_response(self, service, late):
         """Record a request that a target responded to."""
         self._observe(service, LATE_LOSS_RATE if late else 0.0)
 
-    def refused(self, service):
+    def record_refusal(self, service):
         """Record a request that was refused for lack of a slot."""
         self._observe(service, 1.0)
 
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -41,13 +41,13 @@
         """Call ``callback()`` whenever owners may have changed."""
         self._on_change.append(callback)
 
-    def of(self, target_id):
+    def owner_of(self, target_id):
         """Return the name of the VM that owns a target, or ``None``."""
         if self._stale:
             self._rebuild()
         return self._owner.get(target_id)
 
-    def before(self, target_id):
+    def previous_owner_of(self, target_id):
         """Return the owner of a target before the last change, or ``None``."""
         return self._before.get(target_id)
 
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -31,7 +31,7 @@
         self.early = early
         self.late = late
 
-    def of(self, call, now, work):
+    def for_call(self, call, now, work):
         """Return the expected wait of a call.
 
         That of a late request if the call would be late after the wait.
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -20,7 +20,7 @@
         self._means = {}
         self._until = 0.0
 
-    def of(self, region, service):
+    def loss_rate(self, region, service):
         """Return the loss rate of a region, 0 to 1; 1 if no VM reports it."""
         now = self._clock.now()
         if now >= self._until:
--- a/src/heathercleat/steering/process/capacity/region_shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -32,7 +32,7 @@
         """Return the share of requests to other regions in the last full window."""
         return self._last_share or 0.0
 
-    def count(self, moved):
+    def record(self, moved):
         """Record a request that was sent.
 
         :param moved: whether it was sent to another region.
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -52,7 +52,7 @@
         self._on_change = []
 
     @property
-    def known(self):
+    def is_loaded(self):
         """Return whether the table was read at least once."""
         return self._known
 
--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -27,18 +27,18 @@
         self._other = {}
         self._known = {}
 
-    def observe(self, route, seconds, home):
+    def record(self, route, seconds, home):
         """Record the time of one response.
 
         :param home: whether the target is an affinity target of the request.
         """
         if home:
-            self._known.setdefault(route, _KnownTime()).observe(seconds)
+            self._known.setdefault(route, _KnownTime()).record(seconds)
         parts = self._home if home else self._other
         update_moving_average(self._means, route, seconds, WEIGHT)
         update_moving_average(parts, route, seconds, WEIGHT)
 
-    def of(self, route):
+    def mean(self, route):
         """Return the mean of a route, 0 before the first response."""
         return self._means.get(route, 0.0)
 
@@ -46,7 +46,7 @@
         """Return the mean at affinity targets, 0 before the first response."""
         return self._home.get(route, 0.0)
 
-    def known(self, route):
+    def at_known_object(self, route):
         """Return the time for a known object at its affinity target, in seconds.
 
         ``None`` until enough responses are recorded.
@@ -54,7 +54,7 @@
         known = self._known.get(route)
         return known.seconds if known else None
 
-    def elsewhere(self, route):
+    def at_other_target(self, route):
         """Return the mean at other targets, 0 before the first response."""
         return self._other.get(route, 0.0)
 
@@ -69,7 +69,7 @@
         self._latest = deque(maxlen=MAX_SAMPLES)
         self._new = 0
 
-    def observe(self, seconds):
+    def record(self, seconds):
         """Record the time of one response of an affinity target."""
         self._latest.append(seconds)
         self._new += 1
--- a/src/heathercleat/steering/process/capacity/retry_budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -31,7 +31,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def left(self, now):
+    def remaining(self, now):
         """Return how many retries may still be sent in this window."""
         self._expire(now)
         shared = self._slack / max(1, self._vm_count())
@@ -40,7 +40,7 @@
 
     def spend(self, now):
         """Use up one retry; return whether one was left."""
-        if self.left(now) < 1:
+        if self.remaining(now) < 1:
             return False
         self._repeats.append(now)
         return True
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -30,7 +30,7 @@
         self.may_have_run = True
         self.succeeded = False
 
-    def take(self, result):
+    def record(self, result):
         """Record the :class:`AttemptResult`; a run that was aborted has none."""
         self.seconds = result.work
         self.may_have_run = not result.end.not_run
@@ -48,7 +48,7 @@
         self._times = {}
 
     @contextmanager
-    def watch(self, call):
+    def track(self, call):
         """Track a run during a ``with`` block, which receives the run."""
         times = self._of(call)
         run = ActiveRun(self._clock.now())
@@ -58,7 +58,7 @@
         finally:
             times.end(run, self._clock.now())
 
-    def count(self, call):
+    def sample_count(self, call):
         """Return the number of runs from which the bound of a call is computed."""
         return len(self._of(call).latest)
 
@@ -82,7 +82,7 @@
         )
         return max(bounds, default=UNBOUNDED)
 
-    def keep(self, routes):
+    def retain(self, routes):
         """Drop all routes except those of these names, and those with runs."""
         self._times = {
             key: times
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -97,7 +97,7 @@
             free = min(free, self.cold_limit - self._count_recent(now))
         return max(0, free)
 
-    def take(self, now, deadline=DISTANT_PAST):
+    def claim(self, now, deadline=DISTANT_PAST):
         """Claim a slot and return the :class:`SlotUse`.
 
         :param deadline: instant at which the request ends at the latest.
@@ -191,7 +191,7 @@
         """
         self._refresh()
         for target_id, target in self._former.items():
-            owner = self._owners.of(target_id) if target.uses else None
+            owner = self._owners.owner_of(target_id) if target.uses else None
             if owner is not None and target.is_current(self._registry):
                 deadline = max(use.deadline for use in target.uses)
                 yield target_id, owner, len(target.uses), deadline
@@ -241,12 +241,12 @@
             if entry is not None:
                 owned[target_id] = self._keep(entry)
         for target_id in owned.keys() - self._owned.keys():
-            self._held.add_target(target_id, self._owners.before(target_id))
+            self._held.add_target(target_id, self._owners.previous_owner_of(target_id))
             self._journal.write(Event.HOME_ADOPTED, target=target_id)
         for target_id in self._owned.keys() - owned.keys():
             self._journal.write(Event.HOME_HANDED_OVER, target=target_id)
             self._former[target_id] = self._owned[target_id]
-            self._successors.add(self._owners.of(target_id))
+            self._successors.add(self._owners.owner_of(target_id))
         self._former = {
             target_id: target
             for target_id, target in self._former.items()
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -178,7 +178,7 @@
     def _group(self, service):
         groups = {}
         for entry in self._registry.of_service(service):
-            owner = self._owners.of(entry.id)
+            owner = self._owners.owner_of(entry.id)
             member = self._members.live(owner) if owner is not None else None
             if member is None:
                 continue
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -192,7 +192,7 @@
             self._rooms.report(beat.own.vm, beat.rooms, beat.waits, beat.losses)
             self._held.report(beat.own.vm, beat.held)
         for fields in beat.suspects:
-            self._suspects.told(SuspectUpdate.of(fields))
+            self._suspects.merge(SuspectUpdate.of(fields))
         return member if is_new else None
 
     async def beat(self):
@@ -278,7 +278,7 @@
         if not kind.is_partner:
             beat = beat.without_news()
         if kind.tells_suspects:
-            beat.suspects = [each.fields() for each in self._suspects.news()]
+            beat.suspects = [each.fields() for each in self._suspects.updates()]
         return beat.pack()
 
     def _is_far(self, member):
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -152,7 +152,7 @@
             journal,
             clock,
         )
-        self._suspects.on_quarantine(self._quarantines.keep)
+        self._suspects.on_quarantine(self._quarantines.enqueue)
 
     def _build_gossip(self):
         """Build the heartbeats."""
@@ -290,7 +290,7 @@
     @property
     def started(self):
         """Return whether the configuration and the targets are known."""
-        return self._table is not None and self._registry.known
+        return self._table is not None and self._registry.is_loaded
 
     @property
     def ready(self):
@@ -428,7 +428,7 @@
             before=self._table.version if self._table else None,
         )
         self._table = table
-        self.shutdown.runs.keep({route.name for route in table.routes})
+        self.shutdown.runs.retain({route.name for route in table.routes})
         self._splitters = {}
         self._update_serving()
 
@@ -450,8 +450,8 @@
     def _forget_rooms(self):
         """Drop the reports of VMs that are gone for good."""
         known = {member.vm for member in self._members.others()}
-        self._rooms.keep(known)
-        self._held.keep(known)
+        self._rooms.retain(known)
+        self._held.retain(known)
 
     def _beliefs(self):
         """Return figures on what this VM knows and how old it is."""
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -179,7 +179,7 @@
     def _order(self, incarnation_id):
         return _digest(f"{self.fingerprint} {incarnation_id}")
 
-    def news(self, now):
+    def to_update(self, now):
         """Return the :class:`SuspectUpdate` to send."""
         return SuspectUpdate(
             self.fingerprint, round(self.until - now), self.ends, self.cleared
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -115,7 +115,7 @@
         suspect = self._get(key)
         return suspect is None or suspect.count < suspect.policy.crashes_to_stop_retries
 
-    def ended(self, fingerprint, incarnation_id, route=None, service=None):
+    def record_crash(self, fingerprint, incarnation_id, route=None, service=None):
         """Record that a target crashed while it ran a request.
 
         :param fingerprint: fingerprint of the request, or key of its group.
@@ -130,7 +130,7 @@
         suspect.route, suspect.service = route, service
         self._take(suspect, [incarnation_id], [], SUSPICION_SECONDS)
 
-    def answered(self, fingerprint):
+    def record_response(self, fingerprint):
         """Record a complete response of a target to a request.
 
         It clears all crashes of the request or sender, but only one crash of the
@@ -153,25 +153,25 @@
         if suspect is not None and suspect.count:
             self._take(suspect, [], list(suspect.ends), 0.0)
 
-    def told(self, news):
+    def merge(self, update):
         """Merge the :class:`SuspectUpdate` of another VM."""
-        suspect = self._get(news.fingerprint) or Suspect(news.fingerprint)
-        known = {*suspect.ends, *news.cleared}
+        suspect = self._get(update.fingerprint) or Suspect(update.fingerprint)
+        known = {*suspect.ends, *update.cleared}
         fresh = (
             incarnation_id
-            for incarnation_id in news.ends
+            for incarnation_id in update.ends
             if incarnation_id not in known
         )
         excused = [
             incarnation_id
             for incarnation_id in fresh
-            if self._is_excused(news.fingerprint)
+            if self._is_excused(update.fingerprint)
         ]
-        cleared = [*news.cleared, *excused]
-        seconds = min(news.remaining, QUARANTINE_SECONDS)
-        self._take(suspect, news.ends, cleared, seconds)
+        cleared = [*update.cleared, *excused]
+        seconds = min(update.remaining, QUARANTINE_SECONDS)
+        self._take(suspect, update.ends, cleared, seconds)
 
-    def news(self):
+    def updates(self):
         """Yield the :class:`SuspectUpdate` to send with one heartbeat."""
         now, room = self._clock.now(), MAX_CRASHES_PER_HEARTBEAT
         for suspect in self._told_next():
@@ -179,7 +179,7 @@
             if room < 0:
                 return
             if suspect.until - now > MIN_REMAINING_SECONDS:
-                yield suspect.news(now)
+                yield suspect.to_update(now)
 
     def expire(self):
         """Drop the suspects that have expired."""
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -52,7 +52,7 @@
         # Version of the table at the last read, or ``None``.
         self._version = None
 
-    def keep(self, suspect):
+    def enqueue(self, suspect):
         """Queue a quarantined :class:`Suspect` for writing."""
         self._waiting.append(suspect)
 
@@ -111,12 +111,12 @@
             self._suspects.lift(row.key)
             return
         try:
-            news = decode_quarantine(row, self._clock)
+            update = decode_quarantine(row, self._clock)
         except ValueError as error:
             self._rejections.note(row.key, error)
             return
-        if news is not None:
-            self._suspects.told(news)
+        if update is not None:
+            self._suspects.merge(update)
         else:
             await self._put(row.key, None)
 
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -132,4 +132,4 @@
         if self._began_at is None:
             return None
         needed = min(call.deadline - now, self._runs.bound(call))
-        return StopEstimate(self.elapsed(now), needed, self._runs.count(call))
+        return StopEstimate(self.elapsed(now), needed, self._runs.sample_count(call))
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -105,7 +105,7 @@
             call.confined = True
             where = call.route.name, call.service
             for key in keys:
-                self._suspects.ended(key, result.ended, *where)
+                self._suspects.record_crash(key, result.ended, *where)
         elif result.end is AttemptOutcome.ANSWERED:
             self._answered(call, keys)
         if self._trials and not result.end.not_run:
@@ -131,7 +131,7 @@
 
     def _answered(self, call, keys):
         for key in keys:
-            self._suspects.answered(key)
+            self._suspects.record_response(key)
         if call.sender is not None:
             self._senders.note((call.service, call.sender), self._clock.now())
 
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -148,13 +148,13 @@
         service = call.service
         least = min(
             choice.far,
-            key=lambda each: self._losses.of(each.region, service),
+            key=lambda each: self._losses.loss_rate(each.region, service),
             default=None,
         )
         if least is None:
             return None
-        own_loss = self._losses.of(self._members.own.region, service)
-        if own_loss - self._losses.of(least.region, service) < LEAST_RELIEF:
+        own_loss = self._losses.loss_rate(self._members.own.region, service)
+        if own_loss - self._losses.loss_rate(least.region, service) < LEAST_RELIEF:
             return None
 
         def in_time(candidate):
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -50,7 +50,7 @@
         capacity = None
         if place.target is not None:
             capacity = self._rooms.capacity(place.target, place.vm)
-            capacity.take()
+            capacity.reserve()
         result = await self._forward.run(
             call, member.ip, place.preferred, avoid, until, trip
         )
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -34,7 +34,7 @@
         if not self._rooms.is_known(owner):
             return 0.0
         waits = self._rooms.waits(owner, call.service)
-        return waits and waits.of(call, self._clock.now(), self.work(call, True))
+        return waits and waits.for_call(call, self._clock.now(), self.work(call, True))
 
     def shortest_wait(self, targets, call):
         """Return the shortest known wait at the owners of a region, or ``None``.
@@ -53,12 +53,14 @@
         """Return how long a target takes that knows the object, or does not."""
         times, route = self._response_times, call.route.name
         if call.affinity is None or not call.route.sticky:
-            return times.of(route)
-        return times.at_affinity_target(route) if is_home else times.elsewhere(route)
+            return times.mean(route)
+        return (
+            times.at_affinity_target(route) if is_home else times.at_other_target(route)
+        )
 
     def known_work(self, route):
         """Return how long a target takes for a known object, ``None`` if untold."""
-        return self._response_times.known(route.name)
+        return self._response_times.at_known_object(route.name)
 
     def is_in_time(self, call, owner, is_home):
         """Return whether a request is in time through an owner that has room."""
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -130,9 +130,9 @@
         # To cut the connection does not undo what runs, which may run once only.
         call.on_leave = StreamCut(stream) if call.route.kind.idempotent else None
         try:
-            with self._departure.runs.watch(call) as run:
+            with self._departure.runs.track(call) as run:
                 result = await exchange.run()
-                run.take(result)
+                run.record(result)
         except BaseException:
             await self._pool.discard(entry.host, entry.port, stream)
             raise
@@ -152,7 +152,7 @@
             return
         result.ended = entry.incarnation_id
         where = call.route.name, call.service
-        self._suspects.ended(call.fingerprint, entry.incarnation_id, *where)
+        self._suspects.record_crash(call.fingerprint, entry.incarnation_id, *where)
         self._journal.write(
             Event.TARGET_ENDED,
             target=entry.incarnation_id,
@@ -182,13 +182,13 @@
         if call.left:
             return
         if result.end is AttemptOutcome.ANSWERED:
-            self._suspects.answered(call.fingerprint)
+            self._suspects.record_response(call.fingerprint)
         if result.reason == "replaced":
             self._registry.forget(target.entry.id, "another incarnation answered")
             return
         if result.succeeded:
-            target.health.succeeded(result.work)
-            self._response_times.observe(call.route.name, result.work, home)
+            target.health.record_success(result.work)
+            self._response_times.record(call.route.name, result.work, home)
             return
         may_eject = self._rests.may_eject(call.service)
         if target.health.record_failure(now, use.started_at, may_eject):
@@ -207,5 +207,5 @@
             service=target.entry.service,
             reason=reason,
             seconds=round(target.health.ejected_until - self._clock.now(), 3),
-            rests=target.health.rests,
+            rests=target.health.ejection_count,
         )
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -130,9 +130,9 @@
         trying = steering._tries.run(call, place, self._avoid, until)
         if steering._tries.is_own(place):
             return await trying
-        with steering._departure.runs.watch(call) as run:
+        with steering._departure.runs.track(call) as run:
             result = await trying
-            run.take(result)
+            run.record(result)
             return result
 
     def _next_place(self, now):
@@ -176,7 +176,7 @@
             service=self._call.service,
             reason=self._last_reason,
             allowed=spent,
-            left=round(budget.left(now), 1),
+            left=round(budget.remaining(now), 1),
         )
         return spent
 
@@ -213,7 +213,7 @@
     def _until_far(self, place, now):
         """Return how long to wait in another region and still be answered in time."""
         call, steering = self._call, self._steering
-        work = steering._response_times.of(call.route.name)
+        work = steering._response_times.mean(call.route.name)
         latest = call.soft_deadline - steering._tries.trip(place) - work
         return min(max(now + STALE_REPORT_WAIT_SECONDS, latest), now + FAR_PATIENCE)
 
@@ -229,14 +229,14 @@
             self._take_unsent(place, result, until)
             return None
         self._sends += 1
-        self._steering._shift.count(place.remote)
+        self._steering._shift.record(place.remote)
         if result.end is AttemptOutcome.REFUSED:
             return None
         self._runs += 1
         if result.end is AttemptOutcome.ANSWERED:
             self._observe(place, result)
             late = self._steering._clock.now() > self._call.soft_deadline
-            self._steering._pressure.answered(self._call.service, late)
+            self._steering._pressure.record_response(self._call.service, late)
             if result.succeeded or not self._may_run_again():
                 return result.answer
             self._failed_answer = result.answer
@@ -282,7 +282,7 @@
         if result.work is not None and not self._steering._tries.is_own(place):
             home = result.target in place.preferred
             times = self._steering._response_times
-            times.observe(self._call.route.name, result.work, home)
+            times.record(self._call.route.name, result.work, home)
 
     def _may_run_again(self):
         call = self._call
@@ -290,7 +290,7 @@
             return False
         if not self._steering._containment.may_retry(call):
             return False
-        work = self._steering._response_times.of(call.route.name)
+        work = self._steering._response_times.mean(call.route.name)
         return self._steering._clock.now() + work < call.deadline
 
     def _check_quarantine(self):
@@ -318,7 +318,7 @@
             message = f"no whole answer: {self._last_reason}"
             raise RequestError(ResultCode.ANSWER_LOST, message)
         if not self._sends:
-            self._steering._pressure.refused(self._call.service)
+            self._steering._pressure.record_refusal(self._call.service)
         wait = self._return_after()
         reason = self._last_reason or "no free slot within reach"
         reason = f"{reason} ({self._steering._places.describe(self._call)})"
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -27,7 +27,7 @@
 
     def of(self, call):
         """Return the instant at which a request is given up without a slot."""
-        work = SPREAD * self._response_times.of(call.route.name)
+        work = SPREAD * self._response_times.mean(call.route.name)
         least = LEAST_LEFT * (call.deadline - call.arrived_at)
         return max(call.arrived_at, call.deadline - max(work, least))
 
@@ -39,7 +39,7 @@
         after: worth 0.313 and 0.398 on an overloaded day, 0.460 and 0.473 on another.
         """
         route = call.route.name
-        longest = SPREAD * self._response_times.elsewhere(route)
+        longest = SPREAD * self._response_times.at_other_target(route)
         if call.arrived_at + longest <= call.soft_deadline:
             return call.arrived_at
         latest = call.soft_deadline - self._response_times.at_affinity_target(route)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -319,7 +319,7 @@
     for first in few:
         made.confined = True
         assert scene.places.free(made, (), ()).target == first
-        scene.parts.ledger.get(first).take(scene.parts.clock.now())
+        scene.parts.ledger.get(first).claim(scene.parts.clock.now())
     assert scene.places.free(made, (), ()).target in others
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -244,12 +244,12 @@
     request.give_up_at = parts.clock.now() + 5.0
 
     async def main():
-        use = target.take(parts.clock.now())
+        use = target.claim(parts.clock.now())
         until = parts.clock.now() + 5.0
         task = await spawn(local.run, request, (), (), until)
         await sleep(0)
         for life in ("t2", "t3", "t4"):
-            suspects.ended("f", life)
+            suspects.record_crash("f", life)
         await local._admission.release(use, False)
         return await task.join()
 
@@ -295,8 +295,8 @@
     ended.ended = "t1"
     far = [entry("t1", domain="south-a")]
     scene = Scene([], entries=far, forwarded=[ended])
-    scene.suspects.ended("", "t2")
-    scene.suspects.ended("", "t3")
+    scene.suspects.record_crash("", "t2")
+    scene.suspects.record_crash("", "t3")
     tries = scene.steering._tries
     place = Destination("vm-2", None, (), remote=False)
     scene.parts.members.record_heartbeat(beat("vm-2"))
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -53,9 +53,9 @@
 
 def observe(runs, clock, request, seconds, status=200):
     """Let a request run and be answered."""
-    with runs.watch(request) as each:
+    with runs.track(request) as each:
         clock.time += seconds
-        each.take(answered(status))
+        each.record(answered(status))
         each.seconds = seconds
 
 
@@ -131,7 +131,7 @@
 
 def test_runs_under_way_count_before_they_end():
     stop = Stop(0.3)
-    with stop.shutdown.runs.watch(call(stop.clock)):
+    with stop.shutdown.runs.track(call(stop.clock)):
         stop.clock.time += 3.3
         stop.shutdown.begin(stop.clock.now(), GRACE)
         assert stop.is_too_late(1.4)
@@ -148,9 +148,9 @@
 )
 def test_long_runs_without_an_answer_count_and_waits_do_not(end, too_late):
     stop = Stop(0.3)
-    with stop.shutdown.runs.watch(call(stop.clock)) as each:
+    with stop.shutdown.runs.track(call(stop.clock)) as each:
         stop.clock.time += 5.0
-        each.take(ended(end))
+        each.record(ended(end))
     stop.shutdown.begin(stop.clock.now(), GRACE)
     assert stop.is_too_late(0.0) is too_late
 
@@ -285,7 +285,7 @@
         clock = self.parts.clock
 
         async def main():
-            use = self.target.take(clock.now())
+            use = self.target.claim(clock.now())
             task = await spawn(self.local.run, request, (), (), clock.now() + FAR)
             await sleep(0)
             if meanwhile is not None:
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -53,7 +53,7 @@
 
 
 def owners_of(parts, targets=TARGETS):
-    return {parts.owners.of(each.id) for each in targets}
+    return {parts.owners.owner_of(each.id) for each in targets}
 
 
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
@@ -70,7 +70,7 @@
     parts.members.leave()
     parts.members.record_heartbeat(beat("vm-2", *FAR, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
-    assert parts.owners.of("far") == "vm-2"
+    assert parts.owners.owner_of("far") == "vm-2"
 
 
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
@@ -114,7 +114,7 @@
         rng.shuffle(record_heartbeat)
         for each in record_heartbeat:
             parts.members.record_heartbeat(each)
-        views.append({each.id: parts.owners.of(each.id) for each in TARGETS})
+        views.append({each.id: parts.owners.owner_of(each.id) for each in TARGETS})
     assert views[0] == views[1] == views[2]
     least = Stage.SERVING if serving else LEAVING
     owners = {parts.members.live(vm).stage for vm in views[0].values()}
@@ -275,7 +275,7 @@
         parts.members.record_heartbeat(told)
 
     def owners(self, parts):
-        return {f"t{each}": parts.owners.of(f"t{each}") for each in range(12)}
+        return {f"t{each}": parts.owners.owner_of(f"t{each}") for each in range(12)}
 
     @invariant()
     def owners_follow_from_what_is_known(self):
@@ -358,11 +358,11 @@
         for use in [each for each in self.uses if each.deadline <= now]:
             self.uses.remove(use)
             self.ledger.release(use)
-            use.target.health.succeeded(now - use.started_at)
+            use.target.health.record_success(now - use.started_at)
         for target in self.ledger.all():
             while target.free(now):
                 deadline = now + rng.uniform(0.2, LONGEST_RUN)
-                self.uses.append(target.take(now, deadline))
+                self.uses.append(target.claim(now, deadline))
 
 
 class AnsweringNetwork(Network):
@@ -495,7 +495,7 @@
     vm = next(each for each in fleet.vms if each.ledger.all())
     (target,) = vm.ledger.all()
     vm.members.leave()
-    name = vm.owners.of(target.entry.id)
+    name = vm.owners.owner_of(target.entry.id)
     successor = next(each for each in fleet.vms if each.name == name)
     now = fleet.network.clock.now()
     successor.held.add_target(target.entry.id, vm.name)
@@ -567,9 +567,9 @@
     for vm in ("vm-2", "vm-3"):
         parts.members.record_heartbeat(beat(vm, stage=LEAVING))
         parts.held.report(vm, [["t1", 1, 60.0]])
-    parts.held.keep({"vm-3"})
+    parts.held.retain({"vm-3"})
     assert parts.held.count("t1", parts.clock.now()) == 1
-    parts.held.keep(set())
+    parts.held.retain(set())
     assert not parts.held._holds
     assert not parts.held._targets
     assert not parts.held._incarnations
@@ -619,7 +619,7 @@
         now = self.parts.clock.now()
         (target,) = self.parts.ledger.all()
         if target.free(now):
-            target.take(now, now + 1.0)
+            target.claim(now, now + 1.0)
 
     @rule()
     def release(self):
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -105,7 +105,7 @@
         if self.away:
             return
         made = self.vms[vm]
-        if whole or not made.registry.known:
+        if whole or not made.registry.is_loaded:
             made.replace_all(Snapshot(self.version, list(self.rows.values())))
             return
         after = made.copy.version
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -53,7 +53,7 @@
         for number in range(requests):
             wants = (number % 10) < wanted * 10
             moves = limit.must_move() or (wants and limit.may_move())
-            limit.count(moves)
+            limit.record(moves)
             moved += moves
         shares.append(moved / requests)
         clock.time += 1.0
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -41,7 +41,7 @@
         self.report(SLOTS)
         times = ResponseTimes()
         for _ in range(answers):
-            times.observe("r1", work, True)
+            times.record("r1", work, True)
         pressure = LossRates()
         view = TargetView(members, parts.registry, parts.owners, parts.ledger, rooms)
         admission = Admission(parts.ledger, members.region_of, clock)
--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -13,8 +13,8 @@
 def test_slots_are_counted_exactly():
     parts = Parts([entry("t1", slots=2)])
     target = owned(parts)
-    first = target.take(parts.clock.now())
-    target.take(parts.clock.now())
+    first = target.claim(parts.clock.now())
+    target.claim(parts.clock.now())
     assert target.free(parts.clock.now()) == 0
     parts.ledger.release(first)
     assert target.free(parts.clock.now()) == 1
@@ -23,8 +23,8 @@
 def test_releasing_twice_frees_one_slot():
     parts = Parts([entry("t1", slots=2)])
     target = owned(parts)
-    use = target.take(parts.clock.now())
-    target.take(parts.clock.now())
+    use = target.claim(parts.clock.now())
+    target.claim(parts.clock.now())
     parts.ledger.release(use)
     parts.ledger.release(use)
     assert target.free(parts.clock.now()) == 1
@@ -34,7 +34,7 @@
     parts = Parts([entry("t1", slots=3)])
     target = owned(parts)
     now = parts.clock.now()
-    target.take(now)
+    target.claim(now)
     target.record_reported_load(2, 1, now)
     assert target.free(now) == 0
     assert target.free(now + 0.5) == 2
@@ -45,7 +45,7 @@
     target = owned(parts)
     sent = 0
     while target.free(parts.clock.now()):
-        parts.ledger.release(target.take(parts.clock.now()))
+        parts.ledger.release(target.claim(parts.clock.now()))
         sent += 1
     assert 1 <= 2 * sent <= 1.5 * COLD_RATE
     parts.clock.time += 1.1
@@ -56,7 +56,7 @@
     parts = Parts([entry("t1", slots=1000, cold=5.0)])
     target = owned(parts)
     while target.free(parts.clock.now()):
-        target.take(parts.clock.now())
+        target.claim(parts.clock.now())
     parts.members.set_serving(False)
     assert list(parts.ledger.all()) == []
     parts.members.set_serving(True)
@@ -98,14 +98,14 @@
     assert target.free(parts.clock.now()) == 0
     parts.clock.time += 5.0
     assert target.free(parts.clock.now()) == 1
-    target.health.succeeded(0.1)
+    target.health.record_success(0.1)
     assert target.free(parts.clock.now()) == 4
 
 
 def test_silent_target_gets_no_more_requests():
     parts = Parts([entry("t1", slots=4)])
     target = owned(parts)
-    target.take(parts.clock.now())
+    target.claim(parts.clock.now())
     assert target.free(parts.clock.now() + 0.5) == 3
     assert target.free(parts.clock.now() + 2.0) == 0
 
@@ -114,7 +114,7 @@
 def test_target_that_is_much_slower_than_the_others_takes_one_request(latency, slow):
     parts = Parts([entry(f"t{number}", slots=4) for number in range(5)])
     for target in parts.ledger.all():
-        target.health.succeeded(0.1)
+        target.health.record_success(0.1)
     odd = owned(parts, "t3")
     odd.health.latency = latency
     parts.ledger.update_slow_targets()
@@ -135,7 +135,7 @@
         now = self.parts.clock.now()
         for target in self.parts.ledger.all():
             if target.entry.id == f"t{number}" and target.free(now):
-                self.uses.append(target.take(now))
+                self.uses.append(target.claim(now))
 
     @rule(data=st.data())
     def release(self, data):
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -20,31 +20,31 @@
 def test_vms_of_a_domain_share_its_targets_evenly():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
-    owners = [parts.owners.of(each.id) for each in TARGETS]
+    owners = [parts.owners.owner_of(each.id) for each in TARGETS]
     assert owners.count("vm-1") == owners.count("vm-2") == len(TARGETS) // 2
 
 
 def test_vm_of_another_domain_owns_only_what_has_no_nearer_vm():
     parts = Parts([entry("t1"), entry("t2", domain="south-a")])
     parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
-    assert parts.owners.of("t1") == "vm-1"
-    assert parts.owners.of("t2") is not None
+    assert parts.owners.owner_of("t1") == "vm-1"
+    assert parts.owners.owner_of("t2") is not None
     parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
-    assert parts.owners.of("t2") == "vm-3"
+    assert parts.owners.owner_of("t2") == "vm-3"
 
 
 def test_silent_vm_loses_its_targets():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
     pass_time(parts, 2.0)
-    assert {parts.owners.of(each.id) for each in TARGETS} == {"vm-1"}
+    assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_vm_that_leaves_hands_its_targets_over_at_once():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
     parts.members.record_heartbeat(beat("vm-2", serving=False))
-    assert {parts.owners.of(each.id) for each in TARGETS} == {"vm-1"}
+    assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_heartbeat_of_an_earlier_process_is_ignored():
@@ -68,16 +68,16 @@
     parts = Parts(TARGETS)
     for number in range(2, 6):
         parts.members.record_heartbeat(beat(f"vm-{number}", strength=0.1))
-    assert {parts.owners.of(each.id) for each in TARGETS} == {"vm-1"}
+    assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_weak_vms_take_over_when_the_strong_ones_are_gone():
     parts = Parts(TARGETS, serving=False)
     parts.members.record_heartbeat(beat("vm-2", strength=2.0))
     parts.members.record_heartbeat(beat("vm-3", strength=0.3))
-    assert {parts.owners.of(each.id) for each in TARGETS} == {"vm-2"}
+    assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-2"}
     parts.members.record_heartbeat(beat("vm-2", strength=2.0, serving=False))
-    assert {parts.owners.of(each.id) for each in TARGETS} == {"vm-3"}
+    assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-3"}
 
 
 def test_all_vms_are_used_where_the_strong_ones_are_too_few():
@@ -85,7 +85,7 @@
     parts.members.record_heartbeat(beat("vm-2", strength=1.0))
     for number in range(3, 13):
         parts.members.record_heartbeat(beat(f"vm-{number}", strength=0.4))
-    assert len({parts.owners.of(each.id) for each in TARGETS}) > 1
+    assert len({parts.owners.owner_of(each.id) for each in TARGETS}) > 1
 
 
 def test_pause_of_this_process_is_no_silence_of_the_others():
--- a/tests/test_quarantine_spread.py
+++ b/tests/test_quarantine_spread.py
@@ -34,14 +34,14 @@
 def test_ends_seen_at_three_vms_are_known_to_all_in_time(count, loss):
     network = settled(count, loss)
     for number, vm in enumerate(network.running()[:3]):
-        vm.suspects.ended("f", f"i-{number}")
+        vm.suspects.record_crash("f", f"i-{number}")
     assert seconds_until_all_refuse(network) <= SPREAD_SECONDS
 
 
 def test_vm_that_starts_learns_of_a_quarantine(count=9):
     network = settled(count, 0.1)
     for number in range(3):
-        network.running()[0].suspects.ended("f", f"i-{number}")
+        network.running()[0].suspects.record_crash("f", f"i-{number}")
     network.run(SPREAD_SECONDS)
     SimulatedVm(network, count)
     assert seconds_until_all_refuse(network) <= SPREAD_SECONDS
@@ -52,7 +52,7 @@
     alone = network.running()[4]
     network.is_cut = lambda sender, receiver: alone in (sender, receiver)
     for number in range(3):
-        network.running()[0].suspects.ended("f", f"i-{number}")
+        network.running()[0].suspects.record_crash("f", f"i-{number}")
     network.run(5.0)
     assert alone.suspects.refused_until("f") is None
     network.is_cut = lambda sender, receiver: False
@@ -62,9 +62,9 @@
 def test_nothing_is_told_once_all_know_the_same():
     network = settled(9, 0.0)
     for number in range(3):
-        network.running()[0].suspects.ended("f", f"i-{number}")
+        network.running()[0].suspects.record_crash("f", f"i-{number}")
     network.run(SPREAD_SECONDS)
-    told = [list(vm.suspects.news()) for vm in network.running()]
+    told = [list(vm.suspects.updates()) for vm in network.running()]
     assert all(told)
     sent = network.suspects_told
     network.run(SPREAD_SECONDS)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -13,7 +13,7 @@
     """Take every slot of some targets and return the uses."""
     now = parts.clock.now()
     return [
-        target.take(now)
+        target.claim(now)
         for target in parts.ledger.all()
         if target.entry.id in ids
         for _ in range(target.free(now))
@@ -46,7 +46,7 @@
     fill(parts, "t1")
     (other,) = (each for each in parts.ledger.all() if each.entry.id == "t2")
     for _ in range(taken):
-        other.take(parts.clock.now())
+        other.claim(parts.clock.now())
     use = acquire(admission(parts), call(parts.clock), preferred=("t1",))
     assert (use is not None) is served
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -30,7 +30,7 @@
                     may_eject = self.limit.may_eject("s1")
                     target.health.record_failure(now, now, may_eject)
                 else:
-                    target.health.succeeded(0.1)
+                    target.health.record_success(0.1)
 
     def at_work(self):
         now = self.parts.clock.now()
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -206,7 +206,7 @@
     scene = Scene(results)
     for target in scene.parts.ledger.all():
         while target.free(scene.parts.clock.now()):
-            target.take(scene.parts.clock.now())
+            target.claim(scene.parts.clock.now())
     return scene
 
 
@@ -248,7 +248,7 @@
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), far], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
     (own,) = scene.parts.ledger.all()
-    own.take(scene.parts.clock.now())
+    own.claim(scene.parts.clock.now())
     scene.rooms.report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
     return scene
 
@@ -299,7 +299,7 @@
     home = scene.places.free(made, set(), set()).target
     target = scene.parts.ledger.get(home)
     while target.free(scene.parts.clock.now()):
-        target.take(scene.parts.clock.now())
+        target.claim(scene.parts.clock.now())
     scene.parts.clock.time += SUMMARY_TTL_SECONDS
     return scene, made, home
 
@@ -329,8 +329,8 @@
         return answered()
 
     scene = Scene([note])
-    scene.response_times.observe("r1", 0.1, True)
-    scene.response_times.observe("r1", elsewhere, False)
+    scene.response_times.record("r1", 0.1, True)
+    scene.response_times.record("r1", elsewhere, False)
     scene.run(call(scene.parts.clock, route(sticky=True), affinity="/a"))
     assert (until[0] > 0.0) is waits
 
@@ -340,8 +340,8 @@
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
     scene.rooms.report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
-    scene.response_times.observe("r1", 0.1, True)
-    scene.response_times.observe("r1", 0.5, False)
+    scene.response_times.record("r1", 0.1, True)
+    scene.response_times.record("r1", 0.5, False)
     return scene
 
 
@@ -361,7 +361,7 @@
 def test_home_that_was_full_after_all_is_asked_once_a_slice():
     """A home with no room for 1 s: each send in vain carries the body again."""
     scene = home_elsewhere_scene([no_slot() for _ in range(20)])
-    scene.response_times.observe("r1", 5.0, False)
+    scene.response_times.record("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     made.soft_deadline = made.deadline
     with pytest.raises(RequestError):
@@ -379,7 +379,7 @@
 @pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY_BYTES, 2)])
 def test_large_bodies_are_sent_less_often(size, most):
     scene = home_elsewhere_scene([no_slot() for _ in range(20)])
-    scene.response_times.observe("r1", 5.0, False)
+    scene.response_times.record("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     made.body = b"x" * size
     made.soft_deadline = made.deadline
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -40,12 +40,12 @@
 
 def end(suspects, count, fingerprint="f"):
     for life in LIVES[:count]:
-        suspects.ended(fingerprint, life)
+        suspects.record_crash(fingerprint, life)
 
 
 def tell(sender, receiver):
-    for news in list(sender.news()):
-        receiver.told(SuspectUpdate.of(news.fields()))
+    for news in list(sender.updates()):
+        receiver.merge(SuspectUpdate.of(news.fields()))
 
 
 @pytest.mark.parametrize(("ends", "refused"), [(0, False), (2, False), (3, True)])
@@ -59,7 +59,7 @@
 def test_one_end_counts_once_however_often_it_is_told():
     suspects, other = made(), made()
     for _ in range(5):
-        suspects.ended("f", "i-1")
+        suspects.record_crash("f", "i-1")
         tell(suspects, other)
         tell(other, suspects)
     assert suspects.refused_until("f") is None
@@ -69,7 +69,7 @@
 def test_ends_seen_by_three_vms_are_united():
     vms = [made() for _ in range(3)]
     for vm, life in zip(vms, LIVES, strict=False):
-        vm.ended("f", life)
+        vm.record_crash("f", life)
     for vm in vms[1:]:
         tell(vm, vms[0])
     assert vms[0].refused_until("f") is not None
@@ -79,7 +79,7 @@
     one, other = made(), made()
     end(one, 3)
     tell(one, other)
-    other.answered("f")
+    other.record_response("f")
     tell(other, one)
     assert one.refused_until("f") is None
     assert one.digest == other.digest
@@ -90,7 +90,7 @@
     """As with a popular request, under way at many targets that end by a fault."""
     clock = ManualClock()
     suspects, other = made(clock), made(clock)
-    suspects.answered("f")
+    suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS / 2
     end(other if told else suspects, CRASHES_TO_QUARANTINE)
     tell(other, suspects)
@@ -102,7 +102,7 @@
 def test_old_answer_does_not_speak_for_a_request():
     clock = ManualClock()
     suspects = made(clock)
-    suspects.answered("f")
+    suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS + 0.1
     end(suspects, CRASHES_TO_QUARANTINE)
     assert suspects.refused_until("f") is not None
@@ -132,11 +132,11 @@
     over = clock.time + SUSPICION_SECONDS + 2 * MIN_REMAINING_SECONDS
     while clock.time < over:
         # News is on its way for a while.
-        told = list(one.news()), list(other.news())
+        told = list(one.updates()), list(other.updates())
         clock.time += 0.4
         for receiver, news in zip((other, one), told, strict=True):
             for each in news:
-                receiver.told(each)
+                receiver.merge(each)
         one.expire()
         other.expire()
     assert (one.count, other.count) == (0, 0)
@@ -153,7 +153,7 @@
 def test_memory_is_bounded_and_the_oldest_goes_first():
     suspects = made()
     for number in range(MAX_SUSPECTS + 5):
-        suspects.ended(f"f{number}", "i-1")
+        suspects.record_crash(f"f{number}", "i-1")
     assert suspects.count == MAX_SUSPECTS
     assert "f0" not in {each.fingerprint for each in suspects.all()}
 
@@ -162,7 +162,7 @@
     suspects = made()
     for number in range(200):
         end(suspects, 5, f"f{number}")
-    told = list(suspects.news())
+    told = list(suspects.updates())
     assert 0 < sum(len(news.ends) for news in told) <= MAX_CRASHES_PER_HEARTBEAT
 
 
@@ -182,9 +182,9 @@
     one, other, third = made(), made(), made()
     for each in (one, other, third):
         each.on_quarantine(caught.append)
-    one.ended("f", "i-1", "two", "s1")
-    other.ended("f", "i-2", "two", "s1")
-    other.ended("f", "i-3", "two", "s1")
+    one.record_crash("f", "i-1", "two", "s1")
+    other.record_crash("f", "i-2", "two", "s1")
+    other.record_crash("f", "i-3", "two", "s1")
     tell(one, other)
     tell(other, one)
     tell(other, third)
@@ -213,7 +213,7 @@
 def test_told_time_is_bounded():
     clock = ManualClock()
     suspects = made(clock)
-    suspects.told(SuspectUpdate("f", float("inf"), LIVES[:3], []))
+    suspects.merge(SuspectUpdate("f", float("inf"), LIVES[:3], []))
     assert suspects.refused_until("f") == clock.now() + QUARANTINE_SECONDS
 
 
@@ -271,12 +271,12 @@
 
     @rule(vm=st.integers(0, 2), life=st.sampled_from(LIVES))
     def see_end(self, vm, life):
-        self.vms[vm].ended("f", life)
+        self.vms[vm].record_crash("f", life)
         self.seen.add(life)
 
     @rule(vm=st.integers(0, 2))
     def answer(self, vm):
-        self.vms[vm].answered("f")
+        self.vms[vm].record_response("f")
         self.answered = True
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
@@ -330,9 +330,9 @@
     """Checksums of 1 and 2, and of 0 and 3, came to the same: neither told."""
     one, other = made(), made()
     for life in ("i-1", "i-2"):
-        one.ended("f", life)
+        one.record_crash("f", life)
     for life in ("i-0", "i-3"):
-        other.ended("f", life)
+        other.record_crash("f", life)
     assert one.digest != other.digest
 
 
@@ -340,8 +340,8 @@
     """Each kept those that it had learned first, and told the others for ever."""
     one, other = made(), made()
     for number in range(MAX_CRASHES):
-        one.ended("f", f"i-{number}")
-        other.ended("f", f"j-{number}")
+        one.record_crash("f", f"i-{number}")
+        other.record_crash("f", f"j-{number}")
     tell(one, other)
     tell(other, one)
     (here,), (there,) = one.all(), other.all()
@@ -353,7 +353,7 @@
     rng = random.Random(5)
     vms = [made() for _ in range(4)]
     for number in range(40):
-        rng.choice(vms).ended(f"f{number % 7}", rng.choice(LIVES))
+        rng.choice(vms).record_crash(f"f{number % 7}", rng.choice(LIVES))
     for _ in range(60):
         tell(*rng.sample(vms, 2))
     for sender in vms:
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -153,7 +153,7 @@
     request.give_up_at = request.deadline
 
     async def main():
-        use = target.take(parts.clock.now())
+        use = target.claim(parts.clock.now())
         task = await spawn(local.run, request, (), (), request.deadline)
         await sleep(0)
         parts.clock.time += 2.0
--- a/tests/test_target_incarnations.py
+++ b/tests/test_target_incarnations.py
@@ -91,7 +91,7 @@
 def test_nothing_known_of_the_incarnation_before_is_held_against_the_next():
     parts = Parts([entry("t1", slots=2, started_ms=1000)])
     former = parts.ledger.get("t1")
-    use = former.take(parts.clock.now())
+    use = former.claim(parts.clock.now())
     former.health.eject(parts.clock.now())
     parts.registry.update([entry("t1", slots=2, started_ms=2000)], [])
     target = parts.ledger.get("t1")
@@ -102,7 +102,7 @@
 
 def test_requests_under_way_count_on_while_the_target_lives():
     parts = Parts([entry("t1", slots=2, started_ms=1000)])
-    parts.ledger.get("t1").take(parts.clock.now())
+    parts.ledger.get("t1").claim(parts.clock.now())
     parts.registry.update([entry("t1", slots=2, started_ms=1000, cold=1.0)], [])
     assert parts.ledger.get("t1").free(parts.clock.now()) == 1
 
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -49,7 +49,7 @@
     def take_all(self):
         for target in self.parts.ledger.all():
             while target.free(self.now):
-                target.take(self.now)
+                target.claim(self.now)
 
 
 def ids(candidates):
@@ -84,7 +84,7 @@
     scene = Scene()
     (far,) = scene.region("south").candidates
     scene.report(1)
-    far.capacity.take()
+    far.capacity.reserve()
     assert far.capacity.free(scene.now) == 0
     far.capacity.release()
     assert far.capacity.free(scene.now) == 1
@@ -102,9 +102,9 @@
 def test_reports_of_vms_that_are_gone_are_dropped():
     scene = Scene()
     scene.rooms.report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
-    scene.rooms.keep({"vm-3"})
+    scene.rooms.retain({"vm-3"})
     assert scene.rooms.waits("vm-3", "s1").early == 0.2
-    scene.rooms.keep({"vm-4"})
+    scene.rooms.retain({"vm-4"})
     assert scene.rooms.waits("vm-3", "s1") is None
     assert scene.rooms.loss_rate("vm-3", "s1") is None
 
@@ -199,9 +199,9 @@
     scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
     scene.rooms.report("vm-3", [], [], [["s1", 0.2]])
     scene.rooms.report("vm-4", [], [], [["s1", 0.6]])
-    assert losses.of("south", "s1") == pytest.approx(0.4)
-    assert losses.of("north", "s1") == 0.0
+    assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
+    assert losses.loss_rate("north", "s1") == 0.0
     scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
     scene.parts.clock.time += CACHE_TTL_SECONDS
-    assert losses.of("south", "s1") == pytest.approx(0.4)
-    assert losses.of("nowhere", "s1") == 1.0
+    assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
+    assert losses.loss_rate("nowhere", "s1") == 1.0
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -86,7 +86,7 @@
             waits = self.queue.waits(
                 SLOTS, now, self.queue.count_late_before(made, now)
             )
-            wait = waits.of(made, now, self.queue.mean_hold_seconds)
+            wait = waits.for_call(made, now, self.queue.mean_hold_seconds)
             if now + wait > made.give_up_at + WAIT_TOLERANCE_SECONDS:
                 self.outcomes.refused.append(0.0)
                 return
@@ -105,7 +105,7 @@
             if chosen is None:
                 return
             self.queue.waiters.remove(chosen)
-            use = self.target.take(now)
+            use = self.target.claim(now)
             self.number += 1
             heappush(self.ends, (now + WORK, self.number, use, chosen.call))
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -208,7 +208,7 @@
     Mutation(
         "SHIFT-homes",
         f"{STEERING}/request/estimates.py",
-        "self._response_times.known(route.name)",
+        "self._response_times.at_known_object(route.name)",
         "self._response_times.at_affinity_target(route.name)",
         "tests/test_object_homes.py",
     ),
@@ -566,7 +566,7 @@
         "HANDOVER-owner-before",
         f"{STEERING}/process/capacity/slots.py",
         "            self._held.add_target(target_id, "
-        "self._owners.before(target_id))\n",
+        "self._owners.previous_owner_of(target_id))\n",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -772,7 +772,7 @@
     Mutation(
         "QUARANTINE-store",
         f"{STEERING}/process/node.py",
-        "self._suspects.on_quarantine(self._quarantines.keep)",
+        "self._suspects.on_quarantine(self._quarantines.enqueue)",
         "pass",
         "tests/test_crashing_requests.py",
         "-k",
