--- a/src/heathercleat/steering/process/capacity/health.py
+++ b/src/heathercleat/steering/process/capacity/health.py
@@ -1,36 +1,39 @@
-"""What the answers of an owned target say about it."""
+"""Outlier detection and ejection of an owned target."""
 
 from random import uniform
 
 from heathercleat.process.clock import DISTANT_PAST
 
-#: Weight of the newest answer in the means.
+#: Weight of the newest response in the moving averages.
 LATENCY_WEIGHT = 0.15
 FAILURE_WEIGHT = 0.2
-#: Share of failed answers above which a target rests; four failures in a row reach it.
+#: Failure rate from which a target is ejected; four failures in a row reach it.
 EJECTION_FAILURE_RATE = 0.55
-#: Seconds of the first and the longest rest; it doubles from one to the next.
+#: Seconds of the first and of the longest ejection; each one doubles the last.
 INITIAL_EJECTION_SECONDS = 0.5
 MAX_EJECTION_SECONDS = 4.0
-#: A target is silent when its oldest request has run so many times as long as its
-#: usual answer, and so many seconds at least.
+#: A target is unresponsive once its oldest request has run for this multiple of the
+#: mean latency, and for at least this many seconds.
 UNRESPONSIVE_FACTOR = 5.0
 MIN_UNRESPONSIVE_SECONDS = 0.9
-#: A target is slow when its answers take so many times as long as the median of the
-#: others of its service, and so many seconds longer.
+#: A target is slow if its latency exceeds this multiple of the median of its service by
+#: more than this many seconds.
 SLOW_FACTOR = 2.5
 MIN_SLOW_EXCESS_SECONDS = 0.05
 
 
 class TargetHealth:
-    """Means over a target's answers, and its rests; latency in seconds."""
+    """Moving averages over a target's responses, and its ejections.
+
+    Works as a circuit breaker: after an ejection a single request probes the target.
+    """
 
     __slots__ = (
         "latency",
         "failure_rate",
         "ejected_at",
         "ejected_until",
-        "rests",
+        "ejection_count",
         "is_half_open",
     )
 
@@ -39,31 +42,32 @@
         self.failure_rate = 0.0
         self.ejected_at = DISTANT_PAST
         self.ejected_until = 0.0
-        self.rests = 0
+        self.ejection_count = 0
         self.is_half_open = False
 
-    def succeeded(self, seconds):
-        """Note a whole answer that took ``seconds``."""
+    def record_success(self, seconds):
+        """Record a complete response that took ``seconds``."""
         weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
         self.failure_rate -= FAILURE_WEIGHT * self.failure_rate
         if self.is_half_open:
             self.is_half_open = False
             self.failure_rate = 0.0
-        self.rests = max(0, self.rests - 1)
+        self.ejection_count = max(0, self.ejection_count - 1)
 
     def predates_ejection(self, started_at):
-        """Return whether a failure tells nothing new: it began before the rest.
+        """Return whether a request was sent before the last ejection.
 
-        Four requests that were cut at once made a rest of 4 s out of one of 0.5 s.
+        Its failure is not counted again: requests that are cut together must not
+        extend the ejection.
         """
         return started_at <= self.ejected_at
 
     def record_failure(self, now, started_at, may_eject=True):
-        """Note a refused, broken or failed answer; return whether a rest begins.
+        """Record a failed request; return whether the target is ejected for it.
 
         :param started_at: instant at which the request was sent.
-        :param may_eject: whether others of its service can do its work.
+        :param may_eject: whether enough other targets of the service are available.
         """
         if self.predates_ejection(started_at):
             return False
@@ -77,18 +81,20 @@
         return True
 
     def eject(self, now):
-        """Take the target out for a while; then one request tries it."""
+        """Eject the target for a jittered time; then one request probes it."""
         self.ejected_at = now
-        length = min(MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.rests)
+        length = min(
+            MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.ejection_count
+        )
         self.ejected_until = now + uniform(0.8, 1.2) * length
-        self.rests += 1
+        self.ejection_count += 1
         self.is_half_open = True
 
     def is_unresponsive(self, now, oldest_start):
-        """Return whether the request begun at ``oldest_start`` waits for too long."""
+        """Return whether the request sent at ``oldest_start`` has run for too long."""
         patience = max(MIN_UNRESPONSIVE_SECONDS, UNRESPONSIVE_FACTOR * self.latency)
         return now - oldest_start > patience
 
     def is_slow(self, median):
-        """Return whether its answers take much longer than the ``median`` target's."""
+        """Return whether its latency is well above the ``median`` of its service."""
         return self.latency > SLOW_FACTOR * median + MIN_SLOW_EXCESS_SECONDS
--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -1,25 +1,24 @@
-"""How long targets take for the requests of each route."""
+"""Response times of targets, by route."""
 
 from collections import deque
 
 from heathercleat.steering.process.moving_average import update_moving_average
 
-#: Weight of the newest answer in the means.
+#: Weight of the newest response in the moving averages.
 WEIGHT = 0.05
-#: Answers of homes that are remembered for each route, and after how many new ones the
-#: time of a known object is worked out again.
+#: Most responses of affinity targets remembered for each route, and the number of new
+#: ones after which the time for a known object is computed again.
 MAX_SAMPLES = 100
 RECOMPUTE_INTERVAL = 20
-#: Place of that time among the remembered ones: objects that are learned take three
-#: times as long, and are most of the first answers. With 450 objects or fewer in
-#: reach a tenth of the first 100 requests are for known ones.
+#: Quantile of the remembered times that is taken for a known object; low, since most
+#: of the first requests are for new objects, which take longer.
 KNOWN_OBJECT_QUANTILE = 0.1
 
 
 class ResponseTimes:
-    """Mean seconds from sending a request to its whole answer, by route.
+    """Mean seconds from sending a request to its complete response, by route.
 
-    Targets that know the object of a request take less time than others.
+    The affinity target of a request takes less time than other targets.
     """
 
     def __init__(self):
@@ -28,40 +27,40 @@
         self._other = {}
         self._known = {}
 
-    def observe(self, route, seconds, home):
-        """Take the time of one answer.
+    def record(self, route, seconds, home):
+        """Record the time of one response.
 
-        :param home: whether the target is one that gets the requests for the object.
+        :param home: whether the target is an affinity target of the request.
         """
         if home:
-            self._known.setdefault(route, _KnownTime()).observe(seconds)
+            self._known.setdefault(route, _KnownTime()).record(seconds)
         parts = self._home if home else self._other
         update_moving_average(self._means, route, seconds, WEIGHT)
         update_moving_average(parts, route, seconds, WEIGHT)
 
-    def of(self, route):
-        """Return the mean of a route; 0 before the first answer."""
+    def mean(self, route):
+        """Return the mean of a route, 0 before the first response."""
         return self._means.get(route, 0.0)
 
     def at_affinity_target(self, route):
-        """Return the mean at targets that get the requests for the object."""
+        """Return the mean at affinity targets, 0 before the first response."""
         return self._home.get(route, 0.0)
 
-    def known(self, route):
-        """Return the time for a known object at its home.
+    def at_known_object(self, route):
+        """Return the time for a known object at its affinity target, in seconds.
 
-        ``None`` until enough answers have come to tell it from objects being learned.
+        ``None`` until enough responses are recorded.
         """
         known = self._known.get(route)
         return known.seconds if known else None
 
-    def elsewhere(self, route):
-        """Return the mean at other targets."""
+    def at_other_target(self, route):
+        """Return the mean at other targets, 0 before the first response."""
         return self._other.get(route, 0.0)
 
 
 class _KnownTime:
-    """The time that a route's homes take for objects that they know."""
+    """The time that affinity targets of a route take for known objects."""
 
     __slots__ = ("seconds", "_latest", "_new")
 
@@ -70,8 +69,8 @@
         self._latest = deque(maxlen=MAX_SAMPLES)
         self._new = 0
 
-    def observe(self, seconds):
-        """Take the time of one answer of a home."""
+    def record(self, seconds):
+        """Record the time of one response of an affinity target."""
         self._latest.append(seconds)
         self._new += 1
         if len(self._latest) == MAX_SAMPLES and self._new >= RECOMPUTE_INTERVAL:
