--- a/src/heathercleat/steering/__init__.py
+++ b/src/heathercleat/steering/__init__.py
@@ -1,1 +1,1 @@
-"""Steering of requests to targets that come and go by service discovery."""
+"""Request steering with targets found by service discovery."""
--- a/src/heathercleat/steering/connection/__init__.py
+++ b/src/heathercleat/steering/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection."""
+"""Objects with the lifetime of one connection."""
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -1,4 +1,4 @@
-"""Connections of clients."""
+"""Serves connections of clients."""
 
 import h11
 from curio import CancelledError, ignore_after
@@ -17,14 +17,12 @@
 from heathercleat.steering.connection.pipeline import Pipeline, Turn
 from heathercleat.steering.connection.reading import CallReader
 
-#: Seconds and bytes for which what a client still sends is read after the last answer.
+#: Limits on reading and dropping what a client sends after the last response.
 LINGER_SECONDS = 0.5
 LINGER_BYTES = 8 << 20
-#: Requests of one connection that are served at the same time: an estimate. Each may
-#: take a slot of a target, so that one client could take all of a small service.
+#: Limit per connection, so that one client cannot occupy all slots of a small service.
 MOST_AHEAD = 8
-#: Methods whose requests change nothing: RFC 9112, section 9.3.2, lets a server run
-#: several at the same time.
+#: Safe methods, which may be served concurrently; see RFC 9112, section 9.3.2.
 _SAFE_METHODS = (b"GET", b"HEAD")
 
 
@@ -32,7 +30,7 @@
     """One connection of a client.
 
     :param sock: the accepted curio socket.
-    :param node: the process: routing table, steering, leavers, bodies and journal.
+    :param node: the :class:`SteeringNode`.
     """
 
     def __init__(self, sock, node):
@@ -46,21 +44,21 @@
 
     @property
     def busy(self):
-        """Return whether a request is under way or has begun to arrive."""
+        """Return whether a request is being read or served."""
         return self._reading or self._pipeline.busy
 
     def close_idle(self):
-        """End the connection if no request is under way."""
+        """Close the connection if it is not busy."""
         if not self.busy:
             self._closed = True
             self._abort()
 
     async def give_up_blocking(self):
-        """Give up the requests that keep ready answers from being sent."""
+        """Cancel the requests that block ready responses; used at shutdown."""
         await self._pipeline.give_up_blocking()
 
     async def serve(self):
-        """Read requests and have them served until either side closes."""
+        """Read and serve requests until either side closes."""
         try:
             while await self._read_next():
                 self._reading = False
@@ -79,7 +77,7 @@
         self._pipeline.check()
 
     async def _read_next(self):
-        """Read a request and begin to serve it; return whether another may come."""
+        """Read a request and start to serve it; return whether to read another."""
         await self._pipeline.make_room()
         head = await self._read_head()
         if head is None:
@@ -95,7 +93,7 @@
         return goes_on
 
     async def _follow(self):
-        """Go on to the next request; return whether the connection can take one."""
+        """Switch to the next request; return whether the connection allows one."""
         if not self._stream.request_complete:
             await self._linger()
             return False
@@ -106,12 +104,12 @@
         return True
 
     async def _linger(self):
-        """Read and drop what the client sends before it sees the end."""
+        """Read and drop data so that closing does not reset the connection."""
         async with ignore_after(LINGER_SECONDS):
             await self._stream.linger(LINGER_BYTES)
 
     async def _serve(self, turn):
-        """Serve a request to its end."""
+        """Steer a request and send the response."""
         call = None
         try:
             call = await self._reader.read(turn)
@@ -131,7 +129,7 @@
     async def _steer(self, turn, call):
         """Return the :class:`Answer` to a call.
 
-        :raises RequestError: also when it is given up for the answers behind it.
+        :raises RequestError: also if the request is cancelled because it blocks others.
         """
         with self._node.leavers.watch(call):
             try:
@@ -143,14 +141,14 @@
                 raise RequestError(ResultCode.ANSWER_LOST, message) from None
 
     async def _read_head(self):
-        """Return the head of the next request, or ``None`` to close."""
+        """Return the next :class:`h11.Request`, or ``None`` to close."""
         if not self._stream.head_begun and not await self._wait_for_bytes():
             return None
         if self._clock.now() >= self._node.departure.keeps_until:
-            # The last of the answers that are due closes the connection.
+            # The last pending response closes the connection.
             await self._pipeline.drain()
         if self._closed:
-            # Bytes that came before the close are still read after it.
+            # Data received before the close may still be buffered.
             return None
         self._reading = True
         head_until = self._clock.now() + self._node.limits.header_timeout
@@ -167,7 +165,7 @@
         return event if is_request else None
 
     async def _wait_for_bytes(self):
-        """Wait for the next request; return whether a part of it arrived."""
+        """Wait for data; return whether any arrived before the idle timeout."""
         while True:
             idle_until = self._clock.now() + self._node.limits.idle_timeout
             try:
@@ -178,13 +176,13 @@
                     return False
 
     async def _refuse_head(self, error):
-        """Send the final answer to a request whose head could not be read."""
+        """Send the refusal of a request whose head could not be read."""
         await self._pipeline.drain()
         self._node.record.refused(None, error, self._clock.now())
         await self._refuse(Turn(self._stream, None, self._clock.now()), error)
 
     async def _refuse(self, turn, error):
-        """Send the final answer for an error."""
+        """Send the response for a :class:`RequestError`."""
         if not turn.stream.can_answer:
             self._abort()
             return
@@ -198,14 +196,13 @@
         await self._send(turn, error.code.status, headers, body)
 
     async def _send(self, turn, status, headers, body):
-        """Send an answer when its turn has come."""
+        """Send a response after those to earlier requests."""
         await turn.come()
         headers = [*headers, (b"content-length", str(len(body)).encode())]
         closes = self._node.leaving and self._pipeline.is_last(turn)
         if closes and (b"connection", b"close") not in headers:
             headers.append((b"connection", b"close"))
-        # Requests that were not read before the close were not taken: the client may
-        # send them again.
+        # The client may repeat requests that were not read before the close.
         self._closed = self._closed or closes
         events = [h11.Response(status_code=status, headers=headers)]
         if body:
@@ -220,7 +217,7 @@
 
 
 def _may_overlap(head):
-    """Return whether a request may be served beside others of its connection."""
+    """Return whether a request may be served concurrently; it must have no body."""
     if head.method not in _SAFE_METHODS:
         return False
     headers = list(head.headers)
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -1,4 +1,4 @@
-"""Connections of other VMs, which forward requests and ask for tables."""
+"""Serves connections of other VMs, for forwarded requests and store tables."""
 
 import zlib
 
@@ -16,14 +16,12 @@
     result_header,
 )
 
-#: Path of a call for a table; its name and the version after which changes are wanted
-#: follow.
+#: Path prefix of table requests; the table name and a version follow.
 STATE_PATH = b"/state/"
 MAX_BODY_BYTES = 256 << 20
-#: Level of compression of tables: entries of targets are alike, and shrink to an eighth
-#: at the fastest one.
+#: The fastest zlib compression level.
 FAST = 1
-#: Status of an answer that carries a result without a target's answer.
+#: Status of a result that carries no response of a target.
 _NO_ANSWER = 200
 
 
@@ -31,9 +29,9 @@
     """One connection of another VM.
 
     :param sock: the accepted curio socket.
-    :param local: tries requests at own targets.
-    :param leavers: watches for callers that leave.
-    :param snapshot: returns the :class:`Snapshot` of what changed in a table since a
+    :param local: the :class:`LocalTry`.
+    :param leavers: the :class:`Leavers`, which detects disconnects.
+    :param snapshot: function that returns the :class:`Snapshot` of a table since a
         version.
     """
 
@@ -45,7 +43,7 @@
         self._clock = clock
 
     async def serve(self):
-        """Serve requests one after the other until either side closes."""
+        """Serve requests one at a time until either side closes."""
         try:
             while await self._serve_next():
                 pass
@@ -56,7 +54,7 @@
         head = await self._stream.next_event()
         if not isinstance(head, h11.Request):
             return False
-        # What the order tells counts from its sending, not from the end of its body.
+        # Durations in the order start when it was sent, not when its body has arrived.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH):
@@ -75,7 +73,7 @@
         passed = [each for each in end_to_end(headers) if each[0] != b"content-length"]
         call = call_of(order, head, passed, body, self._stream, arrived_at)
         until = arrived_at + order.wait_for
-        # The VM does not end before its answer to the other VM is sent.
+        # Shutdown waits for watched calls, so the result is sent before the VM stops.
         with self._leavers.watch(call):
             avoid = frozenset(order.avoid)
             result = await self._local.run(call, order.preferred, avoid, until)
@@ -100,21 +98,24 @@
 
 
 def state_path(table, after):
-    """Return the path of a call for what changed in a table since a version."""
+    """Return the path of a request for the changes of a table since a version.
+
+    :param after: the version; see :func:`read_state_path`.
+    """
     return f"{STATE_PATH.decode()}{table}/{after}"
 
 
 def read_state_path(path):
-    """Return the name of the table and the version in the path of a call.
+    """Return the table name and the version in the path of a table request.
 
-    :raises ValueError: when it names none.
+    :raises ValueError: if the version is not a number.
     """
     table, _, after = path.removeprefix(STATE_PATH).decode().rpartition("/")
     return table, int(after)
 
 
 def pack_state(snapshot):
-    """Return the bytes of a :class:`Snapshot` on the wire."""
+    """Encode a :class:`Snapshot` as compressed msgpack."""
     rows = [[row.key, row.value, row.version] for row in snapshot.rows]
     fields = [
         snapshot.version,
@@ -127,9 +128,9 @@
 
 
 def read_state(body):
-    """Return the :class:`Snapshot` in an answer for a table.
+    """Decode the :class:`Snapshot` in a response body.
 
-    :raises ValueError: when it does not decode.
+    :raises ValueError: if it cannot be decoded.
     """
     try:
         packed = zlib.decompress(body)
--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -1,4 +1,4 @@
-"""Requests of one connection that are served at the same time and answered in order."""
+"""Serves pipelined requests concurrently and sends the responses in order."""
 
 from collections import deque
 from contextlib import asynccontextmanager
@@ -11,12 +11,12 @@
 
 
 class Turn:
-    """One request's place in the order of answers.
+    """One request of a connection, and its position in the order of responses.
 
-    :param stream: the :class:`HttpStream` that its answer is sent on.
+    :param stream: the :class:`HttpStream` for the response.
     :param head: the :class:`h11.Request`.
-    :param arrived_at: when its head was read.
-    :param body: its whole body, or ``None`` while it is not read.
+    :param arrived_at: when the head was read.
+    :param body: the complete body, or ``None`` before it was read.
     """
 
     __slots__ = (
@@ -38,23 +38,24 @@
         self.head = head
         self.arrived_at = arrived_at
         self.body = body
-        #: Bytes of memory held for its body.
+        #: Bytes of memory reserved for the body.
         self.held = 0
-        #: The turn whose answer goes first, or ``None``.
+        #: The preceding request while its response is pending, or ``None``.
         self.before = None
-        #: Whether there is an answer, and whether it was given up for those behind it.
+        #: Whether the response is ready, and whether the request was cancelled because it
+        #: blocks later responses.
         self.ready = False
         self.given_up = False
-        #: Whether its answer was sent, and what tells that it was or will not be.
+        #: Whether the response was sent, and the event set once it was sent or failed.
         self.sent = False
         self.over = Signal()
         self.task = None
 
     async def come(self):
-        """Wait until every answer before this one was sent.
+        """Wait until the responses to all preceding requests were sent.
 
-        :raises EOFError: when one will not be sent: the client would take this answer
-            for that one.
+        :raises EOFError: if one of them failed, since the client would take this
+            response for the missing one.
         """
         self.ready = True
         if self.before is None:
@@ -66,13 +67,10 @@
 
 
 class Pipeline:
-    """The requests of a connection that were read and are not answered yet.
+    """The pending requests of a connection.
 
-    A client may send safe requests without waiting for the answers. Served one after
-    the other, the second of two that take 1 s each is answered after 2 s.
-
-    :param most: requests at most; the next ones stay unread.
-    :param abort: ends the connection, after a request that could not be answered.
+    :param most: limit of pending requests; later ones are not read.
+    :param abort: function that aborts the connection after a failed request.
     """
 
     def __init__(self, most, abort):
@@ -84,37 +82,37 @@
 
     @property
     def busy(self):
-        """Return whether a request waits for its answer."""
+        """Return whether a response is pending."""
         return bool(self._turns)
 
     def is_last(self, turn):
-        """Return whether no request was read after that of a turn."""
+        """Return whether no later request was read."""
         if self._alone is not None:
             return self._alone is turn
         return not self._turns or self._turns[-1] is turn
 
     def check(self):
-        """Raise the unexpected error of a request, if there was one."""
+        """Raise the unexpected error of a request task, if there was one."""
         if self._failure is not None:
             raise self._failure
 
     async def start(self, turn, serve):
-        """Serve a request beside those before it.
+        """Serve a request concurrently with the pending ones.
 
-        :param serve: a coroutine that serves the :class:`Turn` to its end.
+        :param serve: coroutine function that serves a :class:`Turn`.
         """
         turn.before = self._turns[-1] if self._turns else None
         self._turns.append(turn)
         turn.task = await spawn(self._run, turn, serve, daemon=True)
 
     async def make_room(self):
-        """Wait until another request may be read."""
+        """Wait until the number of pending requests is below the limit."""
         while len(self._turns) >= self._most:
             await self._turns[0].over.wait()
 
     @asynccontextmanager
     async def alone(self, turn):
-        """Wait for the others, and serve a request that was read in the block."""
+        """Wait for the pending requests; the block then serves this one alone."""
         self._alone = turn
         try:
             await self.drain()
@@ -123,14 +121,14 @@
             self._alone = None
 
     async def drain(self):
-        """Wait until every request was answered or failed."""
+        """Wait until no request is pending."""
         while self._turns:
             await self._turns[0].over.wait()
 
     async def give_up_blocking(self):
-        """Give up the requests whose answers are waited for by others that are ready.
+        """Cancel the requests that block ready responses.
 
-        A process that ends would lose the ready ones with them.
+        Otherwise the ready responses would be lost when the process exits.
         """
         turns = list(self._turns)
         while turns and not turns[-1].ready:
@@ -141,7 +139,7 @@
                 await turn.task.cancel(blocking=False)
 
     async def cancel(self):
-        """End every request under way."""
+        """Cancel all pending requests."""
         for turn in list(self._turns):
             await turn.task.cancel()
 
@@ -154,7 +152,7 @@
             self._abort()
             raise
         except Exception as error:  # noqa: BLE001
-            # The connection's own task raises it, for the log.
+            # Raised by check() in the task of the connection, for the log.
             self._failure = error
             self._abort()
         finally:
--- a/src/heathercleat/steering/connection/reading.py
+++ b/src/heathercleat/steering/connection/reading.py
@@ -1,4 +1,4 @@
-"""Reading a client's request: its route, its body, and what it asks for."""
+"""Reads client requests and matches them to routes."""
 
 from secrets import token_hex
 
@@ -14,18 +14,17 @@
 from heathercleat.steering.request.fingerprint import fingerprint
 
 ID_BYTES = 8
-#: Seconds after which a refused client is welcome, where nothing else is known.
+#: Seconds after which a refused client may retry, if there is no better estimate.
 UNKNOWN_RETURN = 0.3
-#: Seconds for which a request waits at a process that has just started: it knows its
-#: configuration and its targets 0.2 to 0.25 s after its start.
+#: Seconds for which a request waits for the configuration and targets after a start.
 START_PATIENCE = 0.25
 START_POLL = 0.01
 
 
 class CallReader:
-    """Reads requests whose heads have been read.
+    """Builds a :class:`Call` from a request whose head was read.
 
-    :param node: the process: routing table, departure, repeats and bodies.
+    :param node: the :class:`SteeringNode`.
     """
 
     def __init__(self, node):
@@ -33,10 +32,10 @@
         self._clock = node.clock
 
     async def read(self, turn):
-        """Read the rest of a request and return its :class:`Call`.
+        """Read the body of a request and return its :class:`Call`.
 
-        :param turn: its :class:`Turn`, which takes the body and the memory held.
-        :raises RequestError: with the final answer, when it cannot be served.
+        :param turn: the :class:`Turn`; its body and reserved memory are updated.
+        :raises RequestError: with the refusal to send, if it cannot be served.
         """
         head, arrived_at = turn.head, turn.arrived_at
         headers = list(head.headers)
@@ -63,8 +62,8 @@
         if turn.body is None:
             turn.body = await self._read_body(turn, headers, call.deadline)
         call.body = turn.body
-        # The aim counts from the first attempt: what is late already leaves the slots
-        # to those that are not.
+        # The latency objective counts from the first attempt of the client, so that
+        # late requests leave the slots to those in time.
         elapsed = self._node.repeats.elapsed(route.name, client.wait)
         call.aim_at = arrived_at + route.latency_aim - elapsed
         call.returned = elapsed > 0.0
@@ -74,7 +73,7 @@
         return call
 
     async def _wait_for_start(self, until):
-        """Wait for the configuration and the targets, an instant at most."""
+        """Wait until the configuration and the targets are known, or ``until``."""
         while not self._node.started and self._clock.now() < until:
             await sleep(START_POLL)
 
@@ -101,7 +100,7 @@
         try:
             reading = read_body(turn.stream, limit)
             body = await before(deadline, self._clock, reading)
-            # A body in chunks tells its length only now.
+            # The length of a chunked body is only known now.
             self._hold(turn, len(body) - turn.held)
             return body
         except ValueError as error:
@@ -113,9 +112,9 @@
             raise RequestError(ResultCode.BAD_REQUEST, str(error)) from None
 
     def _hold(self, turn, size):
-        """Hold memory for a body.
+        """Reserve memory for a body.
 
-        :raises RequestError: when other bodies have taken it.
+        :raises RequestError: if other bodies have reserved it.
         """
         if size <= 0:
             return
--- a/src/heathercleat/steering/request/__init__.py
+++ b/src/heathercleat/steering/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Objects with the lifetime of one request."""
--- a/src/heathercleat/steering/request/answer.py
+++ b/src/heathercleat/steering/request/answer.py
@@ -1,19 +1,19 @@
-"""Answers, and how a try at a request ended."""
+"""Responses of targets and results of attempts to send a request."""
 
 from enum import Enum
 
 
 class AnswerHead:
-    """What the headers of a target's answer tell.
-
-    :param signed: whether the target vouches for the answer.
-    :param not_run: whether the target says that it has not run the request.
-    :param replaced: whether another incarnation answered in the target's place.
-    :param promises: whether the status tells a client that its request has not run.
-    :param encoded: whether the body is not as the target made it.
-    :param running: requests under way at the target, or ``None``.
-    :param waiting: requests that wait at the target, or ``None``.
-    :param keep_for: seconds for which the target keeps the connection, or ``None``.
+    """Parsed headers of a target's response.
+
+    :param signed: whether the target itself has signed the response.
+    :param not_run: whether the target reports that it has not run the request.
+    :param replaced: whether another incarnation responded at the target's address.
+    :param promises: whether the status implies that the request has not run.
+    :param encoded: whether a content encoding was applied to the body.
+    :param running: number of requests running at the target, or ``None``.
+    :param waiting: number of requests queued at the target, or ``None``.
+    :param keep_for: keep-alive time of the connection in seconds, or ``None``.
     """
 
     __slots__ = (
@@ -41,7 +41,7 @@
 
 
 class Answer:
-    """A whole answer; ``headers`` are pairs of bytes, without hop-by-hop ones."""
+    """A complete response; ``headers`` are pairs of bytes, without hop-by-hop ones."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -51,13 +51,13 @@
         self.body = body
 
 
-#: Why a try sent nothing, where the request would be late for its deadline.
+#: Reason of an unsent attempt: no slot would be free before the deadline.
 NO_SLOT_IN_TIME = "no slot in time"
-#: The same where the client left before.
+#: Reason of an unsent attempt: the client disconnected.
 CLIENT_LEFT = "client left"
-#: The same where its deadline passed before.
+#: Reason of an attempt that the deadline ended.
 DEADLINE = "deadline"
-#: The same where targets end under the request; see :class:`Suspects`.
+#: Reason of an unsent attempt: targets crash on the request; see :class:`Suspects`.
 QUARANTINED = "quarantined"
 
 
@@ -65,36 +65,36 @@
 
 
 class End(Enum):
-    """How a try ended."""
+    """Outcome of an attempt."""
 
-    #: A target's whole answer.
+    #: A target sent a complete response.
     ANSWERED = "answered"
-    #: Nothing was sent: there was no slot, or no connection.
+    #: Nothing was sent, for lack of a slot or a connection.
     NOT_SENT = "not-sent"
-    #: A target refused the request: it has not run.
+    #: A target refused the request without running it.
     REFUSED = "refused"
-    #: The request may have run and there is no usable answer.
+    #: The request may have run, but there is no usable response.
     UNKNOWN = "unknown"
-    #: As ``UNKNOWN``, since the time was up.
+    #: As ``UNKNOWN``, because the deadline passed.
     TIMED_OUT = "timed-out"
 
     @property
     def not_run(self):
-        """Return whether the request certainly has not run."""
+        """Return whether the request is known not to have run."""
         return self in (End.NOT_SENT, End.REFUSED)
 
 
 class TryResult:
-    """The result of one try.
+    """Result of one attempt.
 
     :param end: an :class:`End`.
-    :param answer: the :class:`Answer` when there is one.
-    :param target: id of the target that was tried, or ``None``.
-    :param work: seconds that the target took, or ``None``.
-    :param wait: seconds that another request would wait for a slot, or ``None``.
-    :param reason: what went wrong, for the log.
-    :param ended: the life of the target that ended under the request, or ``None``; see
-        :attr:`TargetEntry.life`.
+    :param answer: the :class:`Answer`, if there is one.
+    :param target: id of the target of the attempt, or ``None``.
+    :param work: response time of the target in seconds, or ``None``.
+    :param wait: estimated wait for a slot in seconds, or ``None``.
+    :param reason: description of the failure, for the log.
+    :param ended: the incarnation of the target that crashed on the request, or
+        ``None``; see :attr:`TargetEntry.life`.
     """
 
     __slots__ = ("end", "answer", "target", "work", "wait", "reason", "ended")
@@ -112,5 +112,5 @@
 
     @property
     def succeeded(self):
-        """Return whether a target answered, and not with a failure of its own."""
+        """Return whether a target responded without a server error."""
         return self.end is End.ANSWERED and self.answer.status < _SERVER_ERROR
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -1,4 +1,4 @@
-"""A client's request on its way to a target."""
+"""State of one client request."""
 
 from typing import Protocol
 
@@ -6,16 +6,16 @@
 
 
 class Interruptible(Protocol):
-    """What a request waits for, and what is to be told when its client leaves."""
+    """A wait that can be interrupted when the client disconnects."""
 
     async def interrupt(self):
         """End the wait."""
 
 
 class StreamCut:
-    """A wait for an answer, which ends with its connection.
+    """A wait for a response, interrupted by closing the upstream connection.
 
-    :param stream: the :class:`HttpStream`.
+    :param stream: the :class:`HttpStream` to the target or the owner.
     """
 
     __slots__ = ("_stream",)
@@ -24,15 +24,15 @@
         self._stream = stream
 
     async def interrupt(self):
-        """Cut the connection."""
+        """Abort the connection."""
         self._stream.abort()
 
 
 class ClientHead:
-    """What the headers of a request tell.
+    """Parsed headers of a client request.
 
-    :param wait: seconds for which the client waits for the answer.
-    :param affinity: names the object that the request is about, or ``None``.
+    :param wait: timeout of the client in seconds.
+    :param affinity: affinity key of the object that is requested, or ``None``.
     """
 
     __slots__ = ("request_id", "wait", "affinity")
@@ -48,31 +48,31 @@
 
     :param path: the request target as bytes, unchanged.
     :param headers: the end-to-end headers, pairs of bytes.
-    :param route: what the caller's VM matched; on the owner's VM a part of it.
-    :param service: name of the service that runs it.
-    :param arrived_at: when its head was read.
-    :param deadline: when the final answer is due.
-    :param aim_at: when the answer should be there.
-    :param patient_until: when it is given up without a slot.
-    :param send_by: until when it may be sent to a target: the VM that took it may end
-        before a later one ends.
-    :param home_until: until when only targets that know its object may run it.
-    :param returned: whether it came back after a refusal.
-    :param affinity: key of the object that it is about, or ``None``.
-    :param client_wait: seconds for which its client waits, as the client says.
-    :param fingerprint: the same for each attempt of a request; see
+    :param route: the matched :class:`Route`, or a :class:`ForwardedRoute` at the owner.
+    :param service: name of the service that runs the request.
+    :param arrived_at: when the head was read.
+    :param deadline: when the final response is due.
+    :param aim_at: latency objective as an instant; a later response counts as late.
+    :param patient_until: when the request stops waiting for a slot.
+    :param send_by: last instant at which the request may be sent to a target; set
+        while the VM shuts down.
+    :param home_until: until when only the affinity targets may run the request.
+    :param returned: whether the client repeats a request that was refused.
+    :param affinity: affinity key of the requested object, or ``None``.
+    :param client_wait: timeout that the client sent, in seconds; ``None`` at the owner.
+    :param fingerprint: equal for all repeats of a request; see
         :mod:`heathercleat.steering.request.fingerprint`.
-    :param sender: what tells its sender from others, ``None`` where nothing does or it
-        did not matter; see :mod:`heathercleat.steering.request.fingerprint`.
-    :param groups: keys of the groups that ends under it are laid to, or ``None`` where
-        that is not known yet; see :class:`Containment`.
-    :param confined: whether targets ended under it, or it is the trial of a group: it
-        runs where an end costs least.
-    :param tries: a line of text for each try so far, for the log.
-    :param trying: the :class:`Place` of the try under way, or ``None``.
-    :param trying_since: when that try began.
-    :param stop_estimate: the :class:`StopEstimate` with which a leaving VM took it, or
-        ``None``.
+    :param sender: digest of the sender's credentials, or ``None`` if there are none or
+        they were not needed; see :mod:`heathercleat.steering.request.fingerprint`.
+    :param groups: keys of the groups that share the blame for a crash, or ``None``
+        before they are determined; see :class:`Containment`.
+    :param confined: whether the request may crash its target, so that it should run on
+        a target without other requests.
+    :param tries: one line of text for each attempt, for the log.
+    :param trying: the :class:`Place` of the current attempt, or ``None``.
+    :param trying_since: when the current attempt began.
+    :param stop_estimate: the :class:`StopEstimate` made when a leaving VM accepted the
+        request, or ``None``.
     """
 
     __slots__ = (
@@ -132,5 +132,5 @@
         self.trying_since = 0.0
         self.stop_estimate = None
         self.left = False
-        #: The :class:`Interruptible` to tell when the client leaves, or ``None``.
+        #: The :class:`Interruptible` for a disconnect of the client, or ``None``.
         self.on_leave = None
--- a/src/heathercleat/steering/request/choice.py
+++ b/src/heathercleat/steering/request/choice.py
@@ -1,20 +1,17 @@
-"""The targets among which the place of one request is chosen."""
+"""Targets that one request may use."""
 
-#: Targets of a region that get the requests for one object while they have room. Each
-#: more one has to learn the object first: with one in place of two, the worth of served
-#: requests rose from 0.27 to 0.28 and from 0.29 to 0.32 on two overloaded days, and
-#: from 0.46 to 0.50 at 80 VMs.
+#: Affinity targets for one object in a region; each one has to cache the object first.
 HOMES_OF_OBJECT = 1
 
 
 class Choice:
-    """What one request may use.
+    """Filters the targets of a service for one request.
 
     :param call: the :class:`Call`.
-    :param regions: the :class:`RegionTargets` of its service by region.
+    :param regions: the :class:`RegionTargets` of the service by region.
     :param own_region: the region of this VM.
-    :param avoid: ids of targets to leave out.
-    :param avoid_vms: names of VMs whose targets to leave out.
+    :param avoid: ids of targets to exclude.
+    :param avoid_vms: names of VMs whose targets to exclude.
     """
 
     __slots__ = (
@@ -38,7 +35,7 @@
 
     @property
     def near(self):
-        """Return the :class:`RegionTargets` of this region, or ``None``."""
+        """Return the :class:`RegionTargets` of this region, ``None`` if not usable."""
         if not self.call.route.allows(self._own_region):
             return None
         return self._regions.get(self._own_region)
@@ -54,11 +51,11 @@
 
     @property
     def waits_for_home(self):
-        """Return whether the request may still wait for the home of its object."""
+        """Return whether the request may still wait for an affinity target."""
         return self.now < self.call.home_until
 
     def usable(self, candidate):
-        """Return whether a candidate may run the request and its owner carry it."""
+        """Return whether the request may use a candidate and its owner."""
         if candidate.entry.id in self._avoid or candidate.owner in self._avoid_vms:
             return False
         region = candidate.owner_region
@@ -66,13 +63,16 @@
 
     @property
     def near_homes(self):
-        """Return the candidates of this region that know the object."""
+        """Return the affinity targets in this region, best first."""
         if self._near_homes is None:
             self._near_homes = self.homes(self.near) if self.near else []
         return self._near_homes
 
     def homes(self, targets, usable=None):
-        """Return the candidates of a region that know the object, the best first."""
+        """Return the affinity targets in a region, best first.
+
+        :param usable: filter for candidates; :meth:`usable` by default.
+        """
         call = self.call
         if call.affinity is None or not call.route.sticky:
             return []
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -1,11 +1,10 @@
-"""What requests may cost others: by themselves, by their sender and as strangers.
-
-The quarantine of one request does not hold a caller that sends another one each time.
-So ends are laid to groups as well, but only where nothing speaks for a request: one
-that a target has answered whole runs on, whatever else its sender sends; and a sender
-that a service answered is no stranger to it. As with requests, a whole answer clears a
-sender of all ends that are known then; one to a stranger says nothing of another, and
-clears strangers of one end. So ends by no request's fault hold nobody who is served.
+"""Limits on requests that crash targets, per request, sender and unknown senders.
+
+Quarantine of single requests does not stop a caller that varies its request. A crash is
+therefore also counted against groups: the sender, and all unknown senders of a service
+and route. A request that has had a complete response belongs to no group, and a sender
+with a complete response is known. A complete response clears a sender of all its
+crashes so far, but clears the group of unknown senders of one crash only.
 """
 
 from heathercleat.codes import ResultCode
@@ -16,17 +15,17 @@
 from heathercleat.steering.request.answer import End
 from heathercleat.steering.request.fingerprint import sender
 
-#: Senders with whole answers that are remembered: about a megabyte.
+#: Remembered senders with complete responses; takes about a megabyte.
 MOST_SENDERS = 8192
-#: Trials that are remembered; those that are over are dropped first.
+#: Remembered trials; expired ones are dropped when the limit is reached.
 MOST_TRIALS = 1024
 
 
 class Trial:
-    """The one request of a group that is under way to see whether it ends its target.
+    """The only request of a limited group that is allowed to run, as a probe.
 
-    :param fingerprint: what tells it from others; a client may give all the same id.
-    :param until: instant at which it is over at the latest.
+    :param fingerprint: identifies the request; a client may reuse request ids.
+    :param until: when the trial expires.
     """
 
     __slots__ = ("fingerprint", "until")
@@ -37,27 +36,26 @@
 
 
 class Containment:
-    """Decides which requests are refused or not repeated since targets end.
+    """Decides which requests to refuse or not to retry because targets crash on them.
 
-    It stands at the VM that a client's request came to: that one sees the answers to a
-    sender, whoever owns the targets.
+    Runs at the VM that received the client's request, since that VM sees all responses
+    to a sender, whichever VM owns the targets.
 
-    :param suspects: the :class:`Suspects`, which VMs share.
+    :param suspects: the :class:`Suspects`, shared between VMs.
     """
 
     def __init__(self, suspects, clock):
         self._suspects = suspects
         self._clock = clock
-        # By service and sender. What a sender sends is first answered as unproven, so
-        # that proven requests need no look at who sent them.
+        # Keyed by service and sender.
         self._senders = AnswerMemory(MOST_SENDERS)
         self._trials = {}
 
     def refusal(self, call):
         """Return the :class:`RequestError` with which to refuse a request, or ``None``.
 
-        To be asked before each try, until one has run. Where the time of a group is
-        over it makes the request the group's trial, if there is none.
+        Call it before each attempt until one has run. Once the limit of a group has
+        expired, the request becomes the trial of the group if there is no other.
         """
         if call.groups is None:
             call.groups = self._groups_of(call)
@@ -75,25 +73,26 @@
         return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=until)
 
     def owners_refusal(self, call):
-        """Return the :class:`RequestError` where the owner of a target refused.
+        """Return the :class:`RequestError` after the owner refused the request.
 
-        It may know of an end before the news of it has come here.
+        The owner may know of a crash that has not reached this VM by gossip.
         """
         until = self._suspects.refused_until(call.fingerprint)
         return _quarantined(call, until or self._clock.now() + QUARANTINE_SECONDS)
 
     def may_go_on(self, call):
-        """Return whether a request may be sent to one more target in one attempt."""
+        """Return whether a request may be retried at another target."""
         keys = (call.fingerprint, *(call.groups or ()))
         return all(self._suspects.may_go_on(key) for key in keys)
 
     def took(self, call, result, is_own):
-        """Take the :class:`TryResult` of a try.
+        """Record the :class:`TryResult` of an attempt.
 
-        What the owner of the target saw is taken at once: its own news of it takes a
-        heartbeat or more.
+        A crash that the owner reports in the result is recorded without waiting for
+        its next heartbeat.
 
-        :param is_own: whether this VM is the owner, which noted it for the request.
+        :param is_own: whether this VM owns the target; it has then recorded the result
+            for the request itself.
         """
         keys = call.groups or ()
         if not is_own:
@@ -109,7 +108,7 @@
             self._end_trials(call)
 
     def _groups_of(self, call):
-        """Return the keys of the groups that ends under a request are laid to."""
+        """Return the keys of the groups that a crash on the request counts against."""
         if self._suspects.was_answered(call.fingerprint):
             return ()
         service, route = call.service, call.route.name
@@ -122,7 +121,7 @@
         return (own,) if is_known else (own, strangers)
 
     def _is_suspected(self, call):
-        """Return whether an end is to be expected of a request more than of others."""
+        """Return whether the request is more likely than others to crash a target."""
         limited = (self._suspects.is_limited(key) for key in call.groups)
         return self._suspects.has_ends(call.fingerprint) or any(limited)
 
@@ -133,10 +132,9 @@
             self._senders.note((call.service, call.sender), self._clock.now())
 
     def _join_trials(self, call):
-        """Make a request the trial of its groups that are limited.
+        """Make a request the trial of its limited groups.
 
-        :return: the instant at which to come back where there is one already, or
-            ``None``.
+        :return: when to retry if another trial is running, or ``None``.
         """
         now = self._clock.now()
         limited = [key for key in call.groups if self._suspects.is_limited(key)]
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -1,13 +1,13 @@
-"""How long a request would wait and take at a place, as far as this VM knows."""
+"""Estimated waits and response times of requests."""
 
 
 class Estimates:
-    """Estimates for the choice of a place; all lengths in seconds.
+    """Estimates for selecting a destination; all durations in seconds.
 
     :param members: the live VMs.
-    :param admission: the waits at own targets.
-    :param rooms: the waits at other owners' targets.
-    :param trip: returns the round trip to a VM.
+    :param admission: the :class:`Admission`, for waits at this VM.
+    :param rooms: the :class:`RoomView`, for waits at other owners.
+    :param trip: function that returns the round-trip time to a VM.
     :param work_times: the :class:`WorkTimes`.
     """
 
@@ -20,14 +20,14 @@
         self._clock = clock
 
     def trip(self, owner):
-        """Return the round trip to an owner."""
+        """Return the round-trip time to an owner."""
         return self._trip(owner)
 
     def wait(self, owner, call):
-        """Return the time for which a request would wait at an owner.
+        """Return how long a request would wait for a slot at an owner.
 
-        ``None`` where the owner has no target in service, 0 where it does not report
-        to this VM.
+        ``None`` if the owner has no target in service, 0 if it does not report to this
+        VM.
         """
         if owner == self._members.own.vm:
             return self._admission.wait_of(call)
@@ -37,7 +37,7 @@
         return waits and waits.of(call, self._clock.now(), self.work(call, True))
 
     def shortest_wait(self, targets, call):
-        """Return the shortest known wait at the owners of a region, or ``None``.
+        """Return the shortest reported wait at the owners of a region, or ``None``.
 
         :param targets: the :class:`RegionTargets`.
         """
@@ -50,17 +50,20 @@
         return min((each for each in waits if each is not None), default=None)
 
     def work(self, call, is_home):
-        """Return how long a target takes that knows the object, or does not."""
+        """Return the mean response time.
+
+        :param is_home: whether the target is an affinity target of the request.
+        """
         times, route = self._work_times, call.route.name
         if call.affinity is None or not call.route.sticky:
             return times.of(route)
         return times.at_home(route) if is_home else times.elsewhere(route)
 
     def known_work(self, route):
-        """Return how long a target takes for a known object, ``None`` if untold."""
+        """Return the response time for a cached object, or ``None`` if unknown."""
         return self._work_times.known(route.name)
 
     def is_in_time(self, call, owner, is_home):
-        """Return whether a request is in time through an owner that has room."""
+        """Return whether a response would be in time if the owner has a free slot."""
         expected = self._trip(owner) + self.work(call, is_home)
         return self._clock.now() + expected <= call.aim_at
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -1,4 +1,4 @@
-"""Sending a request to a target and reading its whole answer."""
+"""Sends a request to a target and reads the complete response."""
 
 import h11
 
@@ -9,16 +9,15 @@
 from heathercleat.request.headers import check_framing, end_to_end
 from heathercleat.steering.request.answer import DEADLINE, Answer, End, TryResult
 
-#: Largest answer that is taken, in bytes; answers are held whole so that a cut one is
-#: never passed on as if it were complete.
+#: Responses are buffered, so that a truncated one is never passed on as complete.
 MAX_ANSWER_BYTES = 64 << 20
-#: Answers to earlier requests that are skipped on a connection before it is given up.
+#: Responses to earlier requests that are skipped before the connection is dropped.
 MOST_STRAY_ANSWERS = 4
 _FIRST_FAILURE = 400
 
 
 class TargetExchange:
-    """One exchange with a target over one connection.
+    """One request and response with a target over one connection.
 
     :param stream: an open :class:`HttpStream`.
     :param call: the :class:`Call`.
@@ -37,16 +36,16 @@
 
     @property
     def cut(self):
-        """Return whether the connection ended or broke after the request was sent."""
+        """Return whether the connection failed after the request was sent."""
         return self._cut
 
     @property
     def head(self):
-        """Return the :class:`AnswerHead`, or ``None`` before the answer."""
+        """Return the :class:`AnswerHead`, or ``None`` before a response arrived."""
         return self._head
 
     async def run(self):
-        """Return the :class:`TryResult`; errors of the target are results."""
+        """Return the :class:`TryResult`, also for connection and protocol errors."""
         target = self._entry.id
         try:
             await before(self._call.deadline, self._clock, self._exchange())
@@ -80,7 +79,7 @@
         yield h11.EndOfMessage()
 
     async def _read_answer(self):
-        """Read the next answer; return whether it is the one to this request."""
+        """Read the next response; return whether it belongs to this request."""
         event = await self._stream.next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
@@ -99,7 +98,7 @@
         return True
 
     def _judge(self):
-        """Return the result of a whole answer."""
+        """Return the result for a complete response."""
         head, answer, target = self._head, self._answer, self._entry.id
         if head.not_run:
             reason = "replaced" if head.replaced else "shed"
@@ -108,7 +107,7 @@
             reason = f"{answer.status} without the target's own body"
             return TryResult(End.UNKNOWN, target=target, reason=reason)
         if head.promises:
-            # The status would tell the client that the request has not run.
+            # A client would conclude from the status that the request has not run.
             reason = f"{answer.status} without saying that it has not run"
             return TryResult(End.UNKNOWN, target=target, reason=reason)
         return TryResult(End.ANSWERED, answer, target)
--- a/src/heathercleat/steering/request/fingerprint.py
+++ b/src/heathercleat/steering/request/fingerprint.py
@@ -1,19 +1,16 @@
-"""What tells a request that comes again from all other requests."""
+"""Digests that identify repeated requests and their senders."""
 
 from hashlib import blake2b
 
-#: Headers that tell where a request goes and who sends it. All others may differ from
-#: one attempt of a caller to the next.
+#: Headers included in the digest; others may differ between repeats of a request.
 SENDER_HEADERS = (b"host", b"authorization", b"cookie")
-#: 64 bits: among ten thousand requests that are remembered, two are taken for the same
-#: one with a chance of 1 in 10^11.
 DIGEST_BYTES = 8
-#: Those of them that tell one sender from another, where a request has any.
+#: Headers that identify a sender.
 _NAMING_HEADERS = (b"authorization", b"cookie")
 
 
 def fingerprint(method, path, headers, body):
-    """Return a hexadecimal digest, the same for each attempt of one request.
+    """Return a hexadecimal digest, equal for all repeats of a request.
 
     :param path: the request target with its query, as bytes.
     :param headers: pairs of bytes, names in lower case.
@@ -25,7 +22,7 @@
 
 
 def sender(headers):
-    """Return a hexadecimal digest of who sends a request, ``None`` if nothing tells.
+    """Return a hexadecimal digest of the sender's credentials, ``None`` without any.
 
     :param headers: pairs of bytes, names in lower case.
     """
@@ -36,15 +33,15 @@
 
 
 def _sender_values(headers):
-    """Return the values of the headers that tell the sender."""
+    """Return the values of :data:`SENDER_HEADERS`."""
     values = []
     for wanted in SENDER_HEADERS:
         values += [value for name, value in headers if name == wanted]
-        # Ends the values of one header, which may be none or several.
+        # Separates headers, since one may have no value or several.
         values.append(b"")
     return values
 
 
 def _joined(parts):
-    """Return parts as one, such that no other parts come to the same."""
+    """Join parts unambiguously, each prefixed by its length."""
     return b"".join([b"%d:%b" % (len(part), part) for part in parts])
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -1,4 +1,4 @@
-"""One try at a request through the VM that owns its target, and its answer there."""
+"""Forwards requests to the VM that owns the target, and encodes the result."""
 
 import h11
 import msgpack
@@ -9,18 +9,20 @@
 from heathercleat.steering.request.exchange import MAX_ANSWER_BYTES
 from heathercleat.steering.version.routing import Kind
 
-#: The order of a forwarded request and the result of a try, each packed in a header of
-#: hexadecimal digits.
+#: Headers with the order and the result of a forwarded request, packed as hexadecimal.
 ORDER = b"heathercleat-order"
 RESULT = b"heathercleat-result"
-#: Seconds in which another VM of the same region has to accept a connection.
+#: Seconds to connect to a VM of the same region.
 CONNECT_TIMEOUT = 0.4
-#: Seconds after a request's deadline until its owner is taken to have lost it.
+#: Seconds to wait for the owner's result after the deadline.
 ANSWER_MARGIN = 0.05
 
 
 class ForwardOrder:
-    """What the owner needs beside the request; lengths of time in seconds."""
+    """Metadata that a forwarded request carries to the owner; durations in seconds.
+
+    The order of the slots is the wire format.
+    """
 
     __slots__ = (
         "id",
@@ -48,9 +50,10 @@
 
     @classmethod
     def of(cls, call, preferred, avoid, until, trip, now):
-        """Return the order for a call that may wait for a slot until ``until``.
+        """Return the order for a call.
 
-        :param trip: the round trip to the owner; it shortens what is left there.
+        :param until: when to stop waiting for a slot.
+        :param trip: the round-trip time to the owner, by which deadlines are reduced.
         """
         return cls(
             call.id,
@@ -73,21 +76,21 @@
         )
 
     def pack(self):
-        """Return the value of the header."""
+        """Return the header value."""
         fields = [getattr(self, name) for name in self.__slots__]
         return msgpack.packb(fields).hex().encode()
 
     @classmethod
     def unpack(cls, value):
-        """Return the order of a header's value.
+        """Parse a header value.
 
-        :raises ValueError: when it does not decode.
+        :raises ValueError: if it cannot be decoded.
         """
         return cls(*msgpack.unpackb(bytes.fromhex(value.decode())))
 
 
 class ForwardedRoute:
-    """The part of a :class:`Route` that matters to the owner of a target."""
+    """The fields of a :class:`Route` that the owner of a target needs."""
 
     __slots__ = ("name", "kind", "priority", "regions")
 
@@ -103,7 +106,10 @@
 
 
 def call_of(order, head, headers, body, stream, now):
-    """Return the :class:`Call` of a forwarded request."""
+    """Return the :class:`Call` of a forwarded request.
+
+    :param now: when its head was read.
+    """
     kind, regions = Kind(order.kind), frozenset(order.regions)
     route = ForwardedRoute(order.route, kind, order.priority, regions)
     call = Call(
@@ -122,7 +128,7 @@
 
 
 def result_header(result):
-    """Return the header that tells the result of a try to the forwarding VM."""
+    """Return the header with the :class:`TryResult` for the forwarding VM."""
     fields = [
         result.end.value,
         result.target,
@@ -135,10 +141,10 @@
 
 
 class ForwardTry:
-    """Tries requests at targets of other VMs.
+    """Sends requests to targets of other VMs.
 
-    :param pool: connections to other VMs.
-    :param port: the port on which VMs take forwarded requests.
+    :param pool: the connection pool for other VMs.
+    :param port: the port on which VMs accept forwarded requests.
     """
 
     def __init__(self, pool, port, clock):
@@ -147,9 +153,12 @@
         self._clock = clock
 
     async def run(self, call, ip, preferred, avoid, until, trip):
-        """Return the :class:`TryResult` of a try through the VM at ``ip``.
+        """Return the :class:`TryResult` of an attempt through the VM at ``ip``.
 
-        :param trip: the usual round trip to it in seconds.
+        :param preferred: ids of the affinity targets, best first.
+        :param avoid: ids of targets to exclude.
+        :param until: when to stop waiting for a slot.
+        :param trip: the mean round-trip time to the VM in seconds.
         """
         now = self._clock.now()
         connect_by = min(call.deadline, now + CONNECT_TIMEOUT + 2 * trip)
@@ -161,9 +170,8 @@
         if call.left:
             await self._pool.give_back(ip, self._port, stream)
             return TryResult(End.NOT_SENT, reason=CLIENT_LEFT)
-        # The owner decides what to do with a request that may run once only: while it
-        # waits there nothing has run. Not told of it, the owner sent such a request up
-        # to 0.95 s after its client had left (seen on a day under load).
+        # Also for requests that must not run twice: while the request is queued at the
+        # owner it has not run, and the owner must learn of the disconnect.
         call.on_leave = StreamCut(stream)
         try:
             now = self._clock.now()
@@ -208,7 +216,7 @@
 
 
 def _read_result(head, body):
-    """Return the :class:`TryResult` in an owner's answer."""
+    """Parse the :class:`TryResult` from an owner's response."""
     headers = [each for each in head.headers if each[0] != b"content-length"]
     packed = next((value for name, value in headers if name == RESULT), None)
     if packed is None:
--- a/src/heathercleat/steering/request/homes.py
+++ b/src/heathercleat/steering/request/homes.py
@@ -1,30 +1,24 @@
-"""Which target gets the requests for an object: one home over all regions.
-
-A target that has handled an object lately is three times as fast for it, and remembers
-only some dozens of objects. With a home in each region, the region with a sixth of the
-targets and a third of the callers sent half of its requests away one by one: its
-callers waited, and every region learned the same objects. Rendezvous hashing over the
-targets of all regions gives each target its share of the objects, and so of the load,
-wherever the callers are; no counter has to follow the demand. On two overloaded days
-0.75 of the worth was served in place of 0.71 and 0.69, and 7.2% and 5.4% refused in
-place of 8.0% and 9.2% (one run each).
+"""Selects the affinity target for an object by rendezvous hashing over all regions.
+
+A target responds faster to requests for objects in its cache. Hashing over all regions
+gives each target its share of the objects, wherever the callers are, and objects are
+not cached in every region.
 """
 
 from heathercleat.steering.request.patience import SPREAD
 from heathercleat.version.hashing import weight
 
-#: Part of the aim that a round trip may take where the time of a known object is not
-#: told yet. The mean would not do: it is that of objects being learned at first, so
-#: that homes lay near, and went to other regions seconds later. On one of 40 drawn days
-#: 36% of a region's requests changed region at once.
+#: Share of the latency objective that a round trip may take while the response time for
+#: cached objects is unknown. The mean would exclude other regions at first, since it
+#: includes objects that are not cached yet.
 TRIP_SHARE = 0.5
 
 
 class Home:
-    """The target that knows the object of a request.
+    """The target whose cache should hold the object of a request.
 
     :param candidate: its :class:`Candidate`.
-    :param remote: whether it lies in another region.
+    :param remote: whether it is in another region.
     """
 
     __slots__ = ("candidate", "remote")
@@ -35,31 +29,31 @@
 
     @property
     def ids(self):
-        """Return the ids of the targets that know the object."""
+        """Return the ids of the affinity targets, best first."""
         return (self.candidate.entry.id,)
 
     def may_have_room(self, now):
-        """Return whether it has a free slot, as far as is known.
+        """Return whether it has a free slot or its free slots are unknown.
 
-        An owner that does not report here is tried: it answers at once.
+        An owner that does not report to this VM responds without waiting.
         """
         room = self.candidate.room
         return room.free(now) > 0 or not room.is_known(now)
 
 
 class Homes:
-    """Finds the homes of requests' objects.
+    """Finds the affinity targets of requests.
 
-    :param estimates: the :class:`Estimates` of waits and times.
+    :param estimates: the :class:`Estimates`.
     """
 
     def __init__(self, estimates):
         self._estimates = estimates
 
     def of(self, choice, large):
-        """Return the :class:`Home` of a request's object, or ``None``.
+        """Return the :class:`Home` of a request, or ``None``.
 
-        :param large: whether its body is too large to cross regions.
+        :param large: whether the body is too large to be sent to another region.
         """
         homes = [Home(each, False) for each in choice.near_homes]
         if not large:
@@ -72,7 +66,7 @@
         )
 
     def _far(self, choice):
-        """Yield the homes in other regions from which an answer can be in time."""
+        """Yield the homes in other regions that can respond in time."""
         spare = self._spare(choice.call.route)
         for targets in choice.far:
             for candidate in choice.homes(targets):
@@ -80,7 +74,7 @@
                     yield Home(candidate, True)
 
     def _spare(self, route):
-        """Return the longest round trip to a home, in seconds."""
+        """Return the longest acceptable round-trip time, in seconds."""
         known = self._estimates.known_work(route)
         if known is None:
             return TRIP_SHARE * route.latency_aim
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -1,4 +1,4 @@
-"""One try at a request at a target that this VM owns."""
+"""Sends requests to targets that this VM owns."""
 
 from heathercleat.connection.http import before
 from heathercleat.events import Event
@@ -15,23 +15,23 @@
 from heathercleat.steering.request.call import StreamCut
 from heathercleat.steering.request.exchange import TargetExchange
 
-#: Age in seconds up to which an idle connection carries requests that may run once
-#: only; a target may drop an older one just as the request is on its way.
+#: Longest idle time in seconds of a connection for requests that must not run twice,
+#: since the target may be about to close an older one.
 UNSAFE_IDLE_AGE = 2.0
-#: Margin in seconds by which a connection is given up before the target closes it.
+#: Seconds before the keep-alive timeout of the target at which to drop a connection.
 KEEP_MARGIN = 1.5
 
 
 class LocalTry:
-    """Tries requests at owned targets.
+    """Sends requests to owned targets.
 
-    :param admission: hands out slots.
-    :param ledger: the owned targets.
-    :param registry: learns that a target was replaced.
-    :param pool: connections to targets.
+    :param admission: the :class:`Admission`, which assigns slots.
+    :param ledger: the :class:`SlotLedger` of owned targets.
+    :param registry: the :class:`TargetRegistry`, updated when a target was replaced.
+    :param pool: the connection pool for targets.
     :param work_times: the :class:`WorkTimes`.
     :param departure: the :class:`Departure` of this VM.
-    :param rests: tells whether a target may rest, a :class:`RestLimit`.
+    :param rests: the :class:`RestLimit`, which limits ejected targets.
     :param suspects: the :class:`Suspects`.
     """
 
@@ -61,11 +61,11 @@
         self._clock = clock
 
     async def run(self, call, preferred, avoid, until):
-        """Return the :class:`TryResult` of one try.
+        """Return the :class:`TryResult` of one attempt.
 
-        :param preferred: ids of the targets to use if they are free, the best first.
-        :param avoid: ids of targets not to use.
-        :param until: instant at which to give up waiting for a slot.
+        :param preferred: ids of the affinity targets, best first.
+        :param avoid: ids of targets to exclude.
+        :param until: when to stop waiting for a slot.
         """
         use = await self._admission.acquire(call, preferred, avoid, until)
         if use is None:
@@ -82,9 +82,9 @@
             await self._admission.release(use, answered)
 
     def _obstacle(self, call):
-        """Return why a request that has its slot is not sent after all, or ``None``.
+        """Return why a request that has a slot must not be sent, or ``None``.
 
-        Much may have changed while it waited, also since this VM slept meanwhile.
+        Checked after each wait, also because the VM may have been suspended meanwhile.
         """
         now = self._clock.now()
         if call.left:
@@ -112,17 +112,17 @@
         try:
             stream = await self._connect(call, entry, began_at)
         except (OSError, TimeoutError) as error:
-            # A request with little time left gives its target little to accept in.
+            # A timeout at the deadline of the request says nothing about the target.
             if not isinstance(error, TimeoutError) or self._clock.now() < call.deadline:
                 self._rest(target, began_at, f"connect: {error!r}")
             return TryResult(End.NOT_SENT, target=entry.id, reason=repr(error))
-        # To connect takes time as well.
+        # Check again, since connecting takes time.
         obstacle = self._obstacle(call)
         if obstacle is not None:
             await self._pool.give_back(entry.host, entry.port, stream)
             return TryResult(End.NOT_SENT, reason=obstacle)
         exchange = TargetExchange(stream, call, entry, self._clock)
-        # To cut the connection does not undo what runs, which may run once only.
+        # Aborting would not undo a request that must not run twice.
         call.on_leave = StreamCut(stream) if call.route.kind.idempotent else None
         try:
             with self._departure.runs.watch(call) as run:
@@ -142,7 +142,7 @@
         return result
 
     async def _note_end(self, call, entry, result):
-        """Find out whether the target itself ended under a request, and note it."""
+        """Record a crash if the target process itself has ended."""
         if not await self._ends.has_ended(entry):
             return
         result.ended = entry.life
--- a/src/heathercleat/steering/request/patience.py
+++ b/src/heathercleat/steering/request/patience.py
@@ -1,23 +1,20 @@
 """How long a request waits for a slot before it is refused or takes another target.
 
-A request waits for as long as it can still be answered before its deadline: a late
-answer is worth something to its caller, and a refusal in the middle of the wait has the
-caller wait in vain. Whether its turn comes by then is for the queue to say, which
-refuses at once what has no hope; see :mod:`.process.capacity.queue`.
+A request waits as long as a response before its deadline is possible. Requests that
+would not get a slot by then are refused at once; see :mod:`.process.capacity.queue`.
 """
 
-#: Times the mean that most requests take at most: with a mean just below the aim, half
-#: of the requests at targets that had to learn the object were late.
+#: Most response times are below the mean times this factor.
 SPREAD = 1.25
-#: Part of its time that a request has left at least when it is given up: with less the
-#: client could not come back, nor be answered where no work time is known yet.
+#: Share of the timeout that remains at least when a request stops waiting, so that the
+#: client can retry.
 LEAST_LEFT = 0.2
-#: Seconds before the end of a request's patience at which it takes any idle target.
+#: Seconds before a request stops waiting from which it accepts any idle target.
 LAST_CHANCE = 0.02
 
 
 class Patience:
-    """Decides on the instants until which a request waits.
+    """Decides how long a request waits for a slot.
 
     :param work_times: the :class:`WorkTimes`.
     """
@@ -26,17 +23,15 @@
         self._work_times = work_times
 
     def of(self, call):
-        """Return the instant at which a request is given up without a slot."""
+        """Return the instant at which a request stops waiting for a slot."""
         work = SPREAD * self._work_times.of(call.route.name)
         least = LEAST_LEFT * (call.deadline - call.arrived_at)
         return max(call.arrived_at, call.deadline - max(work, least))
 
     def for_home(self, call):
-        """Return the instant until which only targets that know the object are used.
+        """Return the instant until which only affinity targets are used.
 
-        Another one is idle at times, but takes longer: a request that would be late
-        there and in time at home waits for its home first. One run each, before and
-        after: worth 0.313 and 0.398 on an overloaded day, 0.460 and 0.473 on another.
+        That is now if other targets, which respond more slowly, would be in time too.
         """
         route = call.route.name
         longest = SPREAD * self._work_times.elsewhere(route)
--- a/src/heathercleat/steering/request/places.py
+++ b/src/heathercleat/steering/request/places.py
@@ -1,4 +1,4 @@
-"""Where a request may be tried next, the best place first."""
+"""Selects the target or the VM to which a request is sent next."""
 
 from random import random
 
@@ -6,34 +6,30 @@
 from heathercleat.steering.request.choice import Choice
 from heathercleat.steering.request.homes import Homes
 
-#: Bytes of a body from which a target in the own failure domain goes before one that
-#: knows the object: crossing twice with a larger body costs more than the work saved.
+#: From this size on, a target in the own failure domain is preferred to an affinity
+#: target, since sending the body costs more than the cache saves.
 LARGE_BODY = 16 << 10
-#: A request is refused at once where the reported wait is so many times its patience:
-#: forwarding it in vain would cost both VMs 1.2 ms of processor time. A report is old
-#: by half a heartbeat interval; between one and two times the owner itself decides.
+#: An owner is ruled out if its reported wait exceeds the remaining wait by this factor;
+#: below that the owner decides, since its report may be out of date.
 HOPELESS_FACTOR = 2.0
-#: Difference between what two regions' clients lose from which requests of the worse
-#: one wait in the better one: below it the means are noise.
+#: Smallest difference in loss between two regions at which requests move.
 LEAST_RELIEF = 0.08
-#: Wait in seconds at an owner in another region beyond which its report leaves no hope.
+#: Longest remaining wait assumed in seconds for an owner in another region.
 FAR_WAIT = 0.1
-#: Part of a region's slots that stay free for its own clients when others ask.
+#: Share of the slots of a region that is reserved for its own clients.
 RESERVED_SHARE = 0.15
-#: Seconds of waiting that are worth it to stay here: a forwarded request crosses the
-#: network twice, with its body, and its report of the wait is old.
+#: Seconds added to the wait at another VM for the network and an outdated report.
 FORWARD_COST = 0.03
 
 
 class Place:
-    """A target with a free slot, or a VM to wait at when ``target`` is ``None``.
+    """A target with a free slot, or the queue of a VM if ``target`` is ``None``.
 
     :param vm: name of the owner.
-    :param preferred: ids of the targets of the region that know the object of the
-        request, the best first.
-    :param remote: whether it lies in another region.
-    :param is_home: whether the target is the home of the request's object: where it has
-        no room after all, the request waits for it there.
+    :param preferred: ids of the affinity targets of the region, best first.
+    :param remote: whether it is in another region.
+    :param is_home: whether the target is the affinity target, for which the request
+        waits if there is no free slot after all.
     """
 
     __slots__ = ("vm", "target", "preferred", "remote", "is_home")
@@ -47,11 +43,11 @@
 
 
 class Places:
-    """Finds places for requests.
+    """Selects destinations for requests.
 
     :param view: the :class:`TargetView`.
     :param members: the live VMs.
-    :param estimates: the :class:`Estimates` of waits and times.
+    :param estimates: the :class:`Estimates`.
     :param losses: the :class:`RegionLosses`.
     :param shift: the :class:`ShiftLimit`.
     """
@@ -84,11 +80,10 @@
         return self._best_far(choice, self._near_wait(choice))
 
     def _confined(self, choice):
-        """Return the :class:`Place` for a request that may end its target, or ``None``.
+        """Return the :class:`Place` for a request that may crash targets, or ``None``.
 
-        It is one of a few targets of this region that runs no other request, and not
-        the last one with room. Where there is none the request goes where any does: an
-        end is no proof.
+        It is one of a few targets of this region, with no other request running, and
+        never the last one with free slots.
         """
         near, now = choice.near, choice.now
         if near is None:
@@ -103,8 +98,8 @@
     def waiting(self, call, avoid, avoid_vms):
         """Return the :class:`Place` to wait at, or ``None``.
 
-        It is the home of the object, or else the owner of this region with the shortest
-        wait. The wait is ``None`` where an owner's targets are all out of service.
+        It is the affinity target of the object if there is one, otherwise the owner of
+        this region with the shortest wait.
         """
         choice = self._choice(call, avoid, avoid_vms)
         patience = call.patient_until - choice.now
@@ -116,7 +111,7 @@
         return self._shortest_wait(choice, choice.near, choice.usable, patience, False)
 
     def _home(self, choice):
-        """Return the :class:`Home` of the request's object, or ``None``."""
+        """Return the :class:`Home` of the request, or ``None``."""
         return self._homes.of(choice, len(choice.call.body) >= LARGE_BODY)
 
     def _at_home(self, home, target=None):
@@ -127,12 +122,11 @@
         return self._waiting_cost(call, home.candidate.owner, patience) is not None
 
     def relief(self, call, avoid, avoid_vms):
-        """Return the :class:`Place` to wait at where clients lose less, or ``None``.
+        """Return the :class:`Place` to wait at in a less loaded region, or ``None``.
 
-        It lies in another region, which can answer in time and whose own clients lose
-        less of their worth than those of this region. A large body stays: to carry it
-        between regions costs more than a late answer loses. So does a request whose
-        object has a home, which waits there.
+        The region must be able to respond in time and its own clients must lose less.
+        Requests with large bodies stay, since sending them costs more than a late
+        response; so do requests with an affinity target.
         """
         if len(call.body) >= LARGE_BODY or not self._shift.may_move():
             return None
@@ -159,11 +153,11 @@
         return self._shortest_wait(choice, least, in_time, FAR_WAIT, True)
 
     def expected_wait(self, call):
-        """Return the shortest known wait in this region in seconds, or ``None``."""
+        """Return the shortest reported wait in this region in seconds, or ``None``."""
         return self._known_wait(self._choice(call))
 
     def describe(self, call):
-        """Return what is known of the targets that may run a request, for the log."""
+        """Describe the usable targets, for the log."""
         choice = self._choice(call)
         near = [choice.near] if choice.near else []
         parts = [_describe("here", near, choice.now)]
@@ -181,7 +175,8 @@
     def _shortest_wait(self, choice, targets, usable, patience, remote):
         """Return the :class:`Place` to wait at in a region, or ``None``.
 
-        :param usable: returns whether a candidate may be used.
+        :param usable: filter for candidates.
+        :param patience: seconds for which the request may still wait.
         """
         homes = choice.homes(targets, usable)
         candidates = homes or filter(usable, targets.candidates)
@@ -192,12 +187,12 @@
                 costs[owner] = cost
         if not costs:
             return None
-        # Chance decides between equals: owners that do not report here all are.
+        # Random among equals, such as owners that do not report to this VM.
         owner = min(costs, key=lambda each: (costs[each], random()))
         return Place(owner, None, _ids(homes), remote)
 
     def _waiting_cost(self, call, owner, patience):
-        """Return the seconds that waiting at an owner costs; ``None`` without hope."""
+        """Return the cost of waiting in seconds, ``None`` if the wait is too long."""
         wait = self._estimates.wait(owner, call)
         if wait is None or wait > HOPELESS_FACTOR * patience:
             return None
@@ -223,12 +218,14 @@
     def _best(self, choice, targets, homes, usable, remote):
         """Return the :class:`Place` of the best free target of a region, or ``None``.
 
-        A target that knows the object goes first; after it one that this VM owns, then
-        the one with the largest part of its slots free.
+        Affinity targets come first, then targets of this VM, then the targets with the
+        largest share of free slots.
+
+        :param usable: filter for candidates.
         """
         now, known = choice.now, _ids(homes)
         for each in homes:
-            # An owner that does not report here is tried: it answers at once.
+            # An owner that does not report to this VM responds without waiting.
             may_have_room = each.room.free(now) > 0 or not each.room.is_known(now)
             if may_have_room and usable(each):
                 return Place(each.owner, each.entry.id, known, remote)
@@ -254,24 +251,24 @@
         return free > 0 and is_open(candidate.entry, free, known)
 
     def _order(self, candidate, now):
-        """Return the order among free targets, the lowest first."""
+        """Return the sort key of a free target, the lowest first."""
         elsewhere = candidate.owner != self._members.own.vm
         return elsewhere, -candidate.room.free(now) / candidate.entry.slots
 
     def _known_wait(self, choice):
-        """Return the shortest known wait in this region, or ``None``."""
+        """Return the shortest reported wait in this region, or ``None``."""
         near = choice.near
         if near is None:
             return None
         return self._estimates.shortest_wait(near, choice.call)
 
     def _near_wait(self, choice):
-        """Return the shortest wait in this region; infinite where there is none."""
+        """Return the shortest reported wait in this region, or infinity."""
         wait = self._known_wait(choice)
         return float("inf") if wait is None else wait
 
     def _best_far(self, choice, near_wait):
-        """Return the :class:`Place` in the region with the most room, or ``None``.
+        """Return the :class:`Place` in the region with most free slots, or ``None``.
 
         :param near_wait: seconds that the request would wait in this region.
         """
@@ -297,7 +294,7 @@
 
 
 def _spare(summary):
-    """Return the free slots of a region that others' clients may use."""
+    """Return the free slots of a region that other regions may use."""
     return summary.free - RESERVED_SHARE * summary.slots
 
 
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -1,4 +1,4 @@
-"""Steering a request: places, tries, repeats and the final answer."""
+"""Steers a request: destinations, attempts, retries and the final response."""
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import CallerLeftError, RequestError
@@ -8,33 +8,32 @@
 from heathercleat.steering.request.patience import Patience
 from heathercleat.steering.request.places import LARGE_BODY
 
-#: Seconds after which a request that waits looks for room elsewhere again.
+#: Seconds in a local queue after which a request looks for another destination.
 WAIT_SLICE = 0.08
-#: The same where another VM owns the targets: each slice sends the body again.
+#: The same for the queue of another VM; forwarding again sends the body again.
 FORWARDED_SLICE = 0.25
-#: The same for a request that is late already, since its wait is long, and for one with
-#: a large body, which costs more to send again than a look elsewhere gains.
+#: The same for a request with a large body, or one past its latency objective.
 LONG_SLICE = 1.0
-#: Seconds for which a request may wait at an owner whose report said that a slot was
-#: free: reports are old by half a heartbeat interval.
+#: Longest wait in seconds if the owner reported a free slot; reports are delayed by
+#: heartbeats.
 STALE_PATIENCE = 0.03
-#: The same once the request's patience is over: what a hop inside a region takes.
+#: The same once the request has stopped waiting: a network hop in a region.
 LEAST_PATIENCE = 0.005
-#: The longest wait for a slot in another region, whose queue is not seen from here.
+#: Longest wait in seconds for a slot in another region.
 FAR_PATIENCE = 0.15
-#: Tries at places with room that sent nothing, after which a request is refused.
+#: Unsent attempts at reported free slots after which a request is refused.
 MOST_UNSENT = 5
-#: Bounds in seconds on the time after which a refused client is asked to come back.
+#: Shortest time in seconds after which a refused client may retry.
 LEAST_RETURN = 0.05
 
 
 class Steering:
     """Steers requests of clients.
 
-    :param places: finds where to try next.
-    :param tries: makes the tries, a :class:`Tries`.
+    :param places: the :class:`Places`, which selects destinations.
+    :param tries: the :class:`Tries`, which makes the attempts.
     :param shift: the :class:`ShiftLimit`.
-    :param budget: returns the :class:`RetryBudget` of a service.
+    :param budget: function that returns the :class:`RetryBudget` of a service.
     :param work_times: the :class:`WorkTimes`.
     :param pressure: the :class:`Pressure`.
     :param departure: the :class:`Departure` of this VM.
@@ -69,15 +68,15 @@
     async def run(self, call):
         """Return the final :class:`Answer` of a target.
 
-        :raises RequestError: with the final answer when there is none of a target.
-        :raises CallerLeftError: when the client left.
+        :raises RequestError: with the refusal to send if no target responded.
+        :raises CallerLeftError: if the client disconnected.
         """
         self._budget(call.service).count_request(self._clock.now())
         return await _Run(self, call).run()
 
 
 class _Run:
-    """The tries of one request."""
+    """The attempts of one request."""
 
     def __init__(self, steering, call):
         self._steering = steering
@@ -121,7 +120,7 @@
                 return final
 
     async def _try(self, place, until):
-        """Return the :class:`TryResult` of a try at a place."""
+        """Return the :class:`TryResult` of one attempt."""
         call, steering = self._call, self._steering
         trying = steering._tries.run(call, place, self._avoid, until)
         if steering._tries.is_own(place):
@@ -132,7 +131,7 @@
             return result
 
     def _next_place(self, now):
-        """Return where to try next, or ``None`` when it is time to give up."""
+        """Return the next :class:`Place`, or ``None`` to give up."""
         if now >= self._call.deadline or self._unsent >= MOST_UNSENT:
             return None
         if now >= self._call.patient_until and self._unsent:
@@ -154,7 +153,7 @@
         return places.waiting(self._call, self._avoid, self._avoid_vms)
 
     def _relief(self):
-        """Return a place to wait at in a region whose clients lose less, once."""
+        """Return a place to wait at in a less loaded region, at most once."""
         if self._relieved:
             return None
         place = self._steering._places.relief(self._call, self._avoid, self._avoid_vms)
@@ -177,8 +176,8 @@
     def _until(self, place, now):
         """Return the instant until which the request may wait for a slot there.
 
-        At the home of its object it waits at once, though the home seemed to have room:
-        it would only come back to wait there, over the network and with its body again.
+        At its affinity target the request waits even if a slot was reported free, since
+        it would otherwise be forwarded there a second time.
         """
         if place.target is not None and not self._waits(place, now):
             if place.remote:
@@ -191,11 +190,11 @@
         return min(end, now + self._slice(place, now))
 
     def _waits(self, place, now):
-        """Return whether the request waits at a place, if its target has no room."""
+        """Return whether the request queues at a place that has no free slot."""
         return place.target is None or (place.is_home and now < self._call.home_until)
 
     def _slice(self, place, now):
-        """Return the seconds after which a request looks for a place again."""
+        """Return the seconds after which to look for another place."""
         if self._steering._tries.is_own(place):
             return WAIT_SLICE
         is_large = len(self._call.body) >= LARGE_BODY
@@ -203,14 +202,17 @@
         return LONG_SLICE if late or is_large else FORWARDED_SLICE
 
     def _until_far(self, place, now):
-        """Return how long to wait in another region and still be answered in time."""
+        """Return the instant until which to wait in another region.
+
+        A response within the latency objective must remain possible.
+        """
         call, steering = self._call, self._steering
         work = steering._work_times.of(call.route.name)
         latest = call.aim_at - steering._tries.trip(place) - work
         return min(max(now + STALE_PATIENCE, latest), now + FAR_PATIENCE)
 
     def _take(self, place, result, until):
-        """Take the result of a try; return the final answer, or ``None`` to go on."""
+        """Record a result; return the final response, or ``None`` to go on."""
         self._last_reason = result.reason
         self._call.tries.append(self._describe(place, result))
         if result.target is not None:
@@ -238,10 +240,10 @@
         raise self._unknown(result)
 
     def _describe(self, place, result):
-        """Return a try as text.
+        """Return an attempt as text for the log.
 
-        It tells the owner, the target and whether it knows the object, the end, what
-        the target took, and the time since the request came, in seconds.
+        The fields are owner, target, home or other, outcome, response time and time
+        since the request arrived, both in seconds, and the reason if there is one.
         """
         knows = "home" if result.target in place.preferred else "other"
         work = "-" if result.work is None else f"{result.work:.3f}"
@@ -286,13 +288,13 @@
         return self._steering._clock.now() + work < call.deadline
 
     def _check_quarantine(self):
-        """Raise the refusal of a request under which targets end."""
+        """Raise the refusal of a request that crashes targets."""
         refusal = self._steering._containment.refusal(self._call)
         if refusal is not None:
             raise refusal
 
     def _end_quarantined(self):
-        """Return a failed answer that is left, or raise the final refusal."""
+        """Return the last failed response, or raise the final refusal."""
         if self._runs:
             return self._give_up()
         raise self._steering._containment.owners_refusal(self._call)
@@ -303,7 +305,7 @@
         return RequestError(code, f"{result.target}: {result.reason}")
 
     def _give_up(self):
-        """Return a failed answer that is left, or raise the final refusal."""
+        """Return the last failed response, or raise the final refusal."""
         if self._failed_answer is not None:
             return self._failed_answer
         if self._runs:
@@ -317,7 +319,7 @@
         raise RequestError(ResultCode.NO_ROOM, reason, retry_at=wait)
 
     def _return_after(self):
-        """Return the instant from which the client is welcome again."""
+        """Return the instant from which the client may retry."""
         expected = self._steering._places.expected_wait(self._call) or 0.0
         mean = max(LEAST_RETURN, expected)
         return return_at(self._call, mean, self._steering._clock.now())
--- a/src/heathercleat/steering/request/tries.py
+++ b/src/heathercleat/steering/request/tries.py
@@ -1,17 +1,17 @@
-"""One try at a request, at a target of this VM or through the VM that owns it."""
+"""Sends one attempt to a target of this VM or through the VM that owns it."""
 
 from heathercleat.steering.request.answer import End
 
 
 class Tries:
-    """Makes tries at the places that were found.
+    """Sends attempts to the selected places.
 
-    :param local: tries at own targets, a :class:`LocalTry`.
-    :param forward: tries at targets of other VMs, a :class:`ForwardTry`.
+    :param local: the :class:`LocalTry`, for owned targets.
+    :param forward: the :class:`ForwardTry`, for targets of other VMs.
     :param members: the live VMs.
     :param rooms: the :class:`RoomView`.
-    :param trip: returns the round trip to a VM in seconds.
-    :param containment: the :class:`Containment`, which learns the results.
+    :param trip: function that returns the round-trip time to a VM in seconds.
+    :param containment: the :class:`Containment`, which records the results.
     """
 
     def __init__(self, local, forward, members, rooms, trip, containment):
@@ -23,18 +23,18 @@
         self._containment = containment
 
     def is_own(self, place):
-        """Return whether a place is at this VM."""
+        """Return whether this VM owns the targets of a place."""
         return place.vm == self._members.own.vm
 
     def trip(self, place):
-        """Return the round trip to a place in another region in seconds; else 0."""
+        """Return the round-trip time in seconds; 0 inside the region."""
         return self._trip(place.vm) if place.remote else 0.0
 
     async def run(self, call, place, avoid, until):
-        """Return the :class:`TryResult` of one try.
+        """Return the :class:`TryResult` of one attempt.
 
-        :param avoid: ids of targets not to use.
-        :param until: instant at which to give up waiting for a slot.
+        :param avoid: ids of targets to exclude.
+        :param until: when to stop waiting for a slot.
         """
         is_own = self.is_own(place)
         if is_own:
@@ -59,5 +59,8 @@
         return result
 
     def note_full(self, call, place, wait):
-        """Note that another VM had no slot for a request."""
+        """Record that another VM had no free slot.
+
+        :param wait: its estimated wait in seconds, or ``None``.
+        """
         self._rooms.full(place.target, place.vm, call.service, wait)
--- a/src/heathercleat/steering/version/__init__.py
+++ b/src/heathercleat/steering/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the operators' configuration."""
+"""Objects with the lifetime of one version of the operators' configuration."""
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -1,10 +1,10 @@
-"""The operators' configuration as routes and services."""
+"""Routes and services of the operators' configuration."""
 
 from enum import Enum
 
 
 class Kind(Enum):
-    """What may be repeated: safe requests may run more than once, others may not."""
+    """Kind of the requests of a route; only safe ones may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,7 +17,7 @@
 
 
 class Share:
-    """A service's part of the requests of a route."""
+    """Weight of a service in the traffic split of a route."""
 
     __slots__ = ("service", "weight")
 
@@ -30,9 +30,9 @@
     """Requests of one host and path prefix; ``timeout`` and ``latency_aim`` in seconds.
 
     :param priority: rank of the requests, 0 is the most urgent.
-    :param max_attempts: targets that may run one request.
-    :param sticky: whether a target that knows the object of a request is faster.
-    :param regions: the only regions that may serve it; empty for all.
+    :param max_attempts: how often a request may run.
+    :param sticky: whether requests have session affinity.
+    :param regions: the only regions that may serve the requests; empty for all.
     :param shares: the :class:`Share` of each service.
     """
 
@@ -82,9 +82,9 @@
 
 
 class Service:
-    """What the operators say of a service.
+    """Settings of a service.
 
-    :param cold_rate: requests a second that a cold target stands.
+    :param cold_rate: requests per second that a cold target can serve, or ``None``.
     """
 
     __slots__ = ("name", "cold_rate")
@@ -95,7 +95,7 @@
 
 
 class Limits:
-    """Bounds on what a client sends, in bytes and seconds."""
+    """Limits on client requests, in bytes and seconds."""
 
     __slots__ = ("header_bytes", "body_bytes", "header_timeout", "idle_timeout")
 
@@ -109,7 +109,7 @@
 class RoutingTable:
     """All routes and services of one version.
 
-    :raises ValueError: when a route names a service that the version does not have.
+    :raises ValueError: if a route names a service that the version does not define.
     """
 
     __slots__ = ("version", "services", "limits", "_hosts")
@@ -131,7 +131,7 @@
         return [route for routes in self._hosts.values() for route in routes]
 
     def match(self, host, path):
-        """Return the route with the longest prefix of ``path``, or ``None``."""
+        """Return the route with the longest matching prefix, or ``None``."""
         for route in self._hosts.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/src/heathercleat/steering/version/split.py
+++ b/src/heathercleat/steering/version/split.py
@@ -1,11 +1,10 @@
-"""Division of a route's requests over services by weight."""
+"""Splits the requests of a route between services by weight."""
 
 
 class Splitter:
-    """Smooth weighted round robin: exact shares over any run of requests.
+    """Smooth weighted round robin, which has less variance than a random choice.
 
-    Drawing at random instead leaves a part of 10% of 40 requests a second off by a
-    third of itself within a second.
+    :param shares: the :class:`Share` of each service.
     """
 
     __slots__ = ("_credits", "_shares")
