--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -42,8 +42,8 @@
         self.held = 0
         #: The preceding request while its response is pending, or ``None``.
         self.before = None
-        #: Whether the response is ready, and whether the request was cancelled because it
-        #: blocks later responses.
+        #: Whether the response is ready, and whether the request was cancelled to
+        #: unblock later responses.
         self.ready = False
         self.given_up = False
         #: Whether the response was sent, and the event set once it was sent or failed.
