--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -7,10 +7,10 @@
 from curio import Event as Signal
 
 from heathercleat.connection.http import CONNECTION_ERRORS
-from heathercleat.errors import CallerLeftError
+from heathercleat.errors import CallerDisconnectedError
 
 
-class Turn:
+class PipelinedRequest:
     """One request of a connection, and its position in the order of responses.
 
     :param stream: the :class:`HttpStream` for the response.
@@ -81,7 +81,7 @@
         self._failure = None
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether a response is pending."""
         return bool(self._turns)
 
@@ -99,7 +99,7 @@
     async def start(self, turn, serve):
         """Serve a request concurrently with the pending ones.
 
-        :param serve: coroutine function that serves a :class:`Turn`.
+        :param serve: coroutine function that serves a :class:`PipelinedRequest`.
         """
         turn.before = self._turns[-1] if self._turns else None
         self._turns.append(turn)
@@ -125,7 +125,7 @@
         while self._turns:
             await self._turns[0].over.wait()
 
-    async def give_up_blocking(self):
+    async def cancel_blocking_requests(self):
         """Cancel the requests that block ready responses.
 
         Otherwise the ready responses would be lost when the process exits.
@@ -146,7 +146,7 @@
     async def _run(self, turn, serve):
         try:
             await serve(turn)
-        except (CallerLeftError, *CONNECTION_ERRORS):
+        except (CallerDisconnectedError, *CONNECTION_ERRORS):
             self._abort()
         except CancelledError:
             self._abort()
--- a/src/heathercleat/steering/request/homes.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -5,7 +5,7 @@
 not cached in every region.
 """
 
-from heathercleat.steering.request.patience import SPREAD
+from heathercleat.steering.request.wait_policy import SPREAD
 from heathercleat.version.hashing import weight
 
 #: Share of the latency objective that a round trip may take while the response time for
@@ -14,7 +14,7 @@
 TRIP_SHARE = 0.5
 
 
-class Home:
+class AffinityTarget:
     """The target whose cache should hold the object of a request.
 
     :param candidate: its :class:`Candidate`.
@@ -37,11 +37,11 @@
 
         An owner that does not report to this VM responds without waiting.
         """
-        room = self.candidate.room
-        return room.free(now) > 0 or not room.is_known(now)
+        capacity = self.candidate.capacity
+        return capacity.free(now) > 0 or not capacity.is_known(now)
 
 
-class Homes:
+class AffinityTargets:
     """Finds the affinity targets of requests.
 
     :param estimates: the :class:`Estimates`.
@@ -51,16 +51,16 @@
         self._estimates = estimates
 
     def of(self, choice, large):
-        """Return the :class:`Home` of a request, or ``None``.
+        """Return the :class:`AffinityTarget` of a request, or ``None``.
 
         :param large: whether the body is too large to be sent to another region.
         """
-        homes = [Home(each, False) for each in choice.near_homes]
+        affinity_targets = [AffinityTarget(each, False) for each in choice.near_homes]
         if not large:
-            homes.extend(self._far(choice))
+            affinity_targets.extend(self._far(choice))
         affinity = choice.call.affinity
         return max(
-            homes,
+            affinity_targets,
             key=lambda each: weight(affinity, each.candidate.entry.id),
             default=None,
         )
@@ -69,13 +69,13 @@
         """Yield the homes in other regions that can respond in time."""
         spare = self._spare(choice.call.route)
         for targets in choice.far:
-            for candidate in choice.homes(targets):
+            for candidate in choice.affinity_targets(targets):
                 if self._estimates.trip(candidate.owner) <= spare:
-                    yield Home(candidate, True)
+                    yield AffinityTarget(candidate, True)
 
     def _spare(self, route):
         """Return the longest acceptable round-trip time, in seconds."""
         known = self._estimates.known_work(route)
         if known is None:
-            return TRIP_SHARE * route.latency_aim
-        return route.latency_aim - SPREAD * known
+            return TRIP_SHARE * route.latency_objective
+        return route.latency_objective - SPREAD * known
--- a/src/heathercleat/steering/request/answer.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class AnswerHead:
+class TargetResponseHead:
     """Parsed headers of a target's response.
 
     :param signed: whether the target itself has signed the response.
@@ -64,7 +64,7 @@
 _SERVER_ERROR = 500
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """Outcome of an attempt."""
 
     #: A target sent a complete response.
@@ -81,13 +81,13 @@
     @property
     def not_run(self):
         """Return whether the request is known not to have run."""
-        return self in (End.NOT_SENT, End.REFUSED)
+        return self in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
 
 
-class TryResult:
+class AttemptResult:
     """Result of one attempt.
 
-    :param end: an :class:`End`.
+    :param end: an :class:`AttemptOutcome`.
     :param answer: the :class:`Answer`, if there is one.
     :param target: id of the target of the attempt, or ``None``.
     :param work: response time of the target in seconds, or ``None``.
@@ -113,4 +113,6 @@
     @property
     def succeeded(self):
         """Return whether a target responded without a server error."""
-        return self.end is End.ANSWERED and self.answer.status < _SERVER_ERROR
+        return (
+            self.end is AttemptOutcome.ANSWERED and self.answer.status < _SERVER_ERROR
+        )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from heathercleat.steering.process.departure import NO_END
+from heathercleat.steering.process.shutdown import NO_DEADLINE
 
 
 class Interruptible(Protocol):
@@ -52,11 +52,11 @@
     :param service: name of the service that runs the request.
     :param arrived_at: when the head was read.
     :param deadline: when the final response is due.
-    :param aim_at: latency objective as an instant; a later response counts as late.
-    :param patient_until: when the request stops waiting for a slot.
-    :param send_by: last instant at which the request may be sent to a target; set
+    :param soft_deadline: latency objective as an instant; a later response counts as late.
+    :param give_up_at: when the request stops waiting for a slot.
+    :param send_deadline: last instant at which the request may be sent to a target; set
         while the VM shuts down.
-    :param home_until: until when only the affinity targets may run the request.
+    :param affinity_until: until when only the affinity targets may run the request.
     :param returned: whether the client repeats a request that was refused.
     :param affinity: affinity key of the requested object, or ``None``.
     :param client_wait: timeout that the client sent, in seconds; ``None`` at the owner.
@@ -69,7 +69,7 @@
     :param confined: whether the request may crash its target, so that it should run on
         a target without other requests.
     :param tries: one line of text for each attempt, for the log.
-    :param trying: the :class:`Place` of the current attempt, or ``None``.
+    :param trying: the :class:`Destination` of the current attempt, or ``None``.
     :param trying_since: when the current attempt began.
     :param stop_estimate: the :class:`StopEstimate` made when a leaving VM accepted the
         request, or ``None``.
@@ -85,10 +85,10 @@
         "service",
         "arrived_at",
         "deadline",
-        "aim_at",
-        "patient_until",
-        "home_until",
-        "send_by",
+        "soft_deadline",
+        "give_up_at",
+        "affinity_until",
+        "send_deadline",
         "returned",
         "affinity",
         "client_wait",
@@ -116,10 +116,10 @@
         self.stream = stream
         self.arrived_at = 0.0
         self.deadline = 0.0
-        self.aim_at = 0.0
-        self.patient_until = 0.0
-        self.home_until = 0.0
-        self.send_by = NO_END
+        self.soft_deadline = 0.0
+        self.give_up_at = 0.0
+        self.affinity_until = 0.0
+        self.send_deadline = NO_DEADLINE
         self.returned = False
         self.affinity = None
         self.client_wait = None
--- a/src/heathercleat/steering/request/choice.py
+++ b/src/heathercleat/steering/request/eligibility.py
@@ -4,7 +4,7 @@
 HOMES_OF_OBJECT = 1
 
 
-class Choice:
+class EligibleTargets:
     """Filters the targets of a service for one request.
 
     :param call: the :class:`Call`.
@@ -52,7 +52,7 @@
     @property
     def waits_for_home(self):
         """Return whether the request may still wait for an affinity target."""
-        return self.now < self.call.home_until
+        return self.now < self.call.affinity_until
 
     def usable(self, candidate):
         """Return whether the request may use a candidate and its owner."""
@@ -65,10 +65,10 @@
     def near_homes(self):
         """Return the affinity targets in this region, best first."""
         if self._near_homes is None:
-            self._near_homes = self.homes(self.near) if self.near else []
+            self._near_homes = self.affinity_targets(self.near) if self.near else []
         return self._near_homes
 
-    def homes(self, targets, usable=None):
+    def affinity_targets(self, targets, usable=None):
         """Return the affinity targets in a region, best first.
 
         :param usable: filter for candidates; :meth:`usable` by default.
@@ -77,4 +77,6 @@
         if call.affinity is None or not call.route.sticky:
             return []
         usable = usable or self.usable
-        return targets.homes(call.affinity, HOMES_OF_OBJECT, usable, self.now)
+        return targets.affinity_targets(
+            call.affinity, HOMES_OF_OBJECT, usable, self.now
+        )
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -6,17 +6,17 @@
 
     :param members: the live VMs.
     :param admission: the :class:`Admission`, for waits at this VM.
-    :param rooms: the :class:`RoomView`, for waits at other owners.
+    :param rooms: the :class:`CapacityReports`, for waits at other owners.
     :param trip: function that returns the round-trip time to a VM.
-    :param work_times: the :class:`WorkTimes`.
+    :param response_times: the :class:`ResponseTimes`.
     """
 
-    def __init__(self, members, admission, rooms, trip, work_times, clock):
+    def __init__(self, members, admission, rooms, trip, response_times, clock):
         self._members = members
         self._admission = admission
         self._rooms = rooms
         self._trip = trip
-        self._work_times = work_times
+        self._response_times = response_times
         self._clock = clock
 
     def trip(self, owner):
@@ -30,7 +30,7 @@
         VM.
         """
         if owner == self._members.own.vm:
-            return self._admission.wait_of(call)
+            return self._admission.expected_wait(call)
         if not self._rooms.is_known(owner):
             return 0.0
         waits = self._rooms.waits(owner, call.service)
@@ -54,16 +54,16 @@
 
         :param is_home: whether the target is an affinity target of the request.
         """
-        times, route = self._work_times, call.route.name
+        times, route = self._response_times, call.route.name
         if call.affinity is None or not call.route.sticky:
             return times.of(route)
-        return times.at_home(route) if is_home else times.elsewhere(route)
+        return times.at_affinity_target(route) if is_home else times.elsewhere(route)
 
     def known_work(self, route):
         """Return the response time for a cached object, or ``None`` if unknown."""
-        return self._work_times.known(route.name)
+        return self._response_times.known(route.name)
 
     def is_in_time(self, call, owner, is_home):
         """Return whether a response would be in time if the owner has a free slot."""
         expected = self._trip(owner) + self.work(call, is_home)
-        return self._clock.now() + expected <= call.aim_at
+        return self._clock.now() + expected <= call.soft_deadline
--- a/src/heathercleat/steering/request/patience.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -13,18 +13,18 @@
 LAST_CHANCE = 0.02
 
 
-class Patience:
+class WaitPolicy:
     """Decides how long a request waits for a slot.
 
-    :param work_times: the :class:`WorkTimes`.
+    :param response_times: the :class:`ResponseTimes`.
     """
 
-    def __init__(self, work_times):
-        self._work_times = work_times
+    def __init__(self, response_times):
+        self._response_times = response_times
 
     def of(self, call):
         """Return the instant at which a request stops waiting for a slot."""
-        work = SPREAD * self._work_times.of(call.route.name)
+        work = SPREAD * self._response_times.of(call.route.name)
         least = LEAST_LEFT * (call.deadline - call.arrived_at)
         return max(call.arrived_at, call.deadline - max(work, least))
 
@@ -34,8 +34,8 @@
         That is now if other targets, which respond more slowly, would be in time too.
         """
         route = call.route.name
-        longest = SPREAD * self._work_times.elsewhere(route)
-        if call.arrived_at + longest <= call.aim_at:
+        longest = SPREAD * self._response_times.elsewhere(route)
+        if call.arrived_at + longest <= call.soft_deadline:
             return call.arrived_at
-        latest = call.aim_at - self._work_times.at_home(route)
-        return min(latest, call.patient_until - LAST_CHANCE)
+        latest = call.soft_deadline - self._response_times.at_affinity_target(route)
+        return min(latest, call.give_up_at - LAST_CHANCE)
