--- a/bench/places.py
+++ b/bench/places.py
@@ -98,7 +98,7 @@
     nothing = frozenset()
     for made in calls:
         clock.time += 0.001
-        places.free(made, nothing, nothing)
+        places.select_free(made, nothing, nothing)
         places.select_spillover(made, nothing, nothing)
-        places.waiting(made, nothing, nothing)
+        places.select_queue(made, nothing, nothing)
         places.describe(made)
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -9,9 +9,9 @@
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.request.attempt_result import (
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.containment import Containment
 from heathercleat.steering.request.fingerprint import fingerprint
@@ -58,7 +58,7 @@
     clock = ManualClock()
     suspects = Suspects(Journal("vm-1", "north-a"), clock)
     containment = Containment(suspects, clock)
-    answered = AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b""))
+    answered = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
 
     made = call(clock)
     made.headers = HEADERS
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -63,11 +63,11 @@
         elif name == TARGET_LOAD:
             head.running, head.waiting = _load(value)
         elif name == b"keep-alive":
-            head.keep_for = _keep_alive(value)
+            head.keep_alive_seconds = _keep_alive(value)
     if status == _MISDIRECTED:
         head.not_run = True
         head.replaced = True
-    head.promises = status in NOT_RUN_STATUSES
+    head.implies_not_run = status in NOT_RUN_STATUSES
     return head
 
 
--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -34,7 +34,7 @@
     async def read(self, turn):
         """Read the body of a request and return its :class:`Call`.
 
-        :param turn: the :class:`PipelinedRequest`; its body and reserved memory are updated.
+        :param turn: the :class:`PipelinedRequest`, whose body and memory are set.
         :raises RequestError: with the refusal to send, if it cannot be served.
         """
         head, arrived_at = turn.head, turn.arrived_at
@@ -66,7 +66,7 @@
         # late requests leave the slots to those in time.
         elapsed = self._node.retry_detector.elapsed(route.name, client.wait)
         call.soft_deadline = arrived_at + route.latency_objective - elapsed
-        call.returned = elapsed > 0.0
+        call.is_client_retry = elapsed > 0.0
         call.affinity = client.affinity
         call.client_wait = client.wait
         call.fingerprint = fingerprint(head.method, head.target, passed, turn.body)
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -127,7 +127,7 @@
             self._node.body_memory.give(turn.held)
 
     async def _steer(self, turn, call):
-        """Return the :class:`Answer` to a call.
+        """Return the :class:`TargetResponse` to a call.
 
         :raises RequestError: also if the request is cancelled because it blocks others.
         """
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -77,13 +77,13 @@
         with self._leavers.watch(call):
             avoid = frozenset(order.avoid)
             result = await self._local.run(call, order.preferred, avoid, until)
-            if call.left:
+            if call.is_disconnected:
                 raise EOFError("the other VM left")
             await self._send_result(result)
 
     async def _send_result(self, result):
-        if result.end is AttemptOutcome.ANSWERED:
-            answer = result.answer
+        if result.outcome is AttemptOutcome.ANSWERED:
+            answer = result.response
             headers = [*answer.headers, result_header(result)]
             await self._send(answer.status, headers, answer.body)
         else:
--- a/src/heathercleat/steering/process/active_requests.py
+++ b/src/heathercleat/steering/process/active_requests.py
@@ -40,8 +40,8 @@
         """Look at every stream until cancelled."""
         while True:
             for call in list(self._calls):
-                if not call.left and call.stream.is_closed():
-                    call.left = True
-                    if call.on_leave is not None:
-                        await call.on_leave.interrupt()
+                if not call.is_disconnected and call.stream.is_closed():
+                    call.is_disconnected = True
+                    if call.on_disconnect is not None:
+                        await call.on_disconnect.interrupt()
             await sleep(INTERVAL if self._calls else IDLE_INTERVAL)
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -136,9 +136,9 @@
 
     async def _wait(self, waiter, until):
         """Wait for a turn; a client that leaves ends it as well."""
-        if waiter.slot_use is not None or waiter.call.left:
+        if waiter.slot_use is not None or waiter.call.is_disconnected:
             return
-        waiter.call.on_leave = waiter
+        waiter.call.on_disconnect = waiter
         remaining = until - self._clock.now()
         try:
             if remaining > 0:
@@ -146,7 +146,7 @@
         except TaskTimeout:
             return
         finally:
-            waiter.call.on_leave = None
+            waiter.call.on_disconnect = None
 
     def _try(self, waiter):
         """Take a free slot, of the target that knows the object best."""
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -93,7 +93,13 @@
         known = self.place(target_id)
         if self.is_late(now, hold):
             return True, True, call.route.priority, known, call.deadline
-        return False, not call.returned, call.route.priority, known, call.soft_deadline
+        return (
+            False,
+            not call.is_client_retry,
+            call.route.priority,
+            known,
+            call.soft_deadline,
+        )
 
     def is_late(self, now, hold):
         """Return whether an answer comes after the aim if it starts now."""
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -32,8 +32,8 @@
 
     def take(self, result):
         """Take the :class:`AttemptResult`; without one, the run was broken off."""
-        self.seconds = result.work
-        self.may_have_run = not result.end.not_run
+        self.seconds = result.response_time
+        self.may_have_run = not result.outcome.not_run
         self.succeeded = result.succeeded
 
 
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -39,11 +39,11 @@
                 result=result,
                 status=answer.status,
                 seconds=round(seconds, 4),
-                returned=call.returned,
+                returned=call.is_client_retry,
                 client_wait=call.client_wait,
                 object=call.affinity,
                 fingerprint=call.fingerprint,
-                tries=call.tries,
+                tries=call.attempt_log,
             )
 
     def refused(self, call, error, now):
@@ -61,11 +61,11 @@
             run=error.code.run.value,
             reason=str(error),
             seconds=round(seconds, 4),
-            returned=call.returned if call else None,
+            returned=call.is_client_retry if call else None,
             client_wait=call.client_wait if call else None,
             object=call.affinity if call else None,
             fingerprint=call.fingerprint if call else None,
-            tries=call.tries if call else [],
+            tries=call.attempt_log if call else [],
             retry_in=retry_in,
             **_stop_fields(call and call.stop_estimate),
         )
@@ -81,14 +81,14 @@
             request=call.id,
             route=call.route.name,
             seconds=round(seconds, 4),
-            tries=call.tries,
+            tries=call.attempt_log,
         )
 
     def abandoned(self, call, now):
         """Note a request under way as its VM ends: it gets no answer."""
         seconds = now - call.arrived_at
         self._count(call.route.name, "abandoned", seconds)
-        place = call.trying
+        place = call.destination
         # No limit on lines: the process writes these once.
         self._journal.write(
             Event.REQUEST_ABANDONED,
@@ -99,8 +99,8 @@
             deadline_in=round(call.deadline - now, 3),
             forwarded=call.client_wait is None,
             trying=f"{place.vm} {place.target}" if place else None,
-            trying_seconds=round(now - call.trying_since, 4) if place else None,
-            tries=call.tries,
+            trying_seconds=round(now - call.attempt_started_at, 4) if place else None,
+            tries=call.attempt_log,
             **_stop_fields(call.stop_estimate),
         )
 
--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -18,14 +18,14 @@
     """The target whose cache should hold the object of a request.
 
     :param candidate: its :class:`Candidate`.
-    :param remote: whether it is in another region.
+    :param is_remote: whether it is in another region.
     """
 
-    __slots__ = ("candidate", "remote")
+    __slots__ = ("candidate", "is_remote")
 
-    def __init__(self, candidate, remote):
+    def __init__(self, candidate, is_remote):
         self.candidate = candidate
-        self.remote = remote
+        self.is_remote = is_remote
 
     @property
     def ids(self):
--- a/src/heathercleat/steering/request/attempt_result.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -9,11 +9,11 @@
     :param signed: whether the target itself has signed the response.
     :param not_run: whether the target reports that it has not run the request.
     :param replaced: whether another incarnation responded at the target's address.
-    :param promises: whether the status implies that the request has not run.
+    :param implies_not_run: whether the status implies that the request has not run.
     :param encoded: whether a content encoding was applied to the body.
     :param running: number of requests running at the target, or ``None``.
     :param waiting: number of requests queued at the target, or ``None``.
-    :param keep_for: keep-alive time of the connection in seconds, or ``None``.
+    :param keep_alive_seconds: keep-alive timeout of the connection, or ``None``.
     """
 
     __slots__ = (
@@ -21,11 +21,11 @@
         "signed",
         "not_run",
         "replaced",
-        "promises",
+        "implies_not_run",
         "encoded",
         "running",
         "waiting",
-        "keep_for",
+        "keep_alive_seconds",
     )
 
     def __init__(self):
@@ -33,14 +33,14 @@
         self.signed = False
         self.not_run = False
         self.replaced = False
-        self.promises = False
+        self.implies_not_run = False
         self.encoded = False
         self.running = None
         self.waiting = None
-        self.keep_for = None
+        self.keep_alive_seconds = None
 
 
-class Answer:
+class TargetResponse:
     """A complete response; ``headers`` are pairs of bytes, without hop-by-hop ones."""
 
     __slots__ = ("status", "headers", "body")
@@ -87,32 +87,47 @@
 class AttemptResult:
     """Result of one attempt.
 
-    :param end: an :class:`AttemptOutcome`.
-    :param answer: the :class:`Answer`, if there is one.
+    :param outcome: an :class:`AttemptOutcome`.
+    :param response: the :class:`TargetResponse`, if there is one.
     :param target: id of the target of the attempt, or ``None``.
-    :param work: response time of the target in seconds, or ``None``.
+    :param response_time: response time of the target in seconds, or ``None``.
     :param wait: estimated wait for a slot in seconds, or ``None``.
     :param reason: description of the failure, for the log.
-    :param ended: the incarnation of the target that crashed on the request, or
-        ``None``; see :attr:`TargetEntry.life`.
+    :param crashed_incarnation: id of the incarnation that crashed on the request, or
+        ``None``; see :attr:`TargetEntry.incarnation_id`.
     """
 
-    __slots__ = ("end", "answer", "target", "work", "wait", "reason", "ended")
+    __slots__ = (
+        "outcome",
+        "response",
+        "target",
+        "response_time",
+        "wait",
+        "reason",
+        "crashed_incarnation",
+    )
 
     def __init__(
-        self, end, answer=None, target=None, work=None, wait=None, reason=None
+        self,
+        outcome,
+        response=None,
+        target=None,
+        response_time=None,
+        wait=None,
+        reason=None,
     ):
-        self.end = end
-        self.answer = answer
+        self.outcome = outcome
+        self.response = response
         self.target = target
-        self.work = work
+        self.response_time = response_time
         self.wait = wait
         self.reason = reason
-        self.ended = None
+        self.crashed_incarnation = None
 
     @property
     def succeeded(self):
         """Return whether a target responded without a server error."""
         return (
-            self.end is AttemptOutcome.ANSWERED and self.answer.status < _SERVER_ERROR
+            self.outcome is AttemptOutcome.ANSWERED
+            and self.response.status < _SERVER_ERROR
         )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -48,29 +48,29 @@
 
     :param path: the request target as bytes, unchanged.
     :param headers: the end-to-end headers, pairs of bytes.
-    :param route: the matched :class:`Route`, or a :class:`ForwardedRoute` at the owner.
+    :param route: the matched :class:`Route`; a :class:`ForwardedRoute` at the owner.
     :param service: name of the service that runs the request.
     :param arrived_at: when the head was read.
     :param deadline: when the final response is due.
-    :param soft_deadline: latency objective as an instant; a later response counts as late.
+    :param soft_deadline: the latency objective as an instant.
     :param give_up_at: when the request stops waiting for a slot.
     :param send_deadline: last instant at which the request may be sent to a target; set
         while the VM shuts down.
     :param affinity_until: until when only the affinity targets may run the request.
-    :param returned: whether the client repeats a request that was refused.
+    :param is_client_retry: whether the client retries a refused request.
     :param affinity: affinity key of the requested object, or ``None``.
     :param client_wait: timeout that the client sent, in seconds; ``None`` at the owner.
-    :param fingerprint: equal for all repeats of a request; see
+    :param fingerprint: equal for all retries of a request; see
         :mod:`heathercleat.steering.request.fingerprint`.
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
         they were not needed; see :mod:`heathercleat.steering.request.fingerprint`.
     :param groups: keys of the groups that share the blame for a crash, or ``None``
         before they are determined; see :class:`Containment`.
-    :param confined: whether the request may crash its target, so that it should run on
+    :param needs_isolation: whether the request may crash its target and should run on
         a target without other requests.
-    :param tries: one line of text for each attempt, for the log.
-    :param trying: the :class:`Destination` of the current attempt, or ``None``.
-    :param trying_since: when the current attempt began.
+    :param attempt_log: one line of text for each attempt, for the log.
+    :param destination: the :class:`Destination` of the current attempt, or ``None``.
+    :param attempt_started_at: when the current attempt began.
     :param stop_estimate: the :class:`StopEstimate` made when a leaving VM accepted the
         request, or ``None``.
     """
@@ -89,19 +89,19 @@
         "give_up_at",
         "affinity_until",
         "send_deadline",
-        "returned",
+        "is_client_retry",
         "affinity",
         "client_wait",
         "fingerprint",
         "sender",
         "groups",
-        "confined",
-        "left",
-        "on_leave",
+        "needs_isolation",
+        "is_disconnected",
+        "on_disconnect",
         "stream",
-        "tries",
-        "trying",
-        "trying_since",
+        "attempt_log",
+        "destination",
+        "attempt_started_at",
         "stop_estimate",
     )
 
@@ -120,17 +120,17 @@
         self.give_up_at = 0.0
         self.affinity_until = 0.0
         self.send_deadline = NO_DEADLINE
-        self.returned = False
+        self.is_client_retry = False
         self.affinity = None
         self.client_wait = None
         self.fingerprint = ""
         self.sender = None
         self.groups = None
-        self.confined = False
-        self.tries = []
-        self.trying = None
-        self.trying_since = 0.0
+        self.needs_isolation = False
+        self.attempt_log = []
+        self.destination = None
+        self.attempt_started_at = 0.0
         self.stop_estimate = None
-        self.left = False
+        self.is_disconnected = False
         #: The :class:`Interruptible` for a disconnect of the client, or ``None``.
-        self.on_leave = None
+        self.on_disconnect = None
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -16,7 +16,7 @@
 from heathercleat.steering.process.quarantine.responses import RecentResponses
 from heathercleat.steering.process.quarantine.suspects import QUARANTINE_SECONDS
 from heathercleat.steering.request.attempt_result import AttemptOutcome
-from heathercleat.steering.request.fingerprint import sender
+from heathercleat.steering.request.fingerprint import sender_digest
 
 #: Remembered senders with complete responses; takes about a megabyte.
 MAX_SENDERS = 8192
@@ -67,7 +67,7 @@
         until = self._suspects.refused_until(call.fingerprint)
         if until is not None:
             return _quarantined(call, until)
-        call.confined = self._is_suspected(call)
+        call.needs_isolation = self._is_suspected(call)
         waits = [self._suspects.refused_until(key) for key in call.groups]
         until = max(filter(None, waits), default=None) or self._join_trials(call)
         if until is None:
@@ -100,14 +100,14 @@
         keys = call.groups or ()
         if not is_own:
             keys = (call.fingerprint, *keys)
-        if result.ended is not None:
-            call.confined = True
+        if result.crashed_incarnation is not None:
+            call.needs_isolation = True
             where = call.route.name, call.service
             for key in keys:
-                self._suspects.ended(key, result.ended, *where)
-        elif result.end is AttemptOutcome.ANSWERED:
+                self._suspects.ended(key, result.crashed_incarnation, *where)
+        elif result.outcome is AttemptOutcome.ANSWERED:
             self._answered(call, keys)
-        if self._trials and not result.end.not_run:
+        if self._trials and not result.outcome.not_run:
             self._end_trials(call)
 
     def _groups_of(self, call):
@@ -116,7 +116,7 @@
             return ()
         service, route = call.service, call.route.name
         strangers = unknown_senders_key(service, route)
-        call.sender = sender(call.headers)
+        call.sender = sender_digest(call.headers)
         if call.sender is None:
             return (strangers,)
         own = sender_key(service, route, call.sender)
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -27,18 +27,18 @@
 
     :param vm: name of the owner.
     :param preferred: ids of the affinity targets of the region, best first.
-    :param remote: whether it is in another region.
+    :param is_remote: whether it is in another region.
     :param is_home: whether the target is the affinity target, for which the request
         waits if there is no free slot after all.
     """
 
-    __slots__ = ("vm", "target", "preferred", "remote", "is_home")
+    __slots__ = ("vm", "target", "preferred", "is_remote", "is_home")
 
-    def __init__(self, vm, target, preferred, remote, is_home=False):
+    def __init__(self, vm, target, preferred, is_remote, is_home=False):
         self.vm = vm
         self.target = target
         self.preferred = preferred
-        self.remote = remote
+        self.is_remote = is_remote
         self.is_home = is_home
 
 
@@ -61,10 +61,10 @@
         self._shift = shift
         self._clock = clock
 
-    def free(self, call, avoid, avoid_vms):
+    def select_free(self, call, avoid, avoid_vms):
         """Return the best :class:`Destination` with a free slot, or ``None``."""
         choice = self._choice(call, avoid, avoid_vms)
-        confined = self._confined(choice) if call.confined else None
+        confined = self._confined(choice) if call.needs_isolation else None
         if confined is not None:
             return confined
         home = self._home(choice)
@@ -80,10 +80,10 @@
         return self._best_far(choice, self._near_wait(choice))
 
     def _confined(self, choice):
-        """Return the :class:`Destination` for a request that may crash targets, or ``None``.
+        """Return the :class:`Destination` for a request that may crash its target.
 
         It is one of a few targets of this region, with no other request running, and
-        never the last one with free slots.
+        never the last one with free slots. ``None`` if there is no such target.
         """
         near, now = choice.near, choice.now
         if near is None:
@@ -99,7 +99,7 @@
                 return Destination(each.owner, each.entry.id, (each.entry.id,), False)
         return None
 
-    def waiting(self, call, avoid, avoid_vms):
+    def select_queue(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` to wait at, or ``None``.
 
         It is the affinity target of the object if there is one, otherwise the owner of
@@ -120,13 +120,13 @@
 
     def _at_home(self, home, target=None):
         owner = home.candidate.owner
-        return Destination(owner, target, home.ids, home.remote, is_home=True)
+        return Destination(owner, target, home.ids, home.is_remote, is_home=True)
 
     def _has_hope(self, call, home, patience):
         return self._waiting_cost(call, home.candidate.owner, patience) is not None
 
     def select_spillover(self, call, avoid, avoid_vms):
-        """Return the :class:`Destination` to wait at in a less loaded region, or ``None``.
+        """Return the :class:`Destination` in a less loaded region, or ``None``.
 
         The region must be able to respond in time and its own clients must lose less.
         Requests with large bodies stay, since sending them costs more than a late
@@ -176,7 +176,7 @@
         now = self._clock.now()
         return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
-    def _shortest_wait(self, choice, targets, usable, patience, remote):
+    def _shortest_wait(self, choice, targets, usable, patience, is_remote):
         """Return the :class:`Destination` to wait at in a region, or ``None``.
 
         :param usable: filter for candidates.
@@ -193,7 +193,7 @@
             return None
         # Random among equals, such as owners that do not report to this VM.
         owner = min(costs, key=lambda each: (costs[each], random()))
-        return Destination(owner, None, _ids(affinity_targets), remote)
+        return Destination(owner, None, _ids(affinity_targets), is_remote)
 
     def _waiting_cost(self, call, owner, patience):
         """Return the cost of waiting in seconds, ``None`` if the wait is too long."""
@@ -219,8 +219,8 @@
             choice, near, affinity_targets, choice.usable, False
         )
 
-    def _best(self, choice, targets, affinity_targets, usable, remote):
-        """Return the :class:`Destination` of the best free target of a region, or ``None``.
+    def _best(self, choice, targets, affinity_targets, usable, is_remote):
+        """Return the best :class:`Destination` with a free slot, or ``None``.
 
         Affinity targets come first, then targets of this VM, then the targets with the
         largest share of free slots.
@@ -234,7 +234,7 @@
                 now
             )
             if may_have_room and usable(each):
-                return Destination(each.owner, each.entry.id, known, remote)
+                return Destination(each.owner, each.entry.id, known, is_remote)
         summary = targets.summary(now)
         if not (summary.idle if affinity_targets else summary.free):
             return None
@@ -250,7 +250,7 @@
         if best is None:
             return None
         target = best.entry.id
-        return Destination(best.owner, target, known or (target,), remote)
+        return Destination(best.owner, target, known or (target,), is_remote)
 
     def _is_free(self, candidate, known, now):
         free = candidate.capacity.free(now)
@@ -274,7 +274,7 @@
         return float("inf") if wait is None else wait
 
     def _best_far(self, choice, near_wait):
-        """Return the :class:`Destination` in the region with most free slots, or ``None``.
+        """Return a free :class:`Destination` in another region, or ``None``.
 
         :param near_wait: seconds that the request would wait in this region.
         """
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -28,7 +28,7 @@
 
     def trip(self, place):
         """Return the round-trip time in seconds; 0 inside the region."""
-        return self._trip(place.vm) if place.remote else 0.0
+        return self._trip(place.vm) if place.is_remote else 0.0
 
     async def run(self, call, place, avoid, until):
         """Return the :class:`AttemptResult` of one attempt.
@@ -54,7 +54,7 @@
         result = await self._forward.run(
             call, member.ip, place.preferred, avoid, until, trip
         )
-        if capacity is not None and result.end is not AttemptOutcome.NOT_SENT:
+        if capacity is not None and result.outcome is not AttemptOutcome.NOT_SENT:
             capacity.release()
         return result
 
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -9,13 +9,13 @@
 from heathercleat.request.headers import check_framing, end_to_end
 from heathercleat.steering.request.attempt_result import (
     DEADLINE,
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 
 #: Responses are buffered, so that a truncated one is never passed on as complete.
-MAX_ANSWER_BYTES = 64 << 20
+MAX_RESPONSE_BYTES = 64 << 20
 #: Responses to earlier requests that are skipped before the connection is dropped.
 MOST_STRAY_ANSWERS = 4
 _FIRST_FAILURE = 400
@@ -46,11 +46,11 @@
 
     @property
     def head(self):
-        """Return the :class:`TargetResponseHead`, or ``None`` before a response arrived."""
+        """Return the :class:`TargetResponseHead`; ``None`` before a response."""
         return self._head
 
     async def run(self):
-        """Return the :class:`AttemptResult`, also for connection and protocol errors."""
+        """Return the :class:`AttemptResult`, also for connection errors."""
         target = self._entry.id
         try:
             await before(self._call.deadline, self._clock, self._exchange())
@@ -93,13 +93,13 @@
         headers = list(event.headers)
         check_framing(headers, ResultCode.BAD_ANSWER)
         head = parse_response_head(event.status_code, headers)
-        body = await read_body(self._stream, MAX_ANSWER_BYTES)
+        body = await read_body(self._stream, MAX_RESPONSE_BYTES)
         if head.request_id is not None and head.request_id != self._call.id:
             self._stream.reset_for_response(self._events)
             return False
         self._head = head
         kept = [each for each in end_to_end(headers) if each[0] != b"content-length"]
-        self._answer = Answer(event.status_code, kept, body)
+        self._answer = TargetResponse(event.status_code, kept, body)
         return True
 
     def _judge(self):
@@ -111,7 +111,7 @@
         if answer.status < _FIRST_FAILURE and (not head.signed or head.encoded):
             reason = f"{answer.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
-        if head.promises:
+        if head.implies_not_run:
             # A client would conclude from the status that the request has not run.
             reason = f"{answer.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
--- a/src/heathercleat/steering/request/fingerprint.py
+++ b/src/heathercleat/steering/request/fingerprint.py
@@ -21,7 +21,7 @@
     return digest.hexdigest()
 
 
-def sender(headers):
+def sender_digest(headers):
     """Return a hexadecimal digest of the sender's credentials, ``None`` without any.
 
     :param headers: pairs of bytes, names in lower case.
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -6,12 +6,12 @@
 from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
 from heathercleat.steering.request.attempt_result import (
     CLIENT_LEFT,
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.call import Call, StreamCut
-from heathercleat.steering.request.exchange import MAX_ANSWER_BYTES
+from heathercleat.steering.request.exchange import MAX_RESPONSE_BYTES
 from heathercleat.steering.version.routing import RequestKind
 
 #: Headers with the order and the result of a forwarded request, packed as hexadecimal.
@@ -54,7 +54,7 @@
             setattr(self, name, value)
 
     @classmethod
-    def of(cls, call, preferred, avoid, until, trip, now):
+    def from_call(cls, call, preferred, avoid, until, trip, now):
         """Return the order for a call.
 
         :param until: when to stop waiting for a slot.
@@ -69,7 +69,7 @@
             call.route.priority,
             list(call.route.regions),
             call.affinity,
-            call.returned,
+            call.is_client_retry,
             list(preferred),
             list(avoid),
             call.deadline - now,
@@ -126,7 +126,7 @@
     call.give_up_at = now + order.patience
     call.affinity_until = now + order.home_for
     call.send_deadline = now + order.send_for
-    call.returned = order.returned
+    call.is_client_retry = order.returned
     call.affinity = order.affinity
     call.fingerprint = order.fingerprint
     return call
@@ -135,12 +135,12 @@
 def result_header(result):
     """Return the header with the :class:`AttemptResult` for the forwarding VM."""
     fields = [
-        result.end.value,
+        result.outcome.value,
         result.target,
-        result.work,
+        result.response_time,
         result.wait,
         result.reason,
-        result.ended,
+        result.crashed_incarnation,
     ]
     return RESULT, msgpack.packb(fields).hex().encode()
 
@@ -172,18 +172,18 @@
             stream = await before(connect_by, self._clock, checkout)
         except (OSError, TimeoutError) as error:
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=f"VM {ip}: {error!r}")
-        if call.left:
+        if call.is_disconnected:
             await self._pool.checkin(ip, self._port, stream)
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT)
         # Also for requests that must not run twice: while the request is queued at the
         # owner it has not run, and the owner must learn of the disconnect.
-        call.on_leave = StreamCut(stream)
+        call.on_disconnect = StreamCut(stream)
         try:
             now = self._clock.now()
-            order = ForwardOrder.of(call, preferred, avoid, until, trip, now)
+            order = ForwardOrder.from_call(call, preferred, avoid, until, trip, now)
             return await self._exchange(call, ip, stream, order)
         finally:
-            call.on_leave = None
+            call.on_disconnect = None
 
     async def _exchange(self, call, ip, stream, order):
         whole = False
@@ -216,7 +216,7 @@
         head = await stream.next_event()
         if not isinstance(head, h11.Response):
             raise EOFError("closed before the answer")
-        body = await read_body(stream, MAX_ANSWER_BYTES)
+        body = await read_body(stream, MAX_RESPONSE_BYTES)
         return _read_result(head, body)
 
 
@@ -231,7 +231,7 @@
     kept = [each for each in headers if each[0] != RESULT]
     answer = None
     if AttemptOutcome(end) is AttemptOutcome.ANSWERED:
-        answer = Answer(head.status_code, kept, body)
+        answer = TargetResponse(head.status_code, kept, body)
     result = AttemptResult(AttemptOutcome(end), answer, target, work, wait, reason)
-    result.ended = ended
+    result.crashed_incarnation = ended
     return result
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -81,7 +81,7 @@
             result = await self._send(call, use, preferred)
             return result
         finally:
-            answered = result is not None and result.end is AttemptOutcome.ANSWERED
+            answered = result is not None and result.outcome is AttemptOutcome.ANSWERED
             await self._admission.release(use, answered)
 
     def _obstacle(self, call):
@@ -90,7 +90,7 @@
         Checked after each wait, also because the VM may have been suspended meanwhile.
         """
         now = self._clock.now()
-        if call.left:
+        if call.is_disconnected:
             return CLIENT_LEFT
         if now >= call.send_deadline:
             return LEAVING_REASON
@@ -128,7 +128,9 @@
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
         exchange = TargetExchange(stream, call, entry, self._clock)
         # Aborting would not undo a request that must not run twice.
-        call.on_leave = StreamCut(stream) if call.route.kind.idempotent else None
+        call.on_disconnect = (
+            StreamCut(stream) if call.route.kind.is_idempotent else None
+        )
         try:
             with self._departure.runs.watch(call) as run:
                 result = await exchange.run()
@@ -137,10 +139,10 @@
             await self._pool.discard(entry.host, entry.port, stream)
             raise
         finally:
-            call.on_leave = None
-        result.work = self._clock.now() - started_at
+            call.on_disconnect = None
+        result.response_time = self._clock.now() - started_at
         await self._put_back(entry, stream, exchange.head)
-        if exchange.cut and not call.left:
+        if exchange.cut and not call.is_disconnected:
             await self._note_end(call, entry, result)
         home = entry.id in preferred
         self._learn(call, use, exchange.head, result, home)
@@ -150,7 +152,7 @@
         """Record a crash if the target process itself has ended."""
         if not await self._ends.has_crashed(entry):
             return
-        result.ended = entry.incarnation_id
+        result.crashed_incarnation = entry.incarnation_id
         where = call.route.name, call.service
         self._suspects.ended(call.fingerprint, entry.incarnation_id, *where)
         self._journal.write(
@@ -163,7 +165,7 @@
         )
 
     async def _connect(self, call, entry, now):
-        max_age = None if call.route.kind.idempotent else UNSAFE_IDLE_AGE
+        max_age = None if call.route.kind.is_idempotent else UNSAFE_IDLE_AGE
         checkout = self._pool.checkout(entry.host, entry.port, max_age=max_age)
         deadline = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS)
         return await before(deadline, self._clock, checkout)
@@ -172,23 +174,25 @@
         if head is None:
             await self._pool.discard(entry.host, entry.port, stream)
             return
-        keep_for = head.keep_for and max(0.0, head.keep_for - KEEP_MARGIN)
-        await self._pool.checkin(entry.host, entry.port, stream, keep_for)
+        idle_seconds = head.keep_alive_seconds and max(
+            0.0, head.keep_alive_seconds - KEEP_MARGIN
+        )
+        await self._pool.checkin(entry.host, entry.port, stream, idle_seconds)
 
     def _learn(self, call, use, head, result, home):
         target, now = use.target, self._clock.now()
         if head is not None and head.running is not None:
             target.record_reported_load(head.running, head.waiting, now)
-        if call.left:
+        if call.is_disconnected:
             return
-        if result.end is AttemptOutcome.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             self._suspects.answered(call.fingerprint)
         if result.reason == "replaced":
             self._registry.forget(target.entry.id, "another incarnation answered")
             return
         if result.succeeded:
-            target.health.succeeded(result.work)
-            self._response_times.observe(call.route.name, result.work, home)
+            target.health.succeeded(result.response_time)
+            self._response_times.observe(call.route.name, result.response_time, home)
             return
         may_eject = self._rests.may_eject(call.service)
         if target.health.record_failure(now, use.started_at, may_eject):
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -35,7 +35,7 @@
     """Steers requests of clients.
 
     :param places: the :class:`DestinationSelector`, which selects destinations.
-    :param tries: the :class:`Dispatcher`, which makes the attempts.
+    :param attempt_log: the :class:`Dispatcher`, which makes the attempts.
     :param shift: the :class:`RegionShiftLimit`.
     :param budget: function that returns the :class:`RetryBudget` of a service.
     :param response_times: the :class:`ResponseTimes`.
@@ -70,7 +70,7 @@
         self._clock = clock
 
     async def run(self, call):
-        """Return the final :class:`Answer` of a target.
+        """Return the final :class:`TargetResponse` of a target.
 
         :raises RequestError: with the refusal to send if no target responded.
         :raises CallerDisconnectedError: if the client disconnected.
@@ -99,7 +99,7 @@
     async def run(self):
         call, clock = self._call, self._steering._clock
         while True:
-            if call.left:
+            if call.is_disconnected:
                 raise CallerDisconnectedError
             now = clock.now()
             if not self._runs:
@@ -114,10 +114,10 @@
                 return self._give_up()
             call.send_deadline = self._steering._departure.send_deadline(call)
             until = min(self._until(place, now), call.deadline, call.send_deadline)
-            call.trying, call.trying_since = place, now
+            call.destination, call.attempt_started_at = place, now
             result = await self._try(place, until)
-            call.trying = None
-            if call.left:
+            call.destination = None
+            if call.is_disconnected:
                 raise CallerDisconnectedError
             final = self._take(place, result, until)
             if final is not None:
@@ -141,7 +141,7 @@
         if now >= self._call.give_up_at and self._unsent:
             return None
         places = self._steering._places
-        place = places.free(self._call, self._avoid, self._avoid_vms)
+        place = places.select_free(self._call, self._avoid, self._avoid_vms)
         if place is not None:
             return place
         if now >= self._call.give_up_at:
@@ -149,12 +149,12 @@
         place = self._relief() or self._wait_near()
         if place is None and now < self._call.affinity_until:
             self._call.affinity_until = now
-            place = places.free(self._call, self._avoid, self._avoid_vms)
+            place = places.select_free(self._call, self._avoid, self._avoid_vms)
         return place
 
     def _wait_near(self):
         places = self._steering._places
-        return places.waiting(self._call, self._avoid, self._avoid_vms)
+        return places.select_queue(self._call, self._avoid, self._avoid_vms)
 
     def _relief(self):
         """Return a place to wait at in a less loaded region, at most once."""
@@ -186,7 +186,7 @@
         it would otherwise be forwarded there a second time.
         """
         if place.target is not None and not self._waits(place, now):
-            if place.remote:
+            if place.is_remote:
                 return self._until_far(place, now)
             least = max(self._call.give_up_at, now + LEAST_PATIENCE)
             return min(now + STALE_REPORT_WAIT_SECONDS, least)
@@ -222,28 +222,28 @@
     def _take(self, place, result, until):
         """Record a result; return the final response, or ``None`` to go on."""
         self._last_reason = result.reason
-        self._call.tries.append(self._describe(place, result))
+        self._call.attempt_log.append(self._describe(place, result))
         if result.target is not None:
             self._avoid.add(result.target)
-        if result.end is AttemptOutcome.NOT_SENT:
+        if result.outcome is AttemptOutcome.NOT_SENT:
             if result.reason == QUARANTINED:
                 return self._end_quarantined()
             self._take_unsent(place, result, until)
             return None
         self._sends += 1
-        self._steering._shift.count(place.remote)
-        if result.end is AttemptOutcome.REFUSED:
+        self._steering._shift.count(place.is_remote)
+        if result.outcome is AttemptOutcome.REFUSED:
             return None
         self._runs += 1
-        if result.end is AttemptOutcome.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             self._observe(place, result)
             late = self._steering._clock.now() > self._call.soft_deadline
             self._steering._pressure.answered(self._call.service, late)
             if result.succeeded or not self._may_run_again():
-                return result.answer
-            self._failed_answer = result.answer
+                return result.response
+            self._failed_answer = result.response
             return None
-        if result.end is AttemptOutcome.UNKNOWN and self._may_run_again():
+        if result.outcome is AttemptOutcome.UNKNOWN and self._may_run_again():
             return None
         raise self._unknown(result)
 
@@ -254,11 +254,11 @@
         since the request arrived, both in seconds, and the reason if there is one.
         """
         knows = "home" if result.target in place.preferred else "other"
-        work = "-" if result.work is None else f"{result.work:.3f}"
+        work = "-" if result.response_time is None else f"{result.response_time:.3f}"
         took = self._steering._clock.now() - self._call.arrived_at
         target = result.target or place.target
         reason = f" {result.reason}" if result.reason else ""
-        end = result.end.value
+        end = result.outcome.value
         return f"{place.vm} {target} {knows} {end} {work} {took:.3f}{reason}"
 
     def _take_unsent(self, place, result, until):
@@ -281,14 +281,14 @@
         tries.note_full(self._call, place, result.wait)
 
     def _observe(self, place, result):
-        if result.work is not None and not self._steering._tries.is_own(place):
+        if result.response_time is not None and not self._steering._tries.is_own(place):
             home = result.target in place.preferred
             times = self._steering._response_times
-            times.observe(self._call.route.name, result.work, home)
+            times.observe(self._call.route.name, result.response_time, home)
 
     def _may_run_again(self):
         call = self._call
-        if not call.route.kind.idempotent or self._runs >= call.route.max_attempts:
+        if not call.route.kind.is_idempotent or self._runs >= call.route.max_attempts:
             return False
         if not self._steering._containment.may_retry(call):
             return False
@@ -308,7 +308,7 @@
         raise self._steering._containment.owner_refusal(self._call)
 
     def _unknown(self, result):
-        timed_out = result.end is AttemptOutcome.TIMED_OUT
+        timed_out = result.outcome is AttemptOutcome.TIMED_OUT
         code = ResultCode.DEADLINE_IN_RUN if timed_out else ResultCode.ANSWER_LOST
         return RequestError(code, f"{result.target}: {result.reason}")
 
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -11,7 +11,7 @@
     UPLOAD = "upload"
 
     @property
-    def idempotent(self):
+    def is_idempotent(self):
         """Return whether a request may run more than once."""
         return self is RequestKind.SAFE
 
@@ -27,8 +27,10 @@
 
 
 class Route:
-    """Requests of one host and path prefix; ``timeout`` and ``latency_objective`` in seconds.
+    """Settings for requests of one host and path prefix.
 
+    :param timeout: seconds until the final response at the latest.
+    :param latency_objective: seconds after which a response counts as late.
     :param priority: rank of the requests, 0 is the most urgent.
     :param max_attempts: how often a request may run.
     :param sticky: whether requests have session affinity.
@@ -84,7 +86,7 @@
 class Service:
     """Settings of a service.
 
-    :param cold_requests_per_second: requests per second that a cold target can serve, or ``None``.
+    :param cold_requests_per_second: rate that a cold target can serve, or ``None``.
     """
 
     __slots__ = ("name", "cold_requests_per_second")
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -77,7 +77,7 @@
     made.arrived_at = clock.now()
     made.deadline = clock.now() + 1.0
     made.soft_deadline = clock.now() + 0.3
-    made.returned = returned
+    made.is_client_retry = returned
     made.affinity = affinity
     return made
 
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -32,16 +32,16 @@
     Suspects,
 )
 from heathercleat.steering.request.attempt_result import (
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.containment import (
     MAX_SENDERS,
     MAX_TRIALS,
     Containment,
 )
-from heathercleat.steering.request.fingerprint import fingerprint, sender
+from heathercleat.steering.request.fingerprint import fingerprint, sender_digest
 from tests.fakes import ManualClock
 from tests.steering_parts import call, entry
 from tests.test_crashing_requests import (
@@ -55,7 +55,7 @@
 from tests.test_suspects import tell
 
 HEARTBEATS = 12
-ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b""))
+ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
 LIVES = [f"i-{number}" for number in range(MAX_CRASHES + 4)]
 
 
@@ -89,7 +89,7 @@
         made = made or self.call(name)
         assert self.refusal(made) is None
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
-        result.ended = life
+        result.crashed_incarnation = life
         self.containment.record_result(made, result, False)
 
     def answer(self, made=None, name=None):
@@ -97,7 +97,9 @@
         made = made or self.call(name)
         assert self.refusal(made) is None
         self.containment.record_result(
-            made, AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b"")), False
+            made,
+            AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
+            False,
         )
         return made
 
@@ -278,7 +280,7 @@
         made = view.call(b"k=1")
         made.groups = None
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
-        result.ended = life
+        result.crashed_incarnation = life
         view.refusal(made)
         view.containment.record_result(made, result, False)
     assert view.is_refused(b"k=1")
@@ -291,10 +293,12 @@
         made = view.call(b"k=%d" % number)
         view.refusal(made)
         result = AttemptResult(AttemptOutcome.UNKNOWN, target="t")
-        result.ended = f"i-{number}"
+        result.crashed_incarnation = f"i-{number}"
         view.containment.record_result(made, result, False)
         view.containment.record_result(
-            made, AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b"")), False
+            made,
+            AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
+            False,
         )
     containment = view.containment
     assert view.suspects.count <= MAX_SUSPECTS
@@ -303,10 +307,12 @@
 
 
 def test_sender_of_a_request_without_names_is_not_known():
-    assert sender([(b"host", b"a")]) is None
+    assert sender_digest([(b"host", b"a")]) is None
     named = [(b"host", b"a"), (b"cookie", b"k=1")]
-    assert sender(named) == sender([*named, (b"request-id", b"2")])
-    assert sender(named) != sender([(b"host", b"a"), (b"authorization", b"k=1")])
+    assert sender_digest(named) == sender_digest([*named, (b"request-id", b"2")])
+    assert sender_digest(named) != sender_digest(
+        [(b"host", b"a"), (b"authorization", b"k=1")]
+    )
 
 
 def test_suspected_request_runs_alone_at_one_of_few_targets():
@@ -317,24 +323,24 @@
     assert len(few) == 2
     made = scene.call()
     for first in few:
-        made.confined = True
-        assert scene.places.free(made, (), ()).target == first
+        made.needs_isolation = True
+        assert scene.places.select_free(made, (), ()).target == first
         scene.parts.ledger.get(first).take(scene.parts.clock.now())
-    assert scene.places.free(made, (), ()).target in others
+    assert scene.places.select_free(made, (), ()).target in others
 
 
 def test_suspected_request_takes_no_part_of_the_last_target_with_room_on_purpose():
     scene = Scene([], entries=[entry("t1", slots=2)])
     made = scene.call()
-    made.confined = True
+    made.needs_isolation = True
     assert scene.places._confined(scene.places._choice(made)) is None
-    assert scene.places.free(made, (), ()).target == "t1"
+    assert scene.places.select_free(made, (), ()).target == "t1"
 
 
 def test_request_whose_target_ended_is_confined_when_it_is_repeated(view):
     made = view.call()
     view.end("i-1", made)
-    assert made.confined
+    assert made.needs_isolation
 
 
 class LimitMachine(RuleBasedStateMachine):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -254,7 +254,7 @@
         return await task.join()
 
     result = run(main)
-    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, QUARANTINED)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, QUARANTINED)
 
 
 def test_refusal_of_the_owner_is_final():
@@ -292,13 +292,13 @@
 
 def test_end_that_another_vm_saw_counts_at_once():
     ended = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
-    ended.ended = "t1"
+    ended.crashed_incarnation = "t1"
     far = [entry("t1", domain="south-a")]
     scene = Scene([], entries=far, forwarded=[ended])
     scene.suspects.ended("", "t2")
     scene.suspects.ended("", "t3")
     tries = scene.steering._tries
-    place = Destination("vm-2", None, (), remote=False)
+    place = Destination("vm-2", None, (), is_remote=False)
     scene.parts.members.record_heartbeat(beat("vm-2"))
     run(tries.run, scene.call(), place, (), scene.parts.clock.now() + 1.0)
     assert scene.suspects.refused_until("") is not None
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -208,7 +208,7 @@
     made = scene.call()
     now = scene.parts.clock.now()
     made.deadline = now + FAR
-    made.returned = True
+    made.is_client_retry = True
     needed = scene.shutdown.runs.bound(made)
     scene.shutdown.begin(now, short_grace(needed + 0.02))
     with pytest.raises(RequestError) as caught:
@@ -227,7 +227,7 @@
     made.deadline = now + FAR
     needed = scene.shutdown.runs.bound(made)
     scene.shutdown.begin(now, short_grace(needed + 0.005))
-    if first.answer:
+    if first.response:
         assert scene.run(made).status == 500
     else:
         with pytest.raises(RequestError) as caught:
@@ -303,7 +303,7 @@
         observe(owner.runs, owner.parts.clock, call(owner.parts.clock), 3.9)
     now = owner.parts.clock.now()
     result = owner.run(owner.call(), 1.0, lambda: owner.shutdown.begin(now, GRACE))
-    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
     assert owner.target.free(owner.parts.clock.now()) == 1
 
 
@@ -312,7 +312,7 @@
     request = owner.call()
     request.send_deadline = owner.parts.clock.now() + 0.5
     result = owner.run(request, 1.0)
-    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
 
 
 def test_request_whose_target_is_slow_to_connect_is_not_sent_too_late():
@@ -321,7 +321,7 @@
     request.send_deadline = owner.parts.clock.now() + 0.4
     until = owner.parts.clock.now() + FAR
     result = run(owner.local.run, request, (), (), until)
-    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, LEAVING_REASON)
     assert owner.pool.given_back == 1
 
 
@@ -333,7 +333,7 @@
     now = parts.clock.now()
     request = call(parts.clock)
     request.send_deadline = now + send_in
-    packed = ForwardOrder.of(request, (), (), now, 0.1, now).pack()
+    packed = ForwardOrder.from_call(request, (), (), now, 0.1, now).pack()
     head = h11.Request(method="GET", target="/x", headers=[("host", "a.example")])
     made = call_from_order(ForwardOrder.unpack(packed), head, [], b"", None, now)
     assert made.send_deadline == pytest.approx(now + expected)
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -10,9 +10,9 @@
 from heathercleat.steering.connection.forwarded import ForwardedConnection
 from heathercleat.steering.process.active_requests import ActiveRequests
 from heathercleat.steering.request.attempt_result import (
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.forward import ORDER_HEADER, ForwardOrder
 from tests.fakes import ManualClock
@@ -43,7 +43,7 @@
         """Answer a request as a target does."""
         self.calls.append(call)
         return AttemptResult(
-            AttemptOutcome.ANSWERED, Answer(200, [], self._answer), "t1", 0.1
+            AttemptOutcome.ANSWERED, TargetResponse(200, [], self._answer), "t1", 0.1
         )
 
     def send(self, **fields):
@@ -52,7 +52,7 @@
         for name, value in fields.items():
             setattr(made, name, value)
         now = self.clock.now()
-        order = ForwardOrder.of(made, (), (), now + 1.0, 0.0, now).pack()
+        order = ForwardOrder.from_call(made, (), (), now + 1.0, 0.0, now).pack()
         headers = [("host", "a"), (ORDER_HEADER, order), ("content-length", "2")]
         request = h11.Request(method="POST", target="/", headers=headers)
         self.client.sendall(h11.Connection(h11.CLIENT).send(request))
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -65,7 +65,7 @@
         return made
 
     def place(self, made):
-        return self.places.free(made, frozenset(), frozenset())
+        return self.places.select_free(made, frozenset(), frozenset())
 
     def regions(self, **fields):
         """Return how many of the objects have their home in each region."""
@@ -118,7 +118,7 @@
 def far_call(scene):
     """Return a call whose object has its home in the other region."""
     calls = (scene.call(number) for number in range(OBJECTS))
-    return next(each for each in calls if scene.place(each).remote)
+    return next(each for each in calls if scene.place(each).is_remote)
 
 
 def test_request_waits_at_its_far_home():
@@ -126,8 +126,8 @@
     made = far_call(scene)
     scene.report(0)
     assert scene.place(made) is None
-    place = scene.places.waiting(made, frozenset(), frozenset())
-    assert (place.vm, place.target, place.remote) == ("vm-3", None, True)
+    place = scene.places.select_queue(made, frozenset(), frozenset())
+    assert (place.vm, place.target, place.is_remote) == ("vm-3", None, True)
 
 
 def test_late_request_takes_an_idle_target_near():
@@ -135,11 +135,11 @@
     made = far_call(scene)
     scene.report(0)
     scene.parts.clock.time = made.affinity_until + 0.01
-    assert not scene.place(made).remote
+    assert not scene.place(made).is_remote
 
 
 def test_object_of_an_unreachable_home_has_another():
     scene = Scene()
     made = far_call(scene)
-    place = scene.places.free(made, frozenset(), {"vm-3"})
-    assert not place.remote
+    place = scene.places.select_free(made, frozenset(), {"vm-3"})
+    assert not place.is_remote
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -33,7 +33,7 @@
 from heathercleat.steering.process.capacity.run_times import RunTimes
 from heathercleat.steering.process.retry_detector import RetryDetector
 from heathercleat.steering.process.shutdown import KEEP_ALIVE_SECONDS, Shutdown
-from heathercleat.steering.request.attempt_result import Answer
+from heathercleat.steering.request.attempt_result import TargetResponse
 from heathercleat.steering.version.routing import Limits, RoutingTable, Service
 from tests.steering_parts import route
 
@@ -82,12 +82,14 @@
 
     async def steer(self, call):
         signal = self.pending[call.id] = Signal()
-        call.on_leave = Wait(signal)
+        call.on_disconnect = Wait(signal)
         await signal.wait()
         del self.pending[call.id]
-        if call.left:
+        if call.is_disconnected:
             raise CallerDisconnectedError
-        return Answer(200, [(b"request-id", call.id.encode())], call.id.encode())
+        return TargetResponse(
+            200, [(b"request-id", call.id.encode())], call.id.encode()
+        )
 
     def answered(self, call, answer, now):
         pass
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "not_run", "promises"),
+    ("status", "headers", "not_run", "implies_not_run"),
     [
         (503, [(b"not-executed", b"1")], True, True),
         (421, [], True, True),
@@ -131,10 +131,10 @@
     ],
 )
 def test_only_a_refusal_says_that_a_request_has_not_run(
-    status, headers, not_run, promises
+    status, headers, not_run, implies_not_run
 ):
     head = parse_response_head(status, headers)
-    assert (head.not_run, head.promises) == (not_run, promises)
+    assert (head.not_run, head.implies_not_run) == (not_run, implies_not_run)
 
 
 @pytest.mark.parametrize("load", [b"3", b"a,b,c", b"1,2,3,4"])
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -104,7 +104,7 @@
         until = parts.clock.now() + 5.0
         task = await spawn(made.acquire, request, (), frozenset(), until)
         await sleep(0.05)
-        await request.on_leave.interrupt()
+        await request.on_disconnect.interrupt()
         return await task.join()
 
     assert run(main) is None
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -16,9 +16,9 @@
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.request.attempt_result import (
     NO_SLOT_IN_TIME,
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.containment import Containment
 from heathercleat.steering.request.destinations import (
@@ -61,7 +61,9 @@
 
 
 def answered(status=200, target="t1"):
-    return AttemptResult(AttemptOutcome.ANSWERED, Answer(status, [], b""), target, 0.01)
+    return AttemptResult(
+        AttemptOutcome.ANSWERED, TargetResponse(status, [], b""), target, 0.01
+    )
 
 
 def ended(end, target="t1", reason="why"):
@@ -225,7 +227,7 @@
 def test_request_with_hope_waits_for_a_slot_past_its_aim(returned):
     scene = full_scene([no_slot()] * 500)
     made = scene.call()
-    made.returned = returned
+    made.is_client_retry = returned
     with pytest.raises(RequestError):
         scene.run(made)
     assert made.soft_deadline < scene.parts.clock.now() <= made.deadline + 0.1
@@ -233,7 +235,7 @@
 
 def test_request_of_a_client_that_left_is_not_sent_again():
     def leave(made):
-        made.left = True
+        made.is_disconnected = True
         return ended(AttemptOutcome.REFUSED)
 
     scene = Scene([leave, answered()])
@@ -296,7 +298,7 @@
     """A sticky call whose home is full, beside an idle target."""
     scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    home = scene.places.free(made, set(), set()).target
+    home = scene.places.select_free(made, set(), set()).target
     target = scene.parts.ledger.get(home)
     while target.free(scene.parts.clock.now()):
         target.take(scene.parts.clock.now())
@@ -306,18 +308,18 @@
 
 def test_request_goes_to_an_idle_target_while_its_home_is_busy():
     scene, made, home = busy_home_scene()
-    place = scene.places.free(made, set(), set())
+    place = scene.places.select_free(made, set(), set())
     assert place.target not in (None, home)
 
 
 def test_request_that_would_be_late_elsewhere_waits_for_its_home_first():
     scene, made, home = busy_home_scene()
     made.affinity_until = scene.parts.clock.now() + 0.05
-    assert scene.places.free(made, set(), set()) is None
+    assert scene.places.select_free(made, set(), set()) is None
     made.give_up_at = made.affinity_until
-    assert scene.places.waiting(made, set(), set()).preferred == (home,)
+    assert scene.places.select_queue(made, set(), set()).preferred == (home,)
     scene.parts.clock.time = made.affinity_until
-    assert scene.places.free(made, set(), set()).target not in (None, home)
+    assert scene.places.select_free(made, set(), set()).target not in (None, home)
 
 
 @pytest.mark.parametrize(("elsewhere", "waits"), [(0.2, False), (0.5, True)])
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -161,7 +161,7 @@
         return await task.join()
 
     result = run(main)
-    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE)
     assert pool.asked == 0
     assert target.limit(parts.clock.now()) == 1
 
@@ -178,5 +178,5 @@
     request = call(parts.clock)
     request.deadline = parts.clock.now() + left
     result = run(local.run, request, (), (), request.deadline)
-    assert result.end is AttemptOutcome.NOT_SENT
+    assert result.outcome is AttemptOutcome.NOT_SENT
     assert (target.limit(parts.clock.now()) == 0) is rests
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -74,7 +74,7 @@
     Mutation(
         "TWICE",
         f"{STEERING}/request/steer.py",
-        "not call.route.kind.idempotent or self._runs",
+        "not call.route.kind.is_idempotent or self._runs",
         "self._runs",
         "tests/test_steer.py",
         "-k",
@@ -105,7 +105,7 @@
     Mutation(
         "GONE",
         f"{STEERING}/process/active_requests.py",
-        "if not call.left and call.stream.is_closed():",
+        "if not call.is_disconnected and call.stream.is_closed():",
         "if False:",
         "tests/test_steering_path.py",
         "-k",
@@ -286,8 +286,9 @@
     Mutation(
         "GONE-owner-is-told",
         f"{STEERING}/request/forward.py",
-        "call.on_leave = StreamCut(stream)",
-        "call.on_leave = call.route.kind.idempotent and StreamCut(stream) or None",
+        "call.on_disconnect = StreamCut(stream)",
+        "call.on_disconnect = call.route.kind.is_idempotent and "
+        "StreamCut(stream) or None",
         "tests/test_callers_that_leave.py",
     ),
     Mutation(
@@ -866,7 +867,7 @@
     Mutation(
         "CONTAINED-few-targets",
         f"{STEERING}/request/destinations.py",
-        "confined = self._confined(choice) if call.confined else None",
+        "confined = self._confined(choice) if call.needs_isolation else None",
         "confined = None",
         "tests/test_containment.py",
         "-k",
