--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -32,8 +32,8 @@
 
     def record(self, result):
         """Record the :class:`AttemptResult`; a run that was aborted has none."""
-        self.seconds = result.work
-        self.may_have_run = not result.end.not_run
+        self.seconds = result.response_time
+        self.may_have_run = not result.outcome.not_run
         self.succeeded = result.succeeded
 
 
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -1,4 +1,4 @@
-"""Sending a request to a target and reading its whole answer."""
+"""Sends a request to a target and reads the complete response."""
 
 import h11
 
@@ -9,21 +9,20 @@
 from heathercleat.request.headers import check_framing, end_to_end
 from heathercleat.steering.request.attempt_result import (
     DEADLINE,
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 
-#: Largest answer that is taken, in bytes; answers are held whole so that a cut one is
-#: never passed on as if it were complete.
-MAX_ANSWER_BYTES = 64 << 20
-#: Answers to earlier requests that are skipped on a connection before it is given up.
+#: Responses are buffered, so that a truncated one is never passed on as complete.
+MAX_RESPONSE_BYTES = 64 << 20
+#: Responses to earlier requests that are skipped before the connection is dropped.
 MOST_STRAY_ANSWERS = 4
 _FIRST_FAILURE = 400
 
 
 class TargetExchange:
-    """One exchange with a target over one connection.
+    """One request and response with a target over one connection.
 
     :param stream: an open :class:`HttpStream`.
     :param call: the :class:`Call`.
@@ -42,16 +41,16 @@
 
     @property
     def cut(self):
-        """Return whether the connection ended or broke after the request was sent."""
+        """Return whether the connection failed after the request was sent."""
         return self._cut
 
     @property
     def head(self):
-        """Return the :class:`TargetResponseHead`, or ``None`` before the answer."""
+        """Return the :class:`TargetResponseHead`; ``None`` before a response."""
         return self._head
 
     async def run(self):
-        """Return the :class:`AttemptResult`; errors of the target are results."""
+        """Return the :class:`AttemptResult`, also for connection errors."""
         target = self._entry.id
         try:
             await before(self._call.deadline, self._clock, self._exchange())
@@ -85,7 +84,7 @@
         yield h11.EndOfMessage()
 
     async def _read_answer(self):
-        """Read the next answer; return whether it is the one to this request."""
+        """Read the next response; return whether it belongs to this request."""
         event = await self._stream.next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
@@ -94,17 +93,17 @@
         headers = list(event.headers)
         check_framing(headers, ResultCode.BAD_ANSWER)
         head = parse_response_head(event.status_code, headers)
-        body = await read_body(self._stream, MAX_ANSWER_BYTES)
+        body = await read_body(self._stream, MAX_RESPONSE_BYTES)
         if head.request_id is not None and head.request_id != self._call.id:
             self._stream.reset_for_response(self._events)
             return False
         self._head = head
         kept = [each for each in end_to_end(headers) if each[0] != b"content-length"]
-        self._answer = Answer(event.status_code, kept, body)
+        self._answer = TargetResponse(event.status_code, kept, body)
         return True
 
     def _judge(self):
-        """Return the result of a whole answer."""
+        """Return the result for a complete response."""
         head, answer, target = self._head, self._answer, self._entry.id
         if head.not_run:
             reason = "replaced" if head.replaced else "shed"
@@ -112,8 +111,8 @@
         if answer.status < _FIRST_FAILURE and (not head.signed or head.encoded):
             reason = f"{answer.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
-        if head.promises:
-            # The status would tell the client that the request has not run.
+        if head.implies_not_run:
+            # A client would conclude from the status that the request has not run.
             reason = f"{answer.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         return AttemptResult(AttemptOutcome.ANSWERED, answer, target)
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -1,4 +1,4 @@
-"""One try at a request through the VM that owns its target, and its answer there."""
+"""Forwards requests to the VM that owns the target, and encodes the result."""
 
 import h11
 import msgpack
@@ -6,26 +6,28 @@
 from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
 from heathercleat.steering.request.attempt_result import (
     CLIENT_LEFT,
-    Answer,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.call import Call, StreamCut
-from heathercleat.steering.request.exchange import MAX_ANSWER_BYTES
+from heathercleat.steering.request.exchange import MAX_RESPONSE_BYTES
 from heathercleat.steering.version.routing import RequestKind
 
-#: The order of a forwarded request and the result of a try, each packed in a header of
-#: hexadecimal digits.
+#: Headers with the order and the result of a forwarded request, packed as hexadecimal.
 ORDER_HEADER = b"heathercleat-order"
 RESULT = b"heathercleat-result"
-#: Seconds in which another VM of the same region has to accept a connection.
+#: Seconds to connect to a VM of the same region.
 CONNECT_TIMEOUT_SECONDS = 0.4
-#: Seconds after a request's deadline until its owner is taken to have lost it.
+#: Seconds to wait for the owner's result after the deadline.
 ANSWER_MARGIN = 0.05
 
 
 class ForwardOrder:
-    """What the owner needs beside the request; lengths of time in seconds."""
+    """Metadata that a forwarded request carries to the owner; durations in seconds.
+
+    The order of the slots is the wire format.
+    """
 
     __slots__ = (
         "id",
@@ -52,10 +54,11 @@
             setattr(self, name, value)
 
     @classmethod
-    def of(cls, call, preferred, avoid, until, trip, now):
-        """Return the order for a call that may wait for a slot until ``until``.
+    def from_call(cls, call, preferred, avoid, until, trip, now):
+        """Return the order for a call.
 
-        :param trip: the round trip to the owner; it shortens what is left there.
+        :param until: when to stop waiting for a slot.
+        :param trip: the round-trip time to the owner, by which deadlines are reduced.
         """
         return cls(
             call.id,
@@ -66,7 +69,7 @@
             call.route.priority,
             list(call.route.regions),
             call.affinity,
-            call.returned,
+            call.is_client_retry,
             list(preferred),
             list(avoid),
             call.deadline - now,
@@ -78,21 +81,21 @@
         )
 
     def pack(self):
-        """Return the value of the header."""
+        """Return the header value."""
         fields = [getattr(self, name) for name in self.__slots__]
         return msgpack.packb(fields).hex().encode()
 
     @classmethod
     def unpack(cls, value):
-        """Return the order of a header's value.
+        """Parse a header value.
 
-        :raises ValueError: when it does not decode.
+        :raises ValueError: if it cannot be decoded.
         """
         return cls(*msgpack.unpackb(bytes.fromhex(value.decode())))
 
 
 class ForwardedRoute:
-    """The part of a :class:`Route` that matters to the owner of a target."""
+    """The fields of a :class:`Route` that the owner of a target needs."""
 
     __slots__ = ("name", "kind", "priority", "regions")
 
@@ -108,7 +111,10 @@
 
 
 def call_from_order(order, head, headers, body, stream, now):
-    """Return the :class:`Call` of a forwarded request."""
+    """Return the :class:`Call` of a forwarded request.
+
+    :param now: when its head was read.
+    """
     kind, regions = RequestKind(order.kind), frozenset(order.regions)
     route = ForwardedRoute(order.route, kind, order.priority, regions)
     call = Call(
@@ -120,30 +126,30 @@
     call.give_up_at = now + order.patience
     call.affinity_until = now + order.home_for
     call.send_deadline = now + order.send_for
-    call.returned = order.returned
+    call.is_client_retry = order.returned
     call.affinity = order.affinity
     call.fingerprint = order.fingerprint
     return call
 
 
 def result_header(result):
-    """Return the header that tells the result of a try to the forwarding VM."""
+    """Return the header with the :class:`AttemptResult` for the forwarding VM."""
     fields = [
-        result.end.value,
+        result.outcome.value,
         result.target,
-        result.work,
+        result.response_time,
         result.wait,
         result.reason,
-        result.ended,
+        result.crashed_incarnation,
     ]
     return RESULT, msgpack.packb(fields).hex().encode()
 
 
 class ForwardDispatcher:
-    """Tries requests at targets of other VMs.
+    """Sends requests to targets of other VMs.
 
-    :param pool: connections to other VMs.
-    :param port: the port on which VMs take forwarded requests.
+    :param pool: the connection pool for other VMs.
+    :param port: the port on which VMs accept forwarded requests.
     """
 
     def __init__(self, pool, port, clock):
@@ -152,9 +158,12 @@
         self._clock = clock
 
     async def run(self, call, ip, preferred, avoid, until, trip):
-        """Return the :class:`AttemptResult` of a try through the VM at ``ip``.
+        """Return the :class:`AttemptResult` of an attempt through the VM at ``ip``.
 
-        :param trip: the usual round trip to it in seconds.
+        :param preferred: ids of the affinity targets, best first.
+        :param avoid: ids of targets to exclude.
+        :param until: when to stop waiting for a slot.
+        :param trip: the mean round-trip time to the VM in seconds.
         """
         now = self._clock.now()
         connect_by = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS + 2 * trip)
@@ -163,19 +172,18 @@
             stream = await before(connect_by, self._clock, checkout)
         except (OSError, TimeoutError) as error:
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=f"VM {ip}: {error!r}")
-        if call.left:
+        if call.is_disconnected:
             await self._pool.checkin(ip, self._port, stream)
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT)
-        # The owner decides what to do with a request that may run once only: while it
-        # waits there nothing has run. Not told of it, the owner sent such a request up
-        # to 0.95 s after its client had left (seen on a day under load).
-        call.on_leave = StreamCut(stream)
+        # Also for requests that must not run twice: while the request is queued at the
+        # owner it has not run, and the owner must learn of the disconnect.
+        call.on_disconnect = StreamCut(stream)
         try:
             now = self._clock.now()
-            order = ForwardOrder.of(call, preferred, avoid, until, trip, now)
+            order = ForwardOrder.from_call(call, preferred, avoid, until, trip, now)
             return await self._exchange(call, ip, stream, order)
         finally:
-            call.on_leave = None
+            call.on_disconnect = None
 
     async def _exchange(self, call, ip, stream, order):
         whole = False
@@ -208,12 +216,12 @@
         head = await stream.next_event()
         if not isinstance(head, h11.Response):
             raise EOFError("closed before the answer")
-        body = await read_body(stream, MAX_ANSWER_BYTES)
+        body = await read_body(stream, MAX_RESPONSE_BYTES)
         return _read_result(head, body)
 
 
 def _read_result(head, body):
-    """Return the :class:`AttemptResult` in an owner's answer."""
+    """Parse the :class:`AttemptResult` from an owner's response."""
     headers = [each for each in head.headers if each[0] != b"content-length"]
     packed = next((value for name, value in headers if name == RESULT), None)
     if packed is None:
@@ -223,7 +231,7 @@
     kept = [each for each in headers if each[0] != RESULT]
     answer = None
     if AttemptOutcome(end) is AttemptOutcome.ANSWERED:
-        answer = Answer(head.status_code, kept, body)
+        answer = TargetResponse(head.status_code, kept, body)
     result = AttemptResult(AttemptOutcome(end), answer, target, work, wait, reason)
-    result.ended = ended
+    result.crashed_incarnation = ended
     return result
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -1,4 +1,4 @@
-"""One try at a request at a target that this VM owns."""
+"""Sends requests to targets that this VM owns."""
 
 from heathercleat.connection.http import before
 from heathercleat.events import Event
@@ -18,23 +18,23 @@
 from heathercleat.steering.request.call import StreamCut
 from heathercleat.steering.request.exchange import TargetExchange
 
-#: Age in seconds up to which an idle connection carries requests that may run once
-#: only; a target may drop an older one just as the request is on its way.
+#: Longest idle time in seconds of a connection for requests that must not run twice,
+#: since the target may be about to close an older one.
 UNSAFE_IDLE_AGE = 2.0
-#: Margin in seconds by which a connection is given up before the target closes it.
+#: Seconds before the keep-alive timeout of the target at which to drop a connection.
 KEEP_MARGIN = 1.5
 
 
 class LocalDispatcher:
-    """Tries requests at owned targets.
+    """Sends requests to owned targets.
 
-    :param admission: hands out slots.
-    :param ledger: the owned targets.
-    :param registry: learns that a target was replaced.
-    :param pool: connections to targets.
+    :param admission: the :class:`Admission`, which assigns slots.
+    :param ledger: the :class:`SlotLedger` of owned targets.
+    :param registry: the :class:`TargetRegistry`, updated when a target was replaced.
+    :param pool: the connection pool for targets.
     :param response_times: the :class:`ResponseTimes`.
     :param departure: the :class:`Departure` of this VM.
-    :param rests: tells whether a target may rest, a :class:`EjectionLimit`.
+    :param rests: the :class:`EjectionLimit`, which limits ejected targets.
     :param suspects: the :class:`Suspects`.
     """
 
@@ -64,11 +64,11 @@
         self._clock = clock
 
     async def run(self, call, preferred, avoid, until):
-        """Return the :class:`AttemptResult` of one try.
+        """Return the :class:`AttemptResult` of one attempt.
 
-        :param preferred: ids of the targets to use if they are free, the best first.
-        :param avoid: ids of targets not to use.
-        :param until: instant at which to give up waiting for a slot.
+        :param preferred: ids of the affinity targets, best first.
+        :param avoid: ids of targets to exclude.
+        :param until: when to stop waiting for a slot.
         """
         use = await self._admission.acquire(call, preferred, avoid, until)
         if use is None:
@@ -81,16 +81,16 @@
             result = await self._send(call, use, preferred)
             return result
         finally:
-            answered = result is not None and result.end is AttemptOutcome.ANSWERED
+            answered = result is not None and result.outcome is AttemptOutcome.ANSWERED
             await self._admission.release(use, answered)
 
     def _obstacle(self, call):
-        """Return why a request that has its slot is not sent after all, or ``None``.
+        """Return why a request that has a slot must not be sent, or ``None``.
 
-        Much may have changed while it waited, also since this VM slept meanwhile.
+        Checked after each wait, also because the VM may have been suspended meanwhile.
         """
         now = self._clock.now()
-        if call.left:
+        if call.is_disconnected:
             return CLIENT_LEFT
         if now >= call.send_deadline:
             return LEAVING_REASON
@@ -115,20 +115,22 @@
         try:
             stream = await self._connect(call, entry, started_at)
         except (OSError, TimeoutError) as error:
-            # A request with little time left gives its target little to accept in.
+            # A timeout at the deadline of the request says nothing about the target.
             if not isinstance(error, TimeoutError) or self._clock.now() < call.deadline:
                 self._rest(target, started_at, f"connect: {error!r}")
             return AttemptResult(
                 AttemptOutcome.NOT_SENT, target=entry.id, reason=repr(error)
             )
-        # To connect takes time as well.
+        # Check again, since connecting takes time.
         obstacle = self._obstacle(call)
         if obstacle is not None:
             await self._pool.checkin(entry.host, entry.port, stream)
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
         exchange = TargetExchange(stream, call, entry, self._clock)
-        # To cut the connection does not undo what runs, which may run once only.
-        call.on_leave = StreamCut(stream) if call.route.kind.idempotent else None
+        # Aborting would not undo a request that must not run twice.
+        call.on_disconnect = (
+            StreamCut(stream) if call.route.kind.is_idempotent else None
+        )
         try:
             with self._departure.runs.track(call) as run:
                 result = await exchange.run()
@@ -137,20 +139,20 @@
             await self._pool.discard(entry.host, entry.port, stream)
             raise
         finally:
-            call.on_leave = None
-        result.work = self._clock.now() - started_at
+            call.on_disconnect = None
+        result.response_time = self._clock.now() - started_at
         await self._put_back(entry, stream, exchange.head)
-        if exchange.cut and not call.left:
+        if exchange.cut and not call.is_disconnected:
             await self._note_end(call, entry, result)
         home = entry.id in preferred
         self._learn(call, use, exchange.head, result, home)
         return result
 
     async def _note_end(self, call, entry, result):
-        """Find out whether the target itself ended under a request, and note it."""
+        """Record a crash if the target process itself has ended."""
         if not await self._ends.has_crashed(entry):
             return
-        result.ended = entry.incarnation_id
+        result.crashed_incarnation = entry.incarnation_id
         where = call.route.name, call.service
         self._suspects.record_crash(call.fingerprint, entry.incarnation_id, *where)
         self._journal.write(
@@ -163,7 +165,7 @@
         )
 
     async def _connect(self, call, entry, now):
-        max_age = None if call.route.kind.idempotent else UNSAFE_IDLE_AGE
+        max_age = None if call.route.kind.is_idempotent else UNSAFE_IDLE_AGE
         checkout = self._pool.checkout(entry.host, entry.port, max_age=max_age)
         deadline = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS)
         return await before(deadline, self._clock, checkout)
@@ -172,23 +174,25 @@
         if head is None:
             await self._pool.discard(entry.host, entry.port, stream)
             return
-        keep_for = head.keep_for and max(0.0, head.keep_for - KEEP_MARGIN)
-        await self._pool.checkin(entry.host, entry.port, stream, keep_for)
+        idle_seconds = head.keep_alive_seconds and max(
+            0.0, head.keep_alive_seconds - KEEP_MARGIN
+        )
+        await self._pool.checkin(entry.host, entry.port, stream, idle_seconds)
 
     def _learn(self, call, use, head, result, home):
         target, now = use.target, self._clock.now()
         if head is not None and head.running is not None:
             target.record_reported_load(head.running, head.waiting, now)
-        if call.left:
+        if call.is_disconnected:
             return
-        if result.end is AttemptOutcome.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             self._suspects.record_response(call.fingerprint)
         if result.reason == "replaced":
             self._registry.forget(target.entry.id, "another incarnation answered")
             return
         if result.succeeded:
-            target.health.record_success(result.work)
-            self._response_times.record(call.route.name, result.work, home)
+            target.health.record_success(result.response_time)
+            self._response_times.record(call.route.name, result.response_time, home)
             return
         may_eject = self._rests.may_eject(call.service)
         if target.health.record_failure(now, use.started_at, may_eject):
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -1,4 +1,4 @@
-"""Steering a request: places, tries, repeats and the final answer."""
+"""Steers a request: destinations, attempts, retries and the final response."""
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import CallerDisconnectedError, RequestError
@@ -12,33 +12,32 @@
 from heathercleat.steering.request.destinations import LARGE_BODY_BYTES
 from heathercleat.steering.request.wait_policy import WaitPolicy
 
-#: Seconds after which a request that waits looks for room elsewhere again.
+#: Seconds in a local queue after which a request looks for another destination.
 WAIT_SLICE = 0.08
-#: The same where another VM owns the targets: each slice sends the body again.
+#: The same for the queue of another VM; forwarding again sends the body again.
 FORWARDED_RECHECK_SECONDS = 0.25
-#: The same for a request that is late already, since its wait is long, and for one with
-#: a large body, which costs more to send again than a look elsewhere gains.
+#: The same for a request with a large body, or one past its latency objective.
 LONG_SLICE = 1.0
-#: Seconds for which a request may wait at an owner whose report said that a slot was
-#: free: reports are old by half a heartbeat interval.
+#: Longest wait in seconds if the owner reported a free slot; reports are delayed by
+#: heartbeats.
 STALE_REPORT_WAIT_SECONDS = 0.03
-#: The same once the request's patience is over: what a hop inside a region takes.
+#: The same once the request has stopped waiting: a network hop in a region.
 LEAST_PATIENCE = 0.005
-#: The longest wait for a slot in another region, whose queue is not seen from here.
+#: Longest wait in seconds for a slot in another region.
 FAR_PATIENCE = 0.15
-#: Dispatcher at places with room that sent nothing, after which a request is refused.
+#: Unsent attempts at reported free slots after which a request is refused.
 MOST_UNSENT = 5
-#: Bounds in seconds on the time after which a refused client is asked to come back.
+#: Shortest time in seconds after which a refused client may retry.
 LEAST_RETURN = 0.05
 
 
 class Steering:
     """Steers requests of clients.
 
-    :param places: finds where to try next.
-    :param tries: makes the tries, a :class:`Dispatcher`.
+    :param places: the :class:`DestinationSelector`, which selects destinations.
+    :param attempt_log: the :class:`Dispatcher`, which makes the attempts.
     :param shift: the :class:`RegionShiftLimit`.
-    :param budget: returns the :class:`RetryBudget` of a service.
+    :param budget: function that returns the :class:`RetryBudget` of a service.
     :param response_times: the :class:`ResponseTimes`.
     :param pressure: the :class:`LossRates`.
     :param departure: the :class:`Departure` of this VM.
@@ -71,17 +70,17 @@
         self._clock = clock
 
     async def run(self, call):
-        """Return the final :class:`Answer` of a target.
+        """Return the final :class:`TargetResponse` of a target.
 
-        :raises RequestError: with the final answer when there is none of a target.
-        :raises CallerDisconnectedError: when the client left.
+        :raises RequestError: with the refusal to send if no target responded.
+        :raises CallerDisconnectedError: if the client disconnected.
         """
         self._budget(call.service).record_request(self._clock.now())
         return await _Run(self, call).run()
 
 
 class _Run:
-    """The tries of one request."""
+    """The attempts of one request."""
 
     def __init__(self, steering, call):
         self._steering = steering
@@ -100,7 +99,7 @@
     async def run(self):
         call, clock = self._call, self._steering._clock
         while True:
-            if call.left:
+            if call.is_disconnected:
                 raise CallerDisconnectedError
             now = clock.now()
             if not self._runs:
@@ -115,17 +114,17 @@
                 return self._give_up()
             call.send_deadline = self._steering._departure.send_deadline(call)
             until = min(self._until(place, now), call.deadline, call.send_deadline)
-            call.trying, call.trying_since = place, now
+            call.destination, call.attempt_started_at = place, now
             result = await self._try(place, until)
-            call.trying = None
-            if call.left:
+            call.destination = None
+            if call.is_disconnected:
                 raise CallerDisconnectedError
             final = self._take(place, result, until)
             if final is not None:
                 return final
 
     async def _try(self, place, until):
-        """Return the :class:`AttemptResult` of a try at a place."""
+        """Return the :class:`AttemptResult` of one attempt."""
         call, steering = self._call, self._steering
         trying = steering._tries.run(call, place, self._avoid, until)
         if steering._tries.is_own(place):
@@ -136,13 +135,13 @@
             return result
 
     def _next_place(self, now):
-        """Return where to try next, or ``None`` when it is time to give up."""
+        """Return the next :class:`Place`, or ``None`` to give up."""
         if now >= self._call.deadline or self._unsent >= MOST_UNSENT:
             return None
         if now >= self._call.give_up_at and self._unsent:
             return None
         places = self._steering._places
-        place = places.free(self._call, self._avoid, self._avoid_vms)
+        place = places.select_free(self._call, self._avoid, self._avoid_vms)
         if place is not None:
             return place
         if now >= self._call.give_up_at:
@@ -150,15 +149,15 @@
         place = self._relief() or self._wait_near()
         if place is None and now < self._call.affinity_until:
             self._call.affinity_until = now
-            place = places.free(self._call, self._avoid, self._avoid_vms)
+            place = places.select_free(self._call, self._avoid, self._avoid_vms)
         return place
 
     def _wait_near(self):
         places = self._steering._places
-        return places.waiting(self._call, self._avoid, self._avoid_vms)
+        return places.select_queue(self._call, self._avoid, self._avoid_vms)
 
     def _relief(self):
-        """Return a place to wait at in a region whose clients lose less, once."""
+        """Return a place to wait at in a less loaded region, at most once."""
         if self._relieved:
             return None
         place = self._steering._places.select_spillover(
@@ -183,11 +182,11 @@
     def _until(self, place, now):
         """Return the instant until which the request may wait for a slot there.
 
-        At the home of its object it waits at once, though the home seemed to have room:
-        it would only come back to wait there, over the network and with its body again.
+        At its affinity target the request waits even if a slot was reported free, since
+        it would otherwise be forwarded there a second time.
         """
         if place.target is not None and not self._waits(place, now):
-            if place.remote:
+            if place.is_remote:
                 return self._until_far(place, now)
             least = max(self._call.give_up_at, now + LEAST_PATIENCE)
             return min(now + STALE_REPORT_WAIT_SECONDS, least)
@@ -197,13 +196,13 @@
         return min(end, now + self._slice(place, now))
 
     def _waits(self, place, now):
-        """Return whether the request waits at a place, if its target has no room."""
+        """Return whether the request queues at a place that has no free slot."""
         return place.target is None or (
             place.is_home and now < self._call.affinity_until
         )
 
     def _slice(self, place, now):
-        """Return the seconds after which a request looks for a place again."""
+        """Return the seconds after which to look for another place."""
         if self._steering._tries.is_own(place):
             return WAIT_SLICE
         is_large = len(self._call.body) >= LARGE_BODY_BYTES
@@ -211,52 +210,55 @@
         return LONG_SLICE if late or is_large else FORWARDED_RECHECK_SECONDS
 
     def _until_far(self, place, now):
-        """Return how long to wait in another region and still be answered in time."""
+        """Return the instant until which to wait in another region.
+
+        A response within the latency objective must remain possible.
+        """
         call, steering = self._call, self._steering
         work = steering._response_times.mean(call.route.name)
         latest = call.soft_deadline - steering._tries.trip(place) - work
         return min(max(now + STALE_REPORT_WAIT_SECONDS, latest), now + FAR_PATIENCE)
 
     def _take(self, place, result, until):
-        """Take the result of a try; return the final answer, or ``None`` to go on."""
+        """Record a result; return the final response, or ``None`` to go on."""
         self._last_reason = result.reason
-        self._call.tries.append(self._describe(place, result))
+        self._call.attempt_log.append(self._describe(place, result))
         if result.target is not None:
             self._avoid.add(result.target)
-        if result.end is AttemptOutcome.NOT_SENT:
+        if result.outcome is AttemptOutcome.NOT_SENT:
             if result.reason == QUARANTINED:
                 return self._end_quarantined()
             self._take_unsent(place, result, until)
             return None
         self._sends += 1
-        self._steering._shift.record(place.remote)
-        if result.end is AttemptOutcome.REFUSED:
+        self._steering._shift.record(place.is_remote)
+        if result.outcome is AttemptOutcome.REFUSED:
             return None
         self._runs += 1
-        if result.end is AttemptOutcome.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             self._observe(place, result)
             late = self._steering._clock.now() > self._call.soft_deadline
             self._steering._pressure.record_response(self._call.service, late)
             if result.succeeded or not self._may_run_again():
-                return result.answer
-            self._failed_answer = result.answer
+                return result.response
+            self._failed_answer = result.response
             return None
-        if result.end is AttemptOutcome.UNKNOWN and self._may_run_again():
+        if result.outcome is AttemptOutcome.UNKNOWN and self._may_run_again():
             return None
         raise self._unknown(result)
 
     def _describe(self, place, result):
-        """Return a try as text.
+        """Return an attempt as text for the log.
 
-        It tells the owner, the target and whether it knows the object, the end, what
-        the target took, and the time since the request came, in seconds.
+        The fields are owner, target, home or other, outcome, response time and time
+        since the request arrived, both in seconds, and the reason if there is one.
         """
         knows = "home" if result.target in place.preferred else "other"
-        work = "-" if result.work is None else f"{result.work:.3f}"
+        work = "-" if result.response_time is None else f"{result.response_time:.3f}"
         took = self._steering._clock.now() - self._call.arrived_at
         target = result.target or place.target
         reason = f" {result.reason}" if result.reason else ""
-        end = result.end.value
+        end = result.outcome.value
         return f"{place.vm} {target} {knows} {end} {work} {took:.3f}{reason}"
 
     def _take_unsent(self, place, result, until):
@@ -279,14 +281,14 @@
         tries.note_full(self._call, place, result.wait)
 
     def _observe(self, place, result):
-        if result.work is not None and not self._steering._tries.is_own(place):
+        if result.response_time is not None and not self._steering._tries.is_own(place):
             home = result.target in place.preferred
             times = self._steering._response_times
-            times.record(self._call.route.name, result.work, home)
+            times.record(self._call.route.name, result.response_time, home)
 
     def _may_run_again(self):
         call = self._call
-        if not call.route.kind.idempotent or self._runs >= call.route.max_attempts:
+        if not call.route.kind.is_idempotent or self._runs >= call.route.max_attempts:
             return False
         if not self._steering._containment.may_retry(call):
             return False
@@ -294,24 +296,24 @@
         return self._steering._clock.now() + work < call.deadline
 
     def _check_quarantine(self):
-        """Raise the refusal of a request under which targets end."""
+        """Raise the refusal of a request that crashes targets."""
         refusal = self._steering._containment.refusal(self._call)
         if refusal is not None:
             raise refusal
 
     def _end_quarantined(self):
-        """Return a failed answer that is left, or raise the final refusal."""
+        """Return the last failed response, or raise the final refusal."""
         if self._runs:
             return self._give_up()
         raise self._steering._containment.owner_refusal(self._call)
 
     def _unknown(self, result):
-        timed_out = result.end is AttemptOutcome.TIMED_OUT
+        timed_out = result.outcome is AttemptOutcome.TIMED_OUT
         code = ResultCode.DEADLINE_IN_RUN if timed_out else ResultCode.ANSWER_LOST
         return RequestError(code, f"{result.target}: {result.reason}")
 
     def _give_up(self):
-        """Return a failed answer that is left, or raise the final refusal."""
+        """Return the last failed response, or raise the final refusal."""
         if self._failed_answer is not None:
             return self._failed_answer
         if self._runs:
@@ -325,7 +327,7 @@
         raise RequestError(ResultCode.NO_ROOM, reason, retry_at=wait)
 
     def _return_after(self):
-        """Return the instant from which the client is welcome again."""
+        """Return the instant from which the client may retry."""
         expected = self._steering._places.expected_wait(self._call) or 0.0
         mean = max(LEAST_RETURN, expected)
         return compute_retry_at(self._call, mean, self._steering._clock.now())
