--- a/src/heathercleat/process/capacity/__init__.py
+++ b/src/heathercleat/process/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slots of targets: who may use them, who waits, which targets answer."""
+"""Target capacity: slots, leases, queues, admission control and health checks."""
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -1,9 +1,13 @@
-"""Admission: which target a request goes to, or that there is no room for it now.
+"""Admission control: assigns each request a target slot, queues it or refuses it.
 
-The order is: a free slot of a target homed here, a slot under a lease when its round
-trip is shorter than the wait expected here, a short queue by earliest deadline, a slot
-of a target that has become slow, and else a refusal at once with an instant to come
-back at.
+Options are tried in this order:
+
+1. a free slot of a target whose home is this VM;
+2. a slot under a lease, if its round trip is shorter than the expected local wait;
+3. a short queue, ordered by earliest deadline;
+4. a free slot of a slow target.
+
+Otherwise the request is refused at once, with the instant at which to retry.
 """
 
 from dataclasses import dataclass
@@ -18,10 +22,10 @@
 from heathercleat.events import Event
 from heathercleat.process.capacity.queue import ServiceQueue, Waiter
 
-#: The expected wait where there is no slot: a lease may still come.
+#: Expected wait while there is no local slot; a lease may still provide one.
 NEVER = float("inf")
 PUMP_INTERVAL = 0.02
-#: Shortest mean time after which a refused caller is asked to come back, in seconds.
+#: Minimum of the mean delay after which a refused caller may retry, in seconds.
 MIN_RETURN = 1.0
 
 
@@ -29,7 +33,7 @@
 class LocalPermit:
     """A slot of a target whose home is this VM.
 
-    ``taken_at`` is an instant of :meth:`Stalls.running`.
+    ``taken_at`` is a time of :meth:`Stalls.running`.
     """
 
     use: object
@@ -39,18 +43,18 @@
 
 @dataclass(slots=True)
 class LeasedPermit:
-    """A slot under a lease; the request goes through the VM that granted it."""
+    """A slot under a lease; the request is forwarded to the VM that granted it."""
 
     lease: object
 
 
 class Admission:
-    """Decides where each request of this VM goes.
+    """Admission control for the requests that this VM receives.
 
-    :param ledger: the slots of the targets homed here.
-    :param holder: the leases held.
-    :param membership: tells whether this VM may act as a home.
-    :param health: orders targets and learns from answers.
+    :param ledger: the slots of the targets whose home is this VM.
+    :param holder: the leases that this VM holds.
+    :param membership: whether this VM may act as a home.
+    :param health: the health of the targets in ``ledger``.
     :param stalls: the :class:`Stalls` of this process.
     """
 
@@ -68,19 +72,22 @@
         holder.on_room(self.pump)
 
     def on_handed_over(self, callback):
-        """Call ``await callback(vm, use)`` when a handed-over request is done."""
+        """Call ``await callback(vm, use)`` when a request ends after a handover.
+
+        ``vm`` is the name of the new home of the target.
+        """
         self._on_handed_over = callback
 
     def waiting(self, service):
-        """Return the number of requests that wait for a service."""
+        """Return the number of requests queued for a service."""
         return len(self._queue(service).waiters)
 
     async def acquire(self, request, avoid=frozenset()):
-        """Return a permit for ``request``.
+        """Return a permit for ``request``, waiting in the queue if necessary.
 
         :param avoid: names of targets that the request must not go to.
-        :raises RequestError: when there is no room within the queue's limits.
-        :raises CallerLeftError: when the caller leaves while the request waits.
+        :raises RequestError: if no slot is free within the limits of the queue.
+        :raises CallerLeftError: if the caller disconnects while the request waits.
         """
         queue = self._queue(request.service.name)
         if not queue.waiters:
@@ -91,7 +98,10 @@
         return await self._wait(queue, request, avoid)
 
     def enter(self, lease_id, deadline):
-        """Return a permit for a request that arrives under a lease, or ``None``."""
+        """Return a permit for a request that another VM forwards under a lease.
+
+        :return: the permit, or ``None`` if the lease has expired or has no free slot.
+        """
         if not self._membership.may_act():
             return None
         use = self._ledger.enter(lease_id, deadline)
@@ -101,9 +111,9 @@
         return LocalPermit(use, target, self._stalls.running())
 
     async def release(self, request, permit, certain):
-        """Free the slot of a permit.
+        """Release the slot of a permit.
 
-        :param certain: whether the target is known to be done with the request.
+        :param certain: whether the target has certainly finished with the request.
         """
         if isinstance(permit, LeasedPermit):
             self._holder.release(permit.lease)
@@ -116,7 +126,7 @@
         await self.pump(request.service.name)
 
     async def pump(self, service):
-        """Give free slots to the waiters of a service."""
+        """Assign free slots to the queued requests of a service, in order."""
         queue = self._queue(service)
         now = self._clock.now()
         for waiter in list(queue.waiters):
@@ -131,7 +141,11 @@
             await waiter.signal.set()
 
     async def run(self):
-        """Look for room that appears by the passing of time, while requests wait."""
+        """Serve the queues periodically.
+
+        A slot also becomes free when a hold or a lease expires or a target warms up,
+        which triggers no call.
+        """
         while True:
             waited_for = [each for each in self._queues.items() if each[1].waiters]
             for service, queue in waited_for:
@@ -143,18 +157,21 @@
             await sleep(PUMP_INTERVAL)
 
     def expected_wait(self, service):
-        """Return the seconds that a request arriving now would wait here."""
+        """Return the seconds that a request arriving now would wait for a local slot.
+
+        It is infinite while there is no such slot.
+        """
         return self._wait_with(service, self._local_slots(service))
 
     def _drain_time(self, service):
-        """Return the seconds until a new last waiter has its turn, leases included."""
+        """Return the expected wait of a new last waiter, in seconds, with leases."""
         slots = self._local_slots(service) + self._leased_slots(service)
         return self._wait_with(service, slots)
 
     def _waits_in_vain(self, queue, service, longest):
-        """Return whether a new last waiter would not have its turn in time.
+        """Return whether a new last waiter would time out in the queue.
 
-        Until a search for leases has fallen short, more slots than those held may come.
+        Unless a search for leases found too few slots, more leases may be granted.
         """
         if self._holder.short_at(service.name) < queue.empty_at:
             return False
@@ -196,7 +213,7 @@
         return self._take(min(fast, key=self._health.cost, default=None), request)
 
     def _try_slow(self, request, avoid):
-        """Take a slow target rather than refuse, if its answer may come in time."""
+        """Return a permit for a slow target that can respond before the deadline."""
         entries = [
             entry
             for entry in self._free_entries(request, avoid)
@@ -244,7 +261,7 @@
             await self._seek(queue, waiter)
             await self._wait_until(waiter, limit)
             if waiter.permit is None and not waiter.evicted:
-                # After a stall of this process its time is over before its turn came.
+                # A stall of this process may have used up the time to wait.
                 await self.pump(request.service.name)
         except BaseException:
             await self._abandon(queue, waiter)
@@ -256,9 +273,9 @@
         return waiter.permit
 
     async def _wait_until(self, waiter, limit):
-        """Wait for a permit, the loss of the place, or the instant ``limit``.
+        """Wait for a permit, eviction from the queue, or the instant ``limit``.
 
-        :raises CallerLeftError: when the caller leaves meanwhile.
+        :raises CallerLeftError: if the caller disconnects meanwhile.
         """
         watcher = None
         if waiter.request.ends_with_caller:
@@ -279,9 +296,9 @@
             await waiter.signal.set()
 
     async def _make_place(self, queue, waiter):
-        """Queue ``waiter`` and return whether it has a place.
+        """Add ``waiter`` to the queue and return whether it was accepted.
 
-        A full queue loses its lightest and latest request.
+        A full queue evicts the request of lowest weight, then of latest deadline.
         """
         queue.push(waiter)
         await self._waiter_came.set()
@@ -298,7 +315,8 @@
     def _last_resort(self, waiter, reason):
         """Return a permit for a slow target.
 
-        :raises RequestError: when there is none, for ``reason``.
+        :param reason: logged as the reason of the refusal.
+        :raises RequestError: if no slow target is usable.
         """
         permit = self._try_slow(waiter.request, waiter.avoid)
         if permit is None:
--- a/src/heathercleat/process/capacity/budget.py
+++ b/src/heathercleat/process/capacity/budget.py
@@ -1,16 +1,16 @@
-"""A budget that keeps retries to a share of the requests."""
+"""A retry budget: limits retries to a fraction of the requests."""
 
-#: Retries earned by each request.
+#: Retries added to the budget by each request.
 RETRY_SHARE = 0.1
-#: Retries that may be saved up.
+#: Maximum number of retries in the budget.
 MAX_SAVED = 10.0
 
 
 class RetryBudget:
-    """Retries allowed for one service.
+    """The retry budget of one service.
 
-    :param share: retries earned by each first attempt.
-    :param saved: how many retries may be saved up.
+    :param share: retries added by each first attempt.
+    :param saved: maximum balance, which is also the initial one.
     """
 
     def __init__(self, share=RETRY_SHARE, saved=MAX_SAVED):
@@ -20,15 +20,15 @@
 
     @property
     def balance(self):
-        """Return the retries left."""
+        """Return the number of retries left; it need not be whole."""
         return self._balance
 
     def earn(self):
-        """Note a first attempt."""
+        """Add the share of a first attempt to the budget."""
         self._balance = min(self._limit, self._balance + self._share)
 
     def spend(self):
-        """Take one retry; return whether there was one."""
+        """Spend one retry and return whether the budget allowed it."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -1,8 +1,8 @@
-"""Entry VMs and homes worked out once for many look-ups.
+"""Cache of the entry VMs that look-ups return.
 
-At the size of thousands of VMs the order of failure domains and the division of targets
-cost far more than an answer, and change rarely. They are kept until the text or the
-list of VMs changes, or for a short while, since drains begin at instants.
+Ranking failure domains and assigning targets to homes is expensive with thousands of
+VMs, and the result rarely changes. An entry is valid until the configuration or the VM
+list changes, and expires soon because drains start at fixed times.
 """
 
 from dataclasses import dataclass
@@ -10,19 +10,20 @@
 
 from heathercleat.version.reach import Reach
 
-#: Seconds for which candidates are kept, and so a drain may be noticed late.
+#: Lifetime of a cache entry in seconds; a drain may be noticed this much later.
 KEPT_SECONDS = 0.2
-#: Failure domains that a look-up falls back on.
+#: Maximum number of failure domains besides the best one.
 MAX_FAR_DOMAINS = 3
-#: Weight of a VM that is the home of no target, against one slot.
+#: Weight of a VM that is not the home of any target; a slot has weight 1.
 LEAST_WEIGHT = 0.01
 
 
 @dataclass(slots=True)
 class DomainVms:
-    """The entry VMs of one failure domain, each with the slots it is the home of.
+    """The entry VMs of one failure domain, weighted by the slots they are the home of.
 
-    ``cumulative`` has the running sums of the weights, for draws.
+    ``weighted`` has pairs of VM and weight; ``cumulative`` has the running sums of the
+    weights, for :func:`random.choices`.
     """
 
     domain: str
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class Candidates:
-    """Failure domains for a service and a caller's domain, the best one first."""
+    """Cached failure domains for a service and a caller's domain, best first."""
 
     domains: list
     state: tuple
@@ -40,9 +41,9 @@
 
 
 class CandidateCache:
-    """Candidates by service and failure domain of the caller.
+    """Candidates by service, failure domain of the caller and avoided domains.
 
-    :param vm: the process: text, membership, VM list.
+    :param vm: the process: configuration, membership, VM list.
     """
 
     def __init__(self, vm, clock):
@@ -52,9 +53,9 @@
         self._weights = {}
 
     def find(self, service, domain, avoided=frozenset()):
-        """Return the :class:`DomainVms` for callers of a domain, the best one first.
+        """Return the :class:`DomainVms` for callers in a failure domain, best first.
 
-        :param avoided: failure domains that come last for the caller.
+        :param avoided: failure domains to rank last.
         """
         place = service.name, domain, avoided
         known = self._candidates.get(place)
@@ -71,7 +72,10 @@
         return vm.version, vm.vm_serial, vm.membership.digest
 
     def _build(self, service, domain, avoided):
-        """Yield the best domains with entry VMs; those without targets come last."""
+        """Yield the best failure domains that have entry VMs.
+
+        Those without targets come last.
+        """
         reach = Reach(self._vm.text, self._clock.wall(), avoided)
         found = 0
         for other in reach.ordered(service, domain):
@@ -98,7 +102,7 @@
 
 
 def _count_slots(text, service, domain, names):
-    """Return the slots of the service that each VM is the home of."""
+    """Return ``{VM name: slots of the service that it is the home of}``."""
     weights = dict.fromkeys(names, 0)
     homes = text.placement.homes(domain, names)
     for target in service.targets_in(domain):
--- a/src/heathercleat/process/capacity/covers.py
+++ b/src/heathercleat/process/capacity/covers.py
@@ -1,12 +1,12 @@
-"""Covers: until when requests admitted by a home may still occupy a target.
-
-A new home that nobody hands a target over to must wait until whatever the earlier home
-admitted has ended. That is the longest timeout of the service, unless it knows better:
-before a home admits a request that ends later than a moment from now, it tells its
-monitors an instant for the target, and it admits nothing beyond that instant. A monitor
-that heard the home until its end vouches for the instant. If it also knows that the
-process of the home has ended, so have its requests, and only what earlier homes
-admitted is left to wait for.
+"""Occupancy bounds: until when requests admitted by a home may occupy a target.
+
+Without a handover, a new home has to wait until all requests that the previous home
+admitted have ended. By default that takes the longest timeout of the service. To
+shorten it, a home announces a bound for the target to its monitors before it admits a
+request with a distant deadline, and admits no request beyond the bound. A monitor that
+received heartbeats until the home failed reports the bound to the new home. If the
+process of the home has exited, its requests have ended as well, and only those admitted
+by even earlier homes matter.
 """
 
 from dataclasses import dataclass
@@ -18,23 +18,23 @@
 from heathercleat.errors import PeerError, RequestError
 from heathercleat.process.clock import NEVER, from_wall, to_wall
 
-#: Requests that end within this many seconds need no cover.
+#: Requests that end within this many seconds need no announced bound.
 SHORT = 2.0
-#: Seconds by which a cover is announced further than needed, to announce it seldom.
+#: Seconds added to each bound, so that fewer announcements are needed.
 SLACK = 5.0
 
 
-#: Seconds back to which a VM that was found dead, and may still run, could have been
-#: the home of a target without having said so.
+#: A VM declared dead within this many seconds that may still run could have become the
+#: home of a target without an announcement.
 UNCERTAIN = 2 * SHORT
 
 
 @dataclass(slots=True, frozen=True)
 class Vouched:
-    """What a monitor knows of a home that ended.
+    """The bound that a monitor knows for a target of a failed home.
 
-    The target may be occupied until ``until`` (epoch seconds). ``gone`` tells that the
-    home's own requests have ended.
+    The target may be occupied until ``until``, in epoch seconds. ``gone`` means that
+    the process of the home has exited, and its own requests with it.
     """
 
     target: str
@@ -45,18 +45,18 @@
 
 @dataclass(slots=True)
 class Told:
-    """What a monitor has acknowledged: its incarnation then, and the edition."""
+    """The edition of the bounds that an incarnation of a monitor acknowledged."""
 
     incarnation: int
     edition: int
 
 
 class CoverPublisher:
-    """Announces the covers of the targets homed here to the monitors of this VM.
+    """Announces the bounds of the targets homed here to the monitors of this VM.
 
     :param vm: the identity of this VM.
-    :param membership: knows the monitors.
-    :param links: calls to peers.
+    :param membership: provides the monitors.
+    :param links: the :class:`PeerLinks` to call them.
     """
 
     def __init__(self, vm, membership, links, clock):
@@ -72,10 +72,10 @@
         self._lock = Lock()
 
     async def ensure(self, target, deadline):
-        """Return when the monitors know that a target may be occupied until then.
+        """Wait until every monitor knows a bound of at least ``deadline`` for a target.
 
-        :param deadline: an instant of this process.
-        :raises RequestError: when a monitor does not acknowledge; nothing was run.
+        :param deadline: an instant of ``clock.now()``.
+        :raises RequestError: if a monitor does not acknowledge; the request is not run.
         """
         if deadline <= self._clock.now() + SHORT:
             return
@@ -87,10 +87,10 @@
                 raise RequestError(ResultCode.NO_ROOM, message)
 
     async def follow(self, holds):
-        """Announce the targets homed here, when they or the monitors changed.
+        """Announce the targets homed here if they or the monitors have changed.
 
-        :param holds: ``{target name: instant}`` until which each is occupied by what
-            an earlier home admitted.
+        :param holds: ``{target name: instant}`` until which requests admitted by
+            earlier homes may occupy the target.
         """
         async with self._lock:
             for target in [name for name in self._until if name not in holds]:
@@ -111,7 +111,10 @@
         self._editions[target] = self._edition
 
     async def _tell_all(self, edition):
-        """Tell the monitors that have not acknowledged an edition; return success."""
+        """Announce an edition to the monitors that have not acknowledged it.
+
+        :return: whether all of them acknowledged.
+        """
         monitors = self._membership.answering_monitors()
         names = {member.vm for member in monitors}
         self._told = {name: told for name, told in self._told.items() if name in names}
@@ -149,9 +152,9 @@
 
 
 class CoverRecords:
-    """The covers that other homes have announced to this VM as their monitor.
+    """The bounds that other homes have announced to this VM as their monitor.
 
-    :param membership: tells whether this VM heard a home until its end.
+    :param membership: whether this VM received heartbeats until a home failed.
     """
 
     def __init__(self, membership, clock):
@@ -160,15 +163,19 @@
         self._records = {}
 
     def record(self, vm, incarnation, covers):
-        """Take the covers of a home, in place of its earlier ones."""
+        """Replace the bounds of a home.
+
+        :param covers: ``{target name: [until, until for earlier homes]}`` in epoch
+            seconds.
+        """
         self._records[vm] = incarnation, covers
 
     def clear(self):
-        """Forget everything, after a pause in which announcements were missed."""
+        """Remove all bounds, after a pause in which announcements were missed."""
         self._records.clear()
 
     def vouched(self, targets):
-        """Yield a :class:`Vouched` for each of the targets of homes that ended."""
+        """Yield the :class:`Vouched` of each target for each failed home."""
         for vm, (incarnation, covers) in self._records.items():
             if not self._membership.heard_until_end(vm, incarnation):
                 continue
@@ -179,17 +186,17 @@
                     yield Vouched(target, vm, held if gone else until, gone)
 
     def _is_gone(self, vm, incarnation):
-        # Another VM may have become the home a moment before it was lost as well.
+        # Another VM may have become the home shortly before it failed as well.
         return self._membership.is_gone(vm, incarnation) and self._membership.all_gone(
             UNCERTAIN
         )
 
 
 def occupied_until(clock, service, vouched):
-    """Return the instant until which a target may be occupied that nobody handed over.
+    """Return the instant until which a target without a handover may be occupied.
 
-    :param vouched: a :class:`Vouched` of every monitor that has one; without any only
-        the longest timeout of the service is certain.
+    :param vouched: the :class:`Vouched` of every monitor that has one; without any, the
+        longest timeout of the service applies.
     """
     now = clock.now()
     longest = now + service.longest_timeout
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -1,8 +1,8 @@
-"""Health of the targets homed here, learned from real answers first, then from probes.
+"""Health of the targets homed here: outlier ejection, slow targets and probes.
 
-A target whose answers fail several times in a row takes no new work for a while, then
-comes back with one slot and warms up. A probe that says "ready" never ends that time
-early, since a probe can be answered by a target that fails its work.
+A target that fails several consecutive requests is ejected: it gets no requests for a
+time, then returns with one slot and warms up. A successful probe doesn't end the
+ejection early, because a target that fails requests may still answer probes.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 )
 from heathercleat.events import Event
 
-#: Failures in a row after which a target is ejected.
+#: Consecutive failures after which a target is ejected.
 MAX_FAILURES = 3
 FIRST_EJECTION = 1.0
 LONGEST_EJECTION = 30.0
@@ -30,19 +30,23 @@
 CHECK_INTERVAL = 0.1
 MAX_PROBE_BYTES = 4096
 MIN_WARM_UP = 1.0
-#: A target is slow when its answers take so many times as long as those of the fastest
-#: target beside it, and so many seconds longer.
+#: A target is slow if its latency exceeds that of the fastest other target of the
+#: service by this factor and these seconds.
 SLOW_FACTOR = 3.0
 SLOW_LEAST = 0.05
-#: Seconds between two requests that try whether a slow target is slow still.
+#: Seconds between requests that test whether a slow target has recovered.
 TRIAL_INTERVAL = 3.0
-#: Probes without an answer after which a target without recent answers is left out.
+#: Consecutive failed probes after which a target counts as unreachable, unless it has
+#: answered a request recently.
 MAX_SILENT_PROBES = 2
 
 
 @dataclass(slots=True)
 class TargetHealth:
-    """What is known of one target; instants are of this process, latency in seconds."""
+    """The state of one target.
+
+    ``latency`` is a moving average in seconds; instants are of ``clock.now()``.
+    """
 
     failures: int = 0
     ejections: int = 0
@@ -56,10 +60,10 @@
 
 
 class HealthBoard:
-    """The health of every target homed here.
+    """Tracks the health of every target homed here.
 
-    :param vm: the process: settings, text, journal.
-    :param ledger: the slots of the homed targets, blocked and warmed up from here.
+    :param vm: the process: settings, configuration, journal.
+    :param ledger: the slots of the homed targets, which are blocked and warmed up here.
     """
 
     def __init__(self, vm, ledger, clock):
@@ -69,20 +73,20 @@
         self._targets = {}
 
     def of(self, name):
-        """Return the :class:`TargetHealth` of a target."""
+        """Return the :class:`TargetHealth` of a target, created on first use."""
         health = self._targets.get(name)
         if health is None:
             health = self._targets[name] = TargetHealth()
         return health
 
     def cost(self, entry):
-        """Return the order in which targets with a free slot are chosen."""
+        """Return the relative cost of a request; the cheapest free target is used."""
         limit = max(1, entry.target.limit)
         load = (entry.used(self._clock.now()) + 1) / limit
         return load * (self.of(entry.target.name).latency + 0.001)
 
     def succeeded(self, target, seconds):
-        """Note a whole answer that took ``seconds``."""
+        """Record a complete response that took ``seconds``."""
         health = self.of(target.name)
         health.failures = 0
         health.ejections = 0
@@ -91,16 +95,19 @@
         self._judge_speed(target, health, seconds)
 
     def is_slow(self, entry):
-        """Return whether other targets have to be full before this one is used."""
+        """Return whether a target is so slow that it is only used as a last resort."""
         health = self.of(entry.target.name)
         if not health.slow:
             return False
-        # The others may have become as slow since its last answer.
+        # The other targets may have become as slow since its last response.
         limit = self._slow_limit(entry.target)
         return limit is not None and health.latency > limit
 
     def take_trial(self, entry):
-        """Return whether a request should try a slow target now, one at a time."""
+        """Return whether to send a trial request to a slow target now.
+
+        Starts a new interval if so.
+        """
         health, now = self.of(entry.target.name), self._clock.now()
         if now < health.trial_at:
             return False
@@ -108,13 +115,16 @@
         return True
 
     def refused(self, target):
-        """Note that the target shed a request: offer it less for a moment."""
+        """Record that the target refused a request: restart its warm-up."""
         entry = self._ledger.targets.get(target.name)
         if entry is not None:
             self._warm_up(entry)
 
     def failed(self, target, reason):
-        """Note a failure of the target itself."""
+        """Record a failure of the target, which may eject it.
+
+        :param reason: the kind of failure; ``"status"`` for an error response.
+        """
         health = self.of(target.name)
         health.failures += 1
         now = self._clock.now()
@@ -137,7 +147,7 @@
         self.check(now)
 
     async def run(self):
-        """Apply drains and ejections, and probe each homed target."""
+        """Apply drains and ejections and probe each homed target, forever."""
         probed_at = {}
         async with TaskGroup() as group:
             while True:
@@ -150,7 +160,7 @@
                 await sleep(CHECK_INTERVAL)
 
     def check(self, now):
-        """Block the targets that take no new work now, and unblock the others."""
+        """Block the targets that must get no new requests and unblock the others."""
         text = self._vm.text
         if text is None:
             return
@@ -175,7 +185,10 @@
             self._log_speed(Event.TARGET_SLOW, target, health.latency, limit)
 
     def _slow_limit(self, target):
-        """Return the seconds beyond which answers are slow, or ``None``."""
+        """Return the latency in seconds above which a target is slow.
+
+        It is ``None`` while no other target of the service has a latency.
+        """
         latencies = [
             self.of(entry.target.name).latency
             for entry in self._ledger.of_service(target.service)
@@ -225,9 +238,9 @@
         entry.start_warm_up(self._clock.now(), seconds)
 
     def _may_eject(self, target):
-        """Return whether half of the service's homed targets stay in service.
+        """Return whether half of the service's homed targets would remain available.
 
-        Answers that fail everywhere point to the requests, not to the targets.
+        If requests fail on most targets, the requests are the likely cause.
         """
         entries = self._ledger.of_service(target.service)
         blocked = sum(1 for entry in entries if entry.blocked)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -1,10 +1,10 @@
-"""Which targets this VM is the home of, and how homes move between VMs.
+"""Assignment of targets to homes, and handovers between homes.
 
-The placement of the text divides the targets of a failure domain over its live VMs. A
-home moves by a handover, in which the earlier home names every slot that is still
-occupied. When no VM can hand a target over, its new home takes every slot as occupied
-until the longest timeout of the service has passed, since requests that the earlier
-home admitted may run until then.
+The placement of the configuration assigns the targets of a failure domain to its live
+VMs. When the home of a target changes, the previous home hands over a list of the
+occupied slots. If no VM can hand the target over, the new home treats every slot as
+occupied until the requests admitted by the previous home must have ended, at the latest
+after the longest timeout of the service.
 """
 
 from dataclasses import astuple, dataclass, replace
@@ -21,18 +21,19 @@
 from heathercleat.version.transition import Transition
 
 CHECK_INTERVAL = 0.1
-#: Seconds between attempts to tell that a request handed over is done.
+#: Seconds between attempts to report to the new home that a request has ended.
 TELL_INTERVAL = 0.25
-#: Seconds for which a handover is kept while other VMs do not answer: until one of them
-#: that is silent counts as dead.
+#: Seconds for which a handover is kept while other VMs don't respond; an unresponsive
+#: VM is declared dead within this time.
 HANDOVER_KEPT = DEAD_AFTER + LEASE
 
 
 @dataclass(slots=True, frozen=True)
 class KeptHandover:
-    """What an earlier home told of a target that is not adopted yet.
+    """The handover of a target that this VM hasn't adopted yet.
 
-    ``holds`` and ``levels`` are as in a :class:`Handover`; ``until`` is an instant.
+    ``holds`` and ``levels`` are as in :class:`Handover`; ``until`` is the instant at
+    which it expires.
     """
 
     holds: list
@@ -41,14 +42,14 @@
 
 
 class Homes:
-    """Keeps the ledger's targets equal to those that this VM is the home of.
+    """Adds and removes targets in the ledger as their homes change.
 
-    :param vm: the process: settings, text in force, journal.
-    :param membership: who is alive in the failure domain.
+    :param vm: the process: settings, configuration, journal.
+    :param membership: the live VMs of the failure domain.
     :param ledger: the slots of the homed targets.
-    :param links: calls to peers.
-    :param records: the covers that this VM vouches for.
-    :param publisher: announces the covers of this VM.
+    :param links: the :class:`PeerLinks` to other VMs.
+    :param records: the occupancy bounds that other homes announced to this VM.
+    :param publisher: announces the occupancy bounds of this VM.
     """
 
     def __init__(self, vm, membership, ledger, links, records, publisher, clock):
@@ -68,27 +69,29 @@
         self._desired_pairs = []
 
     async def run(self):
-        """Acquire targets as the text and the membership change."""
+        """Acquire targets as the configuration and the membership change, forever."""
         while True:
             if self._vm.text is not None:
                 self._follow_text()
-                # Without a VM list another VM could be the home unknown to this one.
+                # Without a VM list, an unknown VM could be the home.
                 if self._vm.directory.known and self._membership.may_act():
                     await self._acquire_missing()
                     await self._publisher.follow(dict(self._holds()))
             await sleep(CHECK_INTERVAL)
 
     def drop_all(self):
-        """Stop being the home of every target at once."""
+        """Stop being the home of every target, without a handover."""
         self._vm.journal.write(Event.HOMES_DROPPED, targets=len(self._ledger.targets))
         self._ledger.drop_all()
         self._kept.clear()
         self._released.clear()
 
     def hand_over(self, receiver, names):
-        """Answer an :class:`Acquire` with what is known of the occupied slots.
+        """Return the :class:`Handover` that answers an :class:`Acquire`.
 
-        :raises PeerError: when this VM is acquiring one of them and goes first.
+        :param receiver: name of the VM that acquires the targets.
+        :raises PeerError: if this VM is acquiring one of them too and takes precedence,
+            which the VM with the lower name does.
         """
         for name in names:
             if name in self._acquiring:
@@ -120,9 +123,9 @@
         return Handover(targets, levels, vouched)
 
     async def tell_released(self, receiver, use):
-        """Tell the new home of a target that a request handed over with it is done.
+        """Report to the new home of a target that a handed-over request has ended.
 
-        It is told again until it answers or has no slot held for the request any more.
+        Retries until the new home responds or its hold for the request has expired.
         """
         while not await self._tell_released(receiver, use):
             if self._clock.now() >= use.deadline + CANCEL_GRACE:
@@ -140,16 +143,19 @@
         return True
 
     def note_released(self, target, use_id):
-        """Free the slot of a request that an earlier home reported as done.
+        """Release the hold of a request that an earlier home reported as ended.
 
-        The report may overtake the adoption of the target, which waits for other VMs.
+        The report may arrive before this VM has adopted the target.
         """
         if target in self._acquiring or target in self._kept:
             self._released.add((target, use_id))
         self._ledger.drop_hold(target, use_id)
 
     def _follow_text(self):
-        """Take the limits of the text in force, the smaller ones while it spreads."""
+        """Apply the limits of the configuration.
+
+        While a new version spreads, the smaller of the old and new limits apply.
+        """
         text, now = self._vm.text, self._clock.now()
         settled = self._transition.settle(now)
         if text is self._transition.text and not settled:
@@ -197,7 +203,7 @@
         self._contested = set()
         try:
             handovers = await self._ask_all(names)
-            # The earlier homes have forgotten what they told.
+            # The earlier homes keep no copy of what they handed over.
             self._keep(handovers)
             if None in handovers or not self._membership.may_act():
                 return
@@ -209,7 +215,10 @@
             self._released = {each for each in self._released if each[0] in self._kept}
 
     async def _ask_all(self, names):
-        """Return the handover of every running VM, ``None`` for one without answer."""
+        """Request a handover from every running VM.
+
+        :return: a list, with ``None`` for each VM that doesn't respond.
+        """
         question = Acquire(self._vm.name, names)
         async with TaskGroup() as group:
             tasks = [
@@ -287,6 +296,6 @@
         return max((hold.until - now for hold in holds), default=0.0)
 
     def _holds(self):
-        """Yield each homed target, and until when earlier homes may occupy it."""
+        """Yield each homed target and the instant until which holds may occupy it."""
         for name, entry in self._ledger.targets.items():
             yield name, max((hold.until for hold in entry.holds), default=0.0)
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -1,9 +1,9 @@
-"""Leases of slots: grants to other VMs, and those that other VMs granted to this one.
+"""Leases of slots: those granted to other VMs and those that other VMs granted.
 
-A VM without a free slot asks the homes of other targets, nearest first, for a lease: a
-number of slots of one target until an instant. The granter counts them as used until
-then, so what it grants never adds up to more than it has. A granter that is cut off is
-not asked again and its leases lapse.
+A VM without a free slot requests leases from the homes of other targets, nearest first.
+A lease gives it a number of slots of one target for a limited time. The granter counts
+these slots as used until the lease expires, so a target is never overcommitted, even if
+the two VMs lose contact.
 """
 
 from dataclasses import dataclass
@@ -26,23 +26,25 @@
 LEASE_TTL = 1.0
 #: Seconds before expiry at which a lease in use is renewed.
 RENEW_BEFORE = 0.5
-#: Seconds after which unused slots are given back: they are missed at their home.
+#: Seconds after which unused slots are returned to their home.
 IDLE_AFTER = 0.05
-#: Seconds for which a VM that had no room is not asked again.
+#: Minimum seconds for which a VM without a free slot isn't asked again; up to twice as
+#: long with jitter.
 FULL_FOR = 0.05
 #: Slots of a service that are not leased to other failure domains.
 LOCAL_RESERVE = 1
-#: Failure domains asked for room at a time, nearest first.
+#: Maximum number of failure domains, nearest first, that a search includes.
 MAX_DOMAINS = 6
 CHECK_INTERVAL = 0.05
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """Slots of a target that another VM is the home of.
+    """A lease that another VM granted to this one.
 
-    ``distance`` is the one-way latency in seconds; instants are of this process.
-    ``peak`` is the most slots in use at once since ``peak_from``.
+    ``distance`` is the one-way latency to ``granter`` in seconds. ``peak`` is the
+    maximum of ``in_use`` since the instant ``peak_from``. Instants are of
+    ``clock.now()``.
     """
 
     id: int
@@ -61,7 +63,7 @@
 
     @property
     def idle_at(self):
-        """Return the instant from which slots beyond the peak are not needed."""
+        """Return the instant at which slots beyond the peak count as idle."""
         return self.peak_from + IDLE_AFTER
 
     def take(self):
@@ -70,22 +72,22 @@
         self.peak = max(self.peak, self.in_use)
 
     def trim(self, now):
-        """Keep as many slots as were in use at once lately; return whether fewer."""
+        """Reduce the lease to its recent peak and return whether that freed slots."""
         unused = self.slots > self.peak
         self.slots = min(self.slots, self.peak)
         self.peak, self.peak_from = self.in_use, now
         return unused
 
     def has_room(self, now):
-        """Return whether a request sent now arrives under the lease."""
+        """Return whether a slot is free for a request that arrives before expiry."""
         return self.in_use < self.slots and now + self.distance < self.expires_at
 
 
 class LeaseGranter:
-    """Answers lease calls of other VMs from the ledger of this one.
+    """Grants leases of the targets homed here to other VMs.
 
-    :param waiting: a callable from a service name to its number of waiting requests.
-    :param health: knows the targets that are slow, which are not leased.
+    :param waiting: a callable that returns the number of queued requests of a service.
+    :param health: the health of the targets; slow targets are not leased.
     """
 
     def __init__(self, vm, ledger, membership, waiting, health, clock):
@@ -97,7 +99,10 @@
         self._clock = clock
 
     def grant(self, request, holder, failure_domain):
-        """Answer a :class:`LeaseRequest` of the VM ``holder``."""
+        """Return the :class:`LeaseGrant` for a :class:`LeaseRequest` of ``holder``.
+
+        Its ``lease_id`` is 0 if no slot can be leased.
+        """
         lease = self._find(request, holder, failure_domain)
         if lease is None:
             full_until = self._clock.wall() + uniform(FULL_FOR, 2 * FULL_FOR)
@@ -120,7 +125,10 @@
         return self._to_grant(lease)
 
     def renew(self, lease_id):
-        """Answer a :class:`LeaseRenewal`."""
+        """Return the :class:`LeaseGrant` for a :class:`LeaseRenewal`.
+
+        Its ``lease_id`` is 0 if the lease has expired or may not be renewed.
+        """
         lease = None
         if self._membership.may_act():
             lease = self._ledger.renew(lease_id, self._clock.now() + LEASE_TTL)
@@ -130,7 +138,7 @@
         return self._to_grant(lease)
 
     def _shrink(self, lease):
-        """Take half of a lease back while requests wait for the service here."""
+        """Reclaim half of a lease if requests are queued for the service here."""
         target = self._ledger.targets[lease.target].target
         if lease.slots > 1 and self._waiting(target.service):
             lease.slots -= lease.slots // 2
@@ -161,10 +169,7 @@
 
 
 class LeaseHolder:
-    """The leases that this VM holds, and the search for more.
-
-    :param on_room: a coroutine function called with the service that gained room.
-    """
+    """The leases that this VM holds, and the search for more of them."""
 
     def __init__(self, vm, links, directory, clock):
         self._vm = vm
@@ -179,7 +184,7 @@
         self._gained = Signal()
 
     def on_room(self, callback):
-        """Call ``await callback(service)`` whenever a lease is gained."""
+        """Call ``await callback(service_name)`` whenever a lease is granted."""
         self._on_room = callback
 
     def held(self, service):
@@ -187,14 +192,17 @@
         return self._leases.get(service, [])
 
     def short_at(self, service):
-        """Return when a search last ended without all the slots that it wanted."""
+        """Return the instant at which a search last ended with too few slots.
+
+        It is negative infinity if that has never happened.
+        """
         return self._short_at.get(service, NEVER)
 
     def take(self, service, avoid, patience):
-        """Use a slot of the nearest lease with room.
+        """Use a slot of the nearest lease that has a free one.
 
         :param avoid: names of targets not to use.
-        :param patience: the longest round trip to accept, in seconds.
+        :param patience: maximum round-trip time in seconds.
         :return: the :class:`HeldLease`, or ``None``.
         """
         now = self._clock.now()
@@ -211,24 +219,27 @@
         return lease
 
     def release(self, lease):
-        """Give a slot back to the lease it came from."""
+        """Release a slot of a lease."""
         lease.in_use -= 1
 
     def end(self, lease):
-        """Forget a lease that its granter no longer honours."""
+        """Drop a lease that its granter no longer accepts."""
         held = self._leases.get(lease.service, [])
         if lease in held:
             held.remove(lease)
 
     async def seek(self, service, want, avoid=()):
-        """Look for ``want`` slots elsewhere, unless a search is under way."""
+        """Start a search for ``want`` slots unless one is running for the service.
+
+        :param avoid: names of targets not to lease.
+        """
         if service.name in self._seeking:
             return
         self._seeking.add(service.name)
         await spawn(self._seek, service, want, list(avoid), daemon=True)
 
     async def run(self):
-        """Renew leases in use, give idle slots back, forget lapsed leases."""
+        """Renew leases in use, return idle slots and drop expired leases, forever."""
         while True:
             now = self._clock.now()
             for leases in self._leases.values():
@@ -243,7 +254,7 @@
         if now >= lease.expires_at:
             leases.remove(lease)
             return
-        # A renewal under way could give back what is returned meanwhile.
+        # A pending renewal could restore the slots that are returned meanwhile.
         if not lease.renewing and now >= lease.idle_at and lease.trim(now):
             item = LeaseReturn(lease.id, lease.slots)
             await spawn(self._call, lease.host, item, daemon=True)
@@ -274,7 +285,7 @@
             self._seeking.discard(service.name)
 
     async def _ask(self, service, entry, distance, want, avoid):
-        """Ask one VM for room and return the number of slots it granted."""
+        """Request a lease from one VM and return the number of granted slots."""
         request = LeaseRequest(service.name, want, avoid)
         grant = await self._call(entry.host, request)
         if not isinstance(grant, LeaseGrant):
@@ -320,7 +331,7 @@
             return None
 
     def _candidates(self, service):
-        """Yield ``(VM, distance)`` of VMs that may have room, nearest first."""
+        """Yield ``(VM, distance)`` of VMs that may grant a lease, nearest first."""
         yield from self._with_room(service, self._reachable(self._homes(service)))
 
     def _homes(self, service):
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -1,19 +1,23 @@
-"""Requests that wait for a slot of one service, the earliest deadline first."""
+"""Queue of the requests of one service, ordered by earliest deadline."""
 
 from dataclasses import dataclass, field
 
 from curio import Event as Signal
 
-#: Weight of the newest observation in the mean time that a request holds a slot.
+#: Weight of a new observation in the moving average of slot holding times.
 HOLD_WEIGHT = 0.1
 FIRST_HOLD = 0.02
-#: Holding times that a request may wait in a queue that does not empty.
+#: Maximum wait in a standing queue, in mean holding times.
 STANDING_HOLDS = 1.5
 
 
 @dataclass(slots=True)
 class Waiter:
-    """A request in a queue."""
+    """A queued request.
+
+    ``signal`` is set when ``permit``, ``evicted`` or ``left`` is; ``left`` means that
+    the caller has disconnected.
+    """
 
     request: object
     avoid: frozenset
@@ -25,12 +29,12 @@
 
     @property
     def rank(self):
-        """Return the order of eviction: light and late requests go first."""
+        """Return the eviction order: low weight first, then latest deadline."""
         return self.request.kind.weight, -self.request.deadline
 
 
 class ServiceQueue:
-    """Waiting requests of one service and how long its requests hold a slot."""
+    """The queue of one service and the mean holding time of its slots."""
 
     def __init__(self):
         self._waiters = []
@@ -40,32 +44,32 @@
 
     @property
     def waiters(self):
-        """Return the waiters, the earliest deadline first."""
+        """Return the waiters, ordered by earliest deadline."""
         return self._waiters
 
     @property
     def mean_hold(self):
-        """Return the mean seconds for which a request holds a slot."""
+        """Return the moving average of the seconds for which requests hold a slot."""
         return self._mean_hold
 
     @property
     def empty_at(self):
-        """Return when a request last found the queue empty."""
+        """Return the instant at which a request last found the queue empty."""
         return self._empty_at
 
     def observe(self, seconds):
-        """Note how long a request held its slot."""
+        """Record for how many seconds a request held its slot."""
         self._mean_hold += HOLD_WEIGHT * (seconds - self._mean_hold)
 
     def longest_wait(self, service, now, stalled):
-        """Return how long a request may wait here, in seconds.
+        """Return the maximum wait of a new request, in seconds.
 
-        A queue that empties now and then absorbs a burst, and may take its whole time.
-        One that has not been empty for a while only adds delay, so its requests wait
-        hardly longer than one takes (controlled delay: Nichols and Jacobson, 2012).
+        A queue that empties regularly absorbs bursts, and the full wait of the service
+        applies. A standing queue only adds delay, so the wait is limited to little more
+        than one holding time (CoDel: Nichols and Jacobson, 2012).
 
-        :param stalled: seconds for which this process has not run; a queue does not
-            stand while nobody serves it.
+        :param stalled: total stalls of this process in seconds, which don't count
+            towards the age of a standing queue.
         """
         if not self._waiters:
             self._empty_at, self._stalled_before = now, stalled
@@ -75,11 +79,11 @@
         return min(service.queue_wait, STANDING_HOLDS * self._mean_hold)
 
     def push(self, waiter):
-        """Queue a waiter by its deadline."""
+        """Insert a waiter in order of its deadline."""
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda each: each.request.deadline)
 
     def remove(self, waiter):
-        """Take a waiter out."""
+        """Remove a waiter if it is in the queue."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -1,13 +1,13 @@
-"""Readiness: which part of a service's slots in a failure domain can be used now.
+"""Readiness: the usable share of a service's slots in a failure domain.
 
-A domain that starts, or whose homes move, has targets that nobody admits requests to
-yet, or whose slots earlier requests may still occupy. Callers sent there would wait for
-leases from the domains that could have served them. So a part of the callers, those
-beyond the share that can be served, is sent to other domains until the slots return.
+While a failure domain starts or its homes change, some targets have no home yet, or
+their slots may still be occupied by earlier requests. Callers sent there would have to
+wait for leases from other domains. Look-ups therefore send only the share of callers
+that the domain can serve, and the rest to other domains, until the slots are usable.
 
-Each home knows its own targets. The other VMs of the domain ask it after every change
-of the membership or the text, until it has told that all is well. While it is not, they
-ask the homes of the nearest other domains too, which may have come back as lately.
+After each change of the membership or the configuration, the VMs of a domain poll its
+homes until all slots are usable. Meanwhile they also poll the homes of the nearest
+other domains, which may not be ready either.
 """
 
 from dataclasses import dataclass
@@ -21,36 +21,36 @@
 from heathercleat.process.membership.peers import CALL_TIMEOUT
 
 CHECK_INTERVAL = 0.25
-#: Seconds for which look-ups wait until a VM that starts has asked homes once.
+#: Seconds for which look-ups wait for the first poll after a start.
 FIRST_ROUND = CHECK_INTERVAL + CALL_TIMEOUT
-#: Seconds after a change within which homes are asked, whatever they tell.
+#: Seconds for which homes are polled after a change, even if they are ready.
 WATCH_SECONDS = 10.0
-#: Share of the slots with which a domain serves all its callers.
+#: Usable share of the slots at which a domain counts as ready for all its callers.
 ENOUGH = 0.5
-#: Seconds for which a domain that was ready may not be before callers are sent away:
-#: homes that are handed over are back sooner, and a look-up is kept for longer.
+#: Seconds for which a domain may be unready before callers are sent elsewhere; a
+#: handover takes less time, and callers use a look-up for longer.
 GRACE = 0.5
-#: Seconds for which the answer for a service is kept.
+#: Lifetime of the cached shares of a service, in seconds.
 KEPT_SECONDS = 0.1
-#: Other failure domains asked while this one is not ready, the nearest first.
+#: Maximum number of other failure domains to poll, nearest first.
 MAX_DOMAINS = 6
 
 
 @dataclass(slots=True)
 class KnownShares:
-    """Shares of a service's callers to serve by failure domain, kept for a moment."""
+    """Cached shares of a service's callers that each failure domain can serve."""
 
     shares: dict
     expires_at: float
 
 
 class ReadinessBoard:
-    """The readiness of each service, here and in near failure domains.
+    """Tracks the readiness of each service, here and in near failure domains.
 
-    :param vm: the process: text, settings, homes, VM list.
+    :param vm: the process: configuration, settings, homes, VM list.
     :param ledger: the slots of the targets homed here.
-    :param membership: who is alive in the failure domain.
-    :param links: calls to peers.
+    :param membership: the live VMs of the failure domain.
+    :param links: the :class:`PeerLinks` to other VMs.
     """
 
     def __init__(self, vm, ledger, membership, links, clock):
@@ -71,21 +71,22 @@
         return self._vm.settings.failure_domain
 
     def usable(self):
-        """Return ``{service: slots}`` that requests can use at the homes of this VM."""
+        """Return ``{service name: usable slots}`` of the targets homed here."""
         services = {service.name: service for service, _ in self._vm.homes.desired()}
         return {name: self._usable_here(each) for name, each in services.items()}
 
     def share(self, service):
         """Return the share of a service's callers that this domain can serve, 0 to 1.
 
-        :param service: a :class:`Service` of the text in force.
+        :param service: a :class:`Service` of the current configuration.
         """
         return self._shares(service)[self._here]
 
     def avoided(self, service, position):
-        """Return the failure domains that cannot serve a caller of this domain now.
+        """Return the failure domains that can't serve a caller of this domain now.
 
-        :param position: the caller's position, from 0 up to 1.
+        :param position: the caller's position in the ramp, from 0 up to 1; see
+            :func:`position_of`.
         """
         shares = self._shares(service)
         ready_at = self._ready_at.get(service.name, NEVER)
@@ -94,9 +95,10 @@
         return frozenset(name for name, each in shares.items() if position >= each)
 
     async def wait_asked(self):
-        """Return when homes were asked once, or after ``FIRST_ROUND``.
+        """Wait until the homes have been polled once, at most for ``FIRST_ROUND``.
 
-        A VM that has just started would else send callers to homes that start as well.
+        Otherwise a VM that has just started could send callers to homes that are
+        starting as well.
         """
         if self._asked.is_set():
             return
@@ -105,7 +107,7 @@
         await self._asked.set()
 
     async def run(self):
-        """Ask homes for their readiness while it may change."""
+        """Poll the homes while their readiness may change, forever."""
         while True:
             if self._vm.text is not None and self._is_watching():
                 await self._ask_homes()
@@ -141,7 +143,7 @@
             self._told[name] = answer.usable
 
     def _hosts(self):
-        """Yield name and host of each home to ask."""
+        """Yield the name and host of each home to poll."""
         members = self._membership.members
         for name in set(self._homes(self._here).values()):
             if name != self._vm.name:
@@ -200,8 +202,9 @@
     def _usable_of(self, home, service, slots, domain):
         """Return the usable slots of a home.
 
-        One of this domain that told nothing yet has none. One of another domain is
-        well: it may be cut off from this VM, and not from callers.
+        A home of this domain that has not responded yet counts as unusable. One of
+        another domain counts as fully usable, since callers may be able to reach it
+        even if this VM can't.
         """
         if home == self._vm.name:
             return self._usable_here(service)
--- a/src/heathercleat/process/capacity/shift.py
+++ b/src/heathercleat/process/capacity/shift.py
@@ -1,12 +1,14 @@
-"""The cap on a shift: how far the spill to a target may rise within a window."""
+"""Rate limit on a shift: how far the spill to a target may rise within a window."""
 
 from collections import deque
 
 
 class ShiftWindow:
-    """Keeps the rise of a level within a cap over any window of time.
+    """Limits the rise of a level over a sliding window.
 
-    :param cap: the most slots by which the level may rise.
+    The level is the number of slots that other failure domains use.
+
+    :param cap: maximum rise within the window, in slots.
     :param window: length of the window in seconds.
     """
 
@@ -17,27 +19,27 @@
 
     @property
     def points(self):
-        """Return ``(instant, level)`` of every change within the window."""
+        """Return ``(instant, level)`` pairs of the changes within the window."""
         return list(self._points)
 
     def adjust(self, cap, window):
-        """Change the cap and the window; what has risen so far still counts."""
+        """Change the cap and the window; earlier rises still count."""
         self._cap = cap
         self._window = window
 
     def resume(self, points):
-        """Go on from the points of the window of an earlier home."""
+        """Continue with the points that the previous home handed over."""
         if points:
             self._points = deque(points)
 
     def room(self, level, now):
-        """Return by how many slots the level may rise above ``level`` at ``now``."""
+        """Record ``level`` and return by how many slots it may rise now."""
         self.record(level, now)
         lowest = min(point[1] for point in self._points)
         return max(0, lowest + self._cap - level)
 
     def record(self, level, now):
-        """Note that the level stands at ``level`` from ``now`` on."""
+        """Record the level and drop points that are older than the window."""
         points = self._points
         if points[-1][1] != level:
             points.append((now, level))
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -1,9 +1,9 @@
-"""Exact counts of the slots of the targets whose home is this VM.
+"""Slot accounting for the targets whose home is this VM.
 
-The home of a target is the only VM that admits requests to it, so its limits are kept
-by a local count. Other VMs use slots under leases with an expiry instant; the slots of
-a live lease count as used whether or not requests run under it. All instants are those
-of ``Clock.now()``.
+Only the home of a target admits requests to it, so a local count enforces the limits of
+the target. Other VMs use slots under leases that expire; all slots of a live lease
+count as used, whether or not requests run under it. All instants are those of
+``Clock.now()``.
 """
 
 from dataclasses import dataclass, field
@@ -12,17 +12,17 @@
 
 from heathercleat.process.capacity.shift import ShiftWindow
 
-#: Seconds that a target may need to free the slot of a cancelled request.
+#: Seconds for which a cancelled request may still occupy its target.
 CANCEL_GRACE = 0.25
-#: Seconds by which the clocks of two VMs may differ.
+#: Maximum difference in seconds between the clocks of two VMs.
 CLOCK_SKEW = 0.25
-#: Numbers of uses begin anywhere, so that those of two homes of a target differ.
+#: Bits of the random first id, so that the ids of two homes of a target differ.
 FIRST_ID_BITS = 48
 
 
 @dataclass(slots=True)
 class Use:
-    """A request of this VM or of a lease holder that occupies a slot of a target."""
+    """A request that occupies a slot; ``lease`` is ``None`` for one of this VM."""
 
     id: int
     target: str
@@ -32,7 +32,10 @@
 
 @dataclass(slots=True)
 class Lease:
-    """Slots of one target that another VM may use until ``expires_at``."""
+    """Slots of one target that another VM, ``holder``, may use until ``expires_at``.
+
+    ``uses`` is the number of requests that run under the lease.
+    """
 
     id: int
     target: str
@@ -43,7 +46,7 @@
     uses: int = 0
 
     def occupied(self, now):
-        """Return the slots that this lease takes at ``now``."""
+        """Return the slots that count as used; after expiry, those of its requests."""
         if now < self.expires_at:
             return max(self.slots, self.uses)
         return self.uses
@@ -51,11 +54,11 @@
 
 @dataclass(slots=True)
 class Hold:
-    """A slot that a request admitted by an earlier home may occupy.
+    """A slot that counts as used until an instant because a request may occupy it.
 
-    ``use_id`` is the number that the earlier home gave the request, or ``None`` when
-    the earlier home could not be asked. ``failure_domain`` is that of the VM that sent
-    the request, or ``None`` when it is not known.
+    The request was admitted by an earlier home or has been cancelled. ``use_id`` is the
+    id that the earlier home assigned to it, or ``None`` if unknown. ``failure_domain``
+    is that of the VM that sent the request, or ``None`` if unknown.
     """
 
     until: float
@@ -65,9 +68,10 @@
 
 @dataclass(slots=True)
 class HandedOver:
-    """What a home tells of a target: occupied slots, and the levels of spill to it.
+    """The state of a target that its home hands over.
 
-    ``levels`` has ``(instant, slots)`` pairs, as kept by a :class:`ShiftWindow`.
+    ``holds`` has a :class:`Hold` for each occupied slot, ``levels`` the points of the
+    :class:`ShiftWindow`.
     """
 
     holds: list
@@ -76,7 +80,12 @@
 
 @dataclass(slots=True)
 class TargetSlots:
-    """The slots of one homed target and what occupies them."""
+    """The slots of one homed target and their current uses.
+
+    ``closed`` is set when this VM is no longer the home. ``blocked`` is the reason why
+    the target gets no new requests, or ``None``. ``links`` limits the slots that each
+    other failure domain may use.
+    """
 
     target: object
     uses: dict = field(default_factory=dict)
@@ -90,7 +99,7 @@
     warm_at: float = 0.0
 
     def limit(self, now):
-        """Return the slots that may be in use now, fewer while the target warms up."""
+        """Return the slots that may be used at ``now``; fewer during warm-up."""
         limit = self.target.limit
         if now >= self.warm_at:
             return limit
@@ -98,27 +107,27 @@
         return max(1, ceil(limit * share)) if limit else 0
 
     def used(self, now):
-        """Return the slots that are or may be occupied at ``now``."""
+        """Return the slots used at ``now`` by requests, leases and holds."""
         self.prune(now)
         own = sum(1 for use in self.uses.values() if use.lease is None)
         leased = sum(lease.occupied(now) for lease in self.leases.values())
         return own + leased + len(self.holds)
 
     def free(self, now):
-        """Return the slots that a new request may take."""
+        """Return the slots available to new requests; 0 if the target is blocked."""
         if self.closed or self.blocked:
             return 0
         return max(0, self.limit(now) - self.used(now))
 
     def start_warm_up(self, now, seconds):
-        """Let the limit rise from one slot to all over ``seconds``."""
+        """Raise the limit linearly from one slot to all over ``seconds``."""
         self.warm_from = now
         self.warm_at = now + seconds
 
     def foreign(self, now, failure_domain=None):
-        """Return the slots taken by leases of other failure domains.
+        """Return the slots used by other failure domains through leases and holds.
 
-        :param failure_domain: count only this one.
+        :param failure_domain: count only this one; ``None`` for all of them.
         """
         leased = sum(
             lease.occupied(now)
@@ -151,7 +160,7 @@
         return failure_domain in (None, sender)
 
     def prune(self, now):
-        """Forget what has lapsed."""
+        """Remove expired holds and leases."""
         if self.holds:
             self.holds = [hold for hold in self.holds if hold.until > now]
         lapsed = [id_ for id_, lease in self.leases.items() if not lease.occupied(now)]
@@ -159,7 +168,7 @@
             del self.leases[id_]
 
     def note_shift(self, now):
-        """Tell the shift window how many slots other failure domains hold."""
+        """Record the slots used by other failure domains in the shift window."""
         if self.shift is not None:
             self.shift.record(self.foreign(now), now)
 
@@ -187,11 +196,11 @@
         return self._by_service.get(service, ())
 
     def adopt(self, target, holds, links=None, levels=()):
-        """Become the home of ``target``.
+        """Become the home of ``target`` and return its :class:`TargetSlots`.
 
         :param holds: a :class:`Hold` for each slot that may still be occupied.
-        :param links: ``{failure domain: slots}`` limits of links to other domains.
-        :param levels: the levels of spill that an earlier home told.
+        :param links: ``{failure domain: slots}`` limits for other failure domains.
+        :param levels: points of the :class:`ShiftWindow` from earlier homes.
         """
         entry = TargetSlots(
             target,
@@ -206,7 +215,7 @@
         return entry
 
     def update(self, target, links):
-        """Take the record of a new version of the text for a homed target."""
+        """Update a homed target from a new version of the configuration."""
         entry = self._targets[target.name]
         cap = target.shift_cap
         if entry.shift is None or cap is None:
@@ -221,8 +230,9 @@
     def hand_over(self, name, receiver):
         """Stop being the home of a target.
 
-        :param receiver: the VM that becomes the home; it learns of later releases.
-        :return: what is :class:`HandedOver`, or ``None`` when this VM is not the home.
+        :param receiver: name of the new home, to which :meth:`release` refers later, or
+            ``None``.
+        :return: a :class:`HandedOver`, or ``None`` if this VM is not the home.
         """
         entry = self._targets.pop(name, None)
         if entry is None:
@@ -237,14 +247,17 @@
         return HandedOver(list(_occupied_slots(entry, now)), levels)
 
     def drop_all(self):
-        """Stop being the home of every target, when this VM was presumed dead."""
+        """Stop being the home of every target, after this VM was declared dead."""
         for entry in self._targets.values():
             entry.closed = True
         self._targets.clear()
         self._by_service.clear()
 
     def take(self, entry, deadline):
-        """Occupy a free slot for a request of this VM, or return ``None``."""
+        """Claim a free slot for a request of this VM.
+
+        :return: the :class:`Use`, or ``None`` if no slot is free.
+        """
         if not entry.free(self._clock.now()):
             return None
         use = Use(self._new_id(), entry.target.name, deadline)
@@ -252,9 +265,10 @@
         return use
 
     def grant(self, entry, holder, failure_domain, want, expires_at):
-        """Lease up to ``want`` slots of a target, or return ``None`` for none.
+        """Lease up to ``want`` slots of a target.
 
-        :param expires_at: an instant of this VM's clock.
+        :param holder: name of the VM that gets the lease.
+        :return: the :class:`Lease`, or ``None`` if no slot can be leased.
         """
         slots = min(want, entry.grantable(failure_domain, self._clock.now()))
         if slots <= 0:
@@ -272,7 +286,10 @@
         return lease
 
     def renew(self, lease_id, expires_at):
-        """Extend a live lease; return it, or ``None`` when it has lapsed."""
+        """Extend a lease.
+
+        :return: the lease, or ``None`` if it has expired or its target is blocked.
+        """
         lease = self.find_lease(lease_id)
         if lease is None or self._targets[lease.target].blocked:
             return None
@@ -280,7 +297,7 @@
         return lease
 
     def find_lease(self, lease_id):
-        """Return a lease that has not expired, or ``None``."""
+        """Return a lease, or ``None`` if it is unknown or has expired."""
         now = self._clock.now()
         for entry in self._targets.values():
             lease = entry.leases.get(lease_id)
@@ -289,7 +306,11 @@
         return None
 
     def enter(self, lease_id, deadline):
-        """Occupy a slot of a lease for a request of its holder, or return ``None``."""
+        """Claim a slot of a lease for a request of its holder.
+
+        :return: the :class:`Use`, or ``None`` if the lease has expired or is full, or
+            if the target is blocked.
+        """
         lease = self.find_lease(lease_id)
         if lease is None or lease.uses >= lease.slots:
             return None
@@ -301,7 +322,7 @@
         return use
 
     def give_back(self, lease_id, keep=0):
-        """Take back the slots of a lease beyond ``keep``, or end it early.
+        """Reduce a lease to ``keep`` slots; 0 ends it.
 
         Requests under the lease keep their slots.
         """
@@ -317,11 +338,11 @@
         entry.note_shift(now)
 
     def release(self, use, certain):
-        """Free the slot of a request.
+        """Release the slot of a request.
 
-        :param certain: whether the target is known to be done with the request; if
+        :param certain: whether the target has certainly finished with the request; if
             not, the slot stays occupied for ``CANCEL_GRACE``.
-        :return: the VM to tell when the target has another home by now, or ``None``.
+        :return: the name of the new home if the target was handed over, or ``None``.
         """
         receiver = self._handed_over.pop(use.id, None)
         entry = self._targets.get(use.target)
@@ -336,7 +357,7 @@
         return receiver
 
     def drop_hold(self, target, use_id):
-        """Free the slot of a request that an earlier home reported as done."""
+        """Release the hold of a request that an earlier home reported as ended."""
         entry = self._targets.get(target)
         if entry is None:
             return
@@ -344,8 +365,8 @@
         entry.note_shift(self._clock.now())
 
     def _linger(self, entry, use, now):
-        # The lease shrinks by the slot held here, or its holder could fill it again
-        # while the target still works on the cancelled request.
+        # Without this, the holder could use the slot of the lease again while the
+        # target still processes the cancelled request.
         if use.lease is not None:
             use.lease.slots -= 1
         domain = use.lease.failure_domain if use.lease is not None else None
--- a/src/heathercleat/process/once/__init__.py
+++ b/src/heathercleat/process/once/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that run at most once: tickets, claims and outcomes."""
+"""State for at-most-once requests: claims in the platform's table and outcomes."""
--- a/src/heathercleat/process/once/claims.py
+++ b/src/heathercleat/process/once/claims.py
@@ -1,8 +1,8 @@
-"""Claims in the platform's table: what has run, for when the process is gone.
+"""Claims of at-most-once requests in the platform's table.
 
-A claim is written, only if the row is missing, before a run. Another VM that is asked
-about the key writes a closing row the same way; whichever comes first decides. Claims
-that arrive together share one transaction.
+A process writes a claim before it runs a request, on condition that the row is missing.
+A VM that has to find out whether a lost process ran a key writes a closing row on the
+same condition, so exactly one of them succeeds. Concurrent writes share a transaction.
 """
 
 from collections import deque
@@ -21,10 +21,10 @@
 BATCH_WAIT = 0.003
 MAX_BATCH = 64
 BUCKET_SECONDS = 3600
-#: Digits of a bucket in a key, so that keys are in the order of time.
+#: Zero-padded width of a bucket in a key, so that keys sort by time.
 BUCKET_DIGITS = 8
 CLAIM_PREFIX = "once/"
-#: Largest answer body that an outcome row keeps, in bytes.
+#: Maximum size of a response body in an outcome row, in bytes.
 MAX_KEPT_BODY = 16 * 1024
 
 
@@ -38,7 +38,10 @@
 
 @dataclass(slots=True)
 class ClaimRow:
-    """A claim row: its state, the writer, and the outcome once it is known."""
+    """A claim row.
+
+    ``writer`` is the process that wrote it; ``outcome`` is ``None`` until it is known.
+    """
 
     state: RowState
     writer: str
@@ -47,7 +50,10 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    """A row to be written if it stands at ``version``."""
+    """A queued write of a row, on condition that the row is at ``version``.
+
+    ``done`` is set after the transaction, together with ``conflict`` or ``error``.
+    """
 
     key: str
     value: bytes
@@ -61,7 +67,7 @@
     """Writes and reads claim rows.
 
     :param platform: the platform client.
-    :param birth: the name of this process, as in its tickets.
+    :param birth: the id of this process, as in its tickets.
     """
 
     def __init__(self, platform, birth):
@@ -73,23 +79,31 @@
 
     @property
     def transactions(self):
-        """Return the number of transactions sent."""
+        """Return the number of transactions attempted so far."""
         return self._transactions
 
     async def claim(self, ticket, key):
         """Claim a key for this process.
 
-        :return: the row that stands: a claim of this process means it may run.
-        :raises PlatformError: when nothing can be known; the request must not run.
+        :return: the row in the table; the request may run if it is a claim of this
+            process.
+        :raises PlatformError: if the row can't be determined; the request must not run.
         """
         return await self._insert(ticket, key, RowState.CLAIMED)
 
     async def close_out(self, ticket, key):
-        """Close a key for good unless it was claimed, and return the row."""
+        """Close a key permanently unless it was claimed.
+
+        :return: the row in the table.
+        :raises PlatformError: if the row can't be determined.
+        """
         return await self._insert(ticket, key, RowState.CLOSED)
 
     async def record(self, ticket, key, outcome):
-        """Keep the outcome of a claimed key, so that other VMs can repeat it."""
+        """Store the outcome of a claimed key, so that other VMs can return it.
+
+        An outcome that is too large or can't be written is not stored.
+        """
         if len(outcome.body) > MAX_KEPT_BODY:
             return
         row = ClaimRow(RowState.DONE, self._birth, outcome)
@@ -99,7 +113,7 @@
             return
 
     async def run(self):
-        """Write what is pending, together, as it arrives."""
+        """Write queued rows in batches, forever."""
         while True:
             await self._arrived.wait()
             self._arrived.clear()
@@ -118,7 +132,7 @@
             if not await self._write(row_key, _pack(mine), ABSENT):
                 return mine
         except PlatformError:
-            # The write may have taken effect although its reply was lost.
+            # The write may have succeeded although its response was lost.
             row = await self._platform.read(row_key)
             if row is None:
                 raise
@@ -129,7 +143,7 @@
         return _unpack(row.value)
 
     async def _write(self, key, value, version):
-        """Write one row with others; return whether there was a conflict."""
+        """Queue a write, wait for it and return whether there was a conflict."""
         pending = PendingWrite(key, value, version, Signal())
         self._pending.append(pending)
         await self._arrived.set()
@@ -152,7 +166,11 @@
             batch = [pending for pending in batch if not pending.conflict]
 
     async def _transact(self, batch):
-        """Return the keys in conflict, or ``None`` after an error told to all."""
+        """Send one transaction.
+
+        :return: the keys in conflict, or ``None`` after an error, which is set on every
+            write of the batch.
+        """
         conditions = [Condition(pending.key, pending.version) for pending in batch]
         writes = [Write(pending.key, pending.value) for pending in batch]
         self._transactions += 1
@@ -167,10 +185,9 @@
 
 
 def bucket_end(row_key):
-    """Return the instant before which every ticket of a row's bucket has expired.
+    """Return when all tickets of a row's bucket have expired, in epoch seconds.
 
     :param row_key: the key of a claim row.
-    :return: epoch seconds.
     """
     bucket = row_key.removeprefix(CLAIM_PREFIX).partition("/")[0]
     return (int(bucket) + 1) * BUCKET_SECONDS
--- a/src/heathercleat/process/once/ledger.py
+++ b/src/heathercleat/process/once/ledger.py
@@ -1,4 +1,4 @@
-"""What this process has run under its own tickets, to run each key at most once."""
+"""Deduplication of the requests under the tickets of this process."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,14 +10,18 @@
 
 #: Seconds for which an outcome is kept after its ticket has expired.
 RETENTION = 600.0
-#: Seconds after a ticket's expiry from which nothing is said about its keys any more.
-#: It is shorter than the retention, since clocks differ and may be set.
+#: Seconds after its expiry during which the outcomes of a ticket are reported. This is
+#: shorter than the retention to allow for clock skew and adjustments.
 ANSWERABLE = 300.0
 MAX_ENTRIES = 100_000
 
 
 class EntryState(Enum):
-    """The state of a ticket and key."""
+    """The state of a ticket and key.
+
+    ``CLOSED`` means that it will never run; ``GONE`` that the process that could tell
+    is unreachable or has exited.
+    """
 
     RUNNING = "running"
     NOT_RUN = "not-run"
@@ -29,7 +33,11 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One ticket and key; ``keep_until`` is epoch seconds."""
+    """The run of one ticket and key.
+
+    ``digest`` identifies the content of the request; ``keep_until`` is epoch seconds;
+    ``finished`` is set when the run has ended.
+    """
 
     digest: bytes
     keep_until: float
@@ -40,10 +48,7 @@
 
 
 class OnceLedger:
-    """Entries by ticket id and key.
-
-    :param clock: source of instants.
-    """
+    """The runs of this process by ticket id and key."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -54,11 +59,11 @@
         return len(self._entries)
 
     def begin(self, ticket, key, digest):
-        """Start a run, or return the entry of an earlier one.
+        """Start a run, or return the entry of an earlier run.
 
-        :param digest: of the whole request, to refuse a key used for another one.
-        :return: ``(entry, first)``; the caller runs the request only if ``first``.
-        :raises RequestError: when the key may not run.
+        :param digest: digest of the request, to reject a key reused for another one.
+        :return: ``(entry, first)``; the request must run only if ``first`` is true.
+        :raises RequestError: if the request must not run.
         """
         now = self._clock.wall()
         self._sweep(now)
@@ -82,16 +87,16 @@
         return known, False
 
     async def finish(self, entry, state, outcome=None):
-        """Note how a run ended and wake the repeats that wait for it."""
+        """Record the end of a run and wake the repeats that wait for it."""
         entry.state = state
         entry.outcome = outcome
         await entry.finished.set()
 
     def close_out(self, ticket_id, key, expires_at):
-        """Return the entry of a key, closed for good if it has not run.
+        """Return the entry of a key, closing it permanently if it has not run.
 
-        :param expires_at: when the ticket expires, in epoch seconds.
-        :raises RequestError: when the ticket is too old to know what it has run.
+        :param expires_at: expiry of the ticket, in epoch seconds.
+        :raises RequestError: if the ticket is too old to know its outcomes.
         """
         entry = self._entries.get((ticket_id, key))
         if entry is None:
@@ -126,12 +131,12 @@
 
 
 def check_age(expires_at, now):
-    """Refuse to say what became of the keys of an old ticket.
+    """Reject a ticket whose entries may already have been removed.
 
-    Its entries may be forgotten, and a key without an entry would seem not to have run.
+    A key without an entry would otherwise appear not to have run.
 
-    :param expires_at: when the ticket expired, and ``now``, in epoch seconds.
-    :raises RequestError: when the ticket is too old.
+    :param expires_at: expiry of the ticket, in epoch seconds, as is ``now``.
+    :raises RequestError: if the ticket is too old.
     """
     if now >= expires_at + ANSWERABLE:
         message = "the ticket is too old to know its outcome"
--- a/src/heathercleat/process/once/sweeper.py
+++ b/src/heathercleat/process/once/sweeper.py
@@ -1,9 +1,8 @@
-"""Sweeping the claim rows of old tickets from the platform's table.
+"""Removal of the claim rows of expired tickets from the platform's table.
 
-Claims are written for every at-most-once request, so the table would grow without end.
-The rows of a ticket are of no use once nothing is said about its keys any more. One VM
-of the whole list sweeps; if the lists of two VMs differ for a while both may, which
-does no harm.
+Each at-most-once request may write a row, so the table would grow without bound. Rows
+are removed once their tickets are too old for their outcomes to be reported. One VM of
+the VM list does this; if the lists of two VMs differ, both may do it safely.
 """
 
 from curio import sleep
@@ -15,19 +14,20 @@
 from heathercleat.process.once.ledger import RETENTION
 from heathercleat.version.hashing import ranked
 
-#: Seconds between two looks for old rows, and between two full batches.
+#: Seconds between two sweeps.
 SWEEP_INTERVAL = 60.0
+#: Seconds between two batches; with the batch size, this limits the load on the table.
 BATCH_INTERVAL = 0.1
-#: Rows removed in one transaction, so at most 640 a second.
+#: Maximum number of rows removed in one transaction.
 BATCH_ROWS = 64
 
 
 class ClaimSweeper:
-    """Removes claim rows that no answer needs any more.
+    """Removes claim rows that are no longer needed.
 
     :param vm: the process: name, VM list, journal.
     :param platform: the platform client.
-    :param clock: source of instants.
+    :param clock: the clock.
     """
 
     def __init__(self, vm, platform, clock):
@@ -36,7 +36,7 @@
         self._clock = clock
 
     async def run(self):
-        """Sweep now and then, while this VM is the one to do it."""
+        """Sweep periodically while this VM is the sweeper, forever."""
         while True:
             await sleep(SWEEP_INTERVAL)
             if not self._is_sweeper():
@@ -47,10 +47,10 @@
                 self._vm.journal.write(Event.PLATFORM_FAILED, reason=str(error))
 
     async def sweep(self):
-        """Remove every old row, a batch at a time, and return how many there were.
+        """Remove all old rows in batches and return their number.
 
-        :raises PlatformError: when the platform does not answer; the rest is removed
-            the next time.
+        :raises PlatformError: if the platform is unavailable; the remaining rows are
+            left for the next sweep.
         """
         removed = 0
         while True:
@@ -68,13 +68,16 @@
         return ranked("sweeper", names)[:1] == [self._vm.name]
 
     async def _sweep_batch(self):
-        """Remove the oldest rows; keys are in the order of their buckets."""
+        """Remove a batch of the oldest rows and return their number.
+
+        Keys sort by bucket, so the oldest rows come first.
+        """
         rows = await self._platform.read_range(CLAIM_PREFIX, BATCH_ROWS)
         now = self._clock.wall()
         old = [row for row in rows if bucket_end(row.key) + RETENTION <= now]
         if not old:
             return 0
-        # A row that changes meanwhile stays for the next time.
+        # If a row changes meanwhile, the batch is left for the next sweep.
         commit = await self._platform.transact(
             [Condition(row.key, row.version) for row in old],
             [Write(row.key, None) for row in old],
--- a/src/heathercleat/process/once/tokens.py
+++ b/src/heathercleat/process/once/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens by which VMs prove to each other that a request comes from a VM."""
+"""Tokens that prove that a forwarded request comes from a VM."""
 
 from heathercleat.connection.peer import sign, verify
 
@@ -8,10 +8,10 @@
 
 
 class PeerTokens:
-    """Makes and checks tokens; one is made anew when half its life has passed.
+    """Issues and verifies tokens; a token is renewed after half of its lifetime.
 
     :param name: the name of this VM.
-    :param get_keys: returns the shared keys in force.
+    :param get_keys: a callable that returns the current shared keys.
     """
 
     def __init__(self, name, get_keys, clock):
@@ -33,11 +33,11 @@
         return self._token
 
     def forget(self):
-        """Make the next token with the keys in force then."""
+        """Discard the current token, after a change of the keys."""
         self._renew_at = 0.0
 
     def accepts(self, token):
-        """Return whether a VM made ``token`` a short while ago."""
+        """Return whether ``token`` is signed with a shared key and has not expired."""
         try:
             name, expires_at, signature = token.split(";")
             given = bytes.fromhex(signature)
--- a/src/heathercleat/request/__init__.py
+++ b/src/heathercleat/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Handling of a single request: tickets, attempts, retries and look-ups."""
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: send it to one place and read the head of the answer."""
+"""A single attempt: sends a request to one upstream and reads the response."""
 
 from dataclasses import dataclass
 
@@ -17,17 +17,17 @@
     find,
 )
 
-#: Statuses with which a target says that it did not run a request.
+#: Response statuses that mean that the target did not run the request.
 REFUSAL_STATUSES = (503,)
 
 
 @dataclass(slots=True, frozen=True)
 class Upstream:
-    """Where an attempt goes.
+    """The destination of an attempt: a target, or a VM that granted a lease.
 
-    :param headers: extra headers, for the VM that granted a lease.
-    :param limit: the most connections to this address, or ``None``.
-    :param is_vm: whether another VM answers, whose result codes can be believed.
+    :param headers: additional request headers, for a VM.
+    :param limit: maximum number of connections to the address, or ``None``.
+    :param is_vm: whether this is a VM, whose result codes are trusted.
     """
 
     name: str
@@ -39,10 +39,11 @@
 
 
 class AttemptFailedError(RequestError):
-    """An attempt without a usable answer.
+    """An attempt without a usable response.
 
-    :param blame: what failed, for the health of the target: ``connect``, ``lost``,
-        ``bad answer`` or ``deadline``; ``None`` for a refusal, or when the caller left.
+    :param blame: the failure that counts against the health of the target:
+        ``connect``, ``lost``, ``bad answer`` or ``deadline``; ``None`` if the target
+        is not at fault.
     """
 
     def __init__(self, code, message, blame=None, retry_at=None):
@@ -51,23 +52,23 @@
 
     @property
     def blame(self):
-        """Return what failed, or ``None``."""
+        """Return the failure that counts against the target, or ``None``."""
         return self._blame
 
     @property
     def not_run(self):
-        """Return whether the request certainly did not run."""
+        """Return whether the target certainly did not run the request."""
         return self.code.run is Run.NOT_RUN
 
 
 class Attempt:
     """An exchange with one upstream.
 
-    :param call: the request.
-    :param upstream: where to send it.
-    :param pool: connections to use.
-    :param on_end: a coroutine function, called when the whole answer has been read and
-        before its end is passed on.
+    :param call: the :class:`Call` to send.
+    :param upstream: the :class:`Upstream` to send it to.
+    :param pool: the connection pool.
+    :param on_end: a coroutine function, called when the response has been read
+        completely, before the caller receives its end.
     """
 
     def __init__(self, call, upstream, pool, clock, on_end):
@@ -85,20 +86,20 @@
 
     @property
     def response(self):
-        """Return the head of the answer, an ``h11.Response``."""
+        """Return the head of the response, an ``h11.Response``, or ``None``."""
         return self._response
 
     @property
     def headers(self):
-        """Return the headers of the answer, as a list of pairs."""
+        """Return the headers of the response as a list of pairs."""
         return self._headers
 
     async def send(self, fresh=False):
-        """Send the whole request.
+        """Send the request, including its body.
 
-        :param fresh: use a new connection.
-        :raises AttemptFailedError: when it could not be sent.
-        :raises CallerLeftError: when the caller left while its body was sent on.
+        :param fresh: whether to open a new connection.
+        :raises AttemptFailedError: if the request can't be sent.
+        :raises CallerLeftError: if the caller disconnects before the end of its body.
         """
         await self._connect(fresh)
         try:
@@ -107,9 +108,9 @@
             raise self._failed(ResultCode.ANSWER_LOST, "lost", error) from None
 
     async def read_head(self):
-        """Read the head of the answer.
+        """Read the head of the response.
 
-        :raises AttemptFailedError: when there is no usable answer.
+        :raises AttemptFailedError: if there is no usable response.
         """
         try:
             self._response = await self._read_response()
@@ -121,9 +122,9 @@
         self._check_head()
 
     async def next_event(self):
-        """Return the next event of the answer's body.
+        """Return the next event of the response body.
 
-        :raises AttemptFailedError: when the answer is cut short.
+        :raises AttemptFailedError: if the response is truncated.
         """
         try:
             event = await self._stream.next_event()
@@ -137,9 +138,9 @@
         raise self._failed(ResultCode.ANSWER_LOST, "lost")
 
     def timed_out(self):
-        """Return the error for a deadline that passed during the attempt."""
+        """Return the :class:`AttemptFailedError` for a deadline that has passed."""
         if self._reading_caller:
-            # The caller's own sending ran out of time: no fault of the target.
+            # The caller was too slow, so the target is not at fault.
             code = ResultCode.DEADLINE_IN_RUN
             return AttemptFailedError(code, "the upload was too slow")
         if self._stream is None and not self._ended:
@@ -148,12 +149,15 @@
         return self._failed(ResultCode.DEADLINE_IN_RUN, "deadline")
 
     def abort(self):
-        """Cancel the request at the upstream."""
+        """Cancel the request by shutting down the connection to the upstream."""
         if self._stream is not None:
             self._stream.abort()
 
     async def finish(self, whole):
-        """Keep the connection if the exchange was whole, else close it."""
+        """Return the connection to the pool if the exchange is complete, or close it.
+
+        :param whole: whether the exchange is complete.
+        """
         stream, self._stream = self._stream, None
         if stream is None:
             return
@@ -177,7 +181,7 @@
         self._sent_before = self._stream.bytes_sent
 
     async def _send(self):
-        # A VM that was paused since the permit must not start lapsed work.
+        # The deadline may have passed during a pause since the permit was issued.
         if self._clock.now() >= self._call.deadline:
             code = ResultCode.DEADLINE_BEFORE_RUN
             raise AttemptFailedError(code, "the deadline passed before the run")
@@ -215,7 +219,7 @@
         return h11.Request(method=call.method, target=path, headers=headers)
 
     async def _send_body(self):
-        """Send the caller's body on as it arrives."""
+        """Stream the body from the caller to the upstream."""
         limit, size = self._call.kind.body_limit, 0
         while True:
             event = await self._next_from_caller()
@@ -243,11 +247,11 @@
         return event
 
     async def _send_part(self, event):
-        """Send a part of the body; return whether the upstream still takes it."""
+        """Send a part of the body and return whether the connection is still open."""
         try:
             await self._stream.send(event)
         except OSError:
-            # It may have answered early and closed: the answer is read next.
+            # The upstream may have sent an early response, which is read next.
             return False
         return True
 
@@ -289,7 +293,7 @@
         )
 
     def _sent_nothing(self):
-        # An attempt that has ended gave its connection up: the request may have run.
+        # After the attempt the connection is gone, and the request may have run.
         if self._ended:
             return False
         return self._stream is None or self._stream.bytes_sent == self._sent_before
--- a/src/heathercleat/request/call.py
+++ b/src/heathercleat/request/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its head to its outcome."""
+"""A caller's request and its stored outcome."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,12 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request under way.
+    """A request in progress.
 
-    ``deadline`` is an instant of this process, ``wall_deadline`` the same in epoch
-    seconds. ``body`` holds the whole body, or is ``None`` while it streams. ``lease``
-    is the number of the lease under which another VM forwarded the request here.
+    ``deadline`` is an instant of ``clock.now()``; ``wall_deadline`` is the same in
+    epoch seconds. ``body`` is ``None`` if the body is streamed. ``key`` is the
+    idempotency key. ``lease`` is the id of the lease under which another VM forwarded
+    the request, or ``None``.
     """
 
     id: str
@@ -32,10 +33,10 @@
 
     @property
     def ends_with_caller(self):
-        """Return whether the request is of no use once its caller has left.
+        """Return whether to cancel the request when its caller disconnects.
 
-        An at-most-once request goes on: its caller gets the outcome with a repeat. A
-        caller that still sends its body is noticed when the body ends early.
+        An at-most-once request continues, because the caller can repeat it to get the
+        outcome. While the body is still being sent, reading it detects a disconnect.
         """
         if self.kind.semantics is Semantics.AT_MOST_ONCE:
             return False
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """A whole answer that is kept to answer repeats."""
+    """A complete response that is stored to answer repeats of the request."""
 
     status: int
     headers: list
--- a/src/heathercleat/request/carry.py
+++ b/src/heathercleat/request/carry.py
@@ -1,4 +1,4 @@
-"""Carrying a request: permits, attempts, retries and the answer to the caller."""
+"""Proxying of a request: permits, attempts, retries and the response to the caller."""
 
 import h11
 from curio import disable_cancellation, spawn
@@ -24,20 +24,20 @@
 )
 from heathercleat.version.text import Semantics
 
-#: Attempts at one request, the first included.
+#: Maximum number of attempts for one request, including the first.
 MAX_ATTEMPTS = 3
-#: Largest answer to an at-most-once request, in bytes; it is read whole before it is
-#: sent on, so that a caller that left gets it with its repeat.
+#: Maximum size in bytes of a response to an at-most-once request. It is buffered, so
+#: that a caller that disconnected gets it when it repeats the request.
 MAX_KEPT_ANSWER = 1 << 20
 SERVER_ERRORS = (500, 502, 503, 504)
 
 
 async def carry(vm, call, extra_headers):
-    """Run a request and stream its answer to the caller.
+    """Run a request and stream the response to the caller.
 
-    :param extra_headers: headers to add to the answer.
-    :raises RequestError: with the final answer when there is none from a target.
-    :raises CallerLeftError: when the caller left; its request is cancelled.
+    :param extra_headers: mapping of headers to add to the response.
+    :raises RequestError: if there is no response from a target.
+    :raises CallerLeftError: if the caller disconnects; the request is cancelled.
     """
 
     async def deliver(attempt, target):
@@ -47,15 +47,15 @@
 
 
 async def carry_whole(vm, call):
-    """Run a request and return its answer as an :class:`Outcome`.
+    """Run a request and return the buffered response as an :class:`Outcome`.
 
-    :raises RequestError: when there is no answer from a target.
+    :raises RequestError: if there is no response from a target.
     """
     return await _attempts(vm, call, _read_answer)
 
 
 async def _attempts(vm, call, deliver):
-    """Try permits until one attempt is delivered or no further one is allowed."""
+    """Run attempts until one succeeds or no further one is allowed."""
     tried = set()
     uncertain = None
     budget = vm.budget(call.service.name)
@@ -67,7 +67,7 @@
             target = _target_name(permit)
             return await _attempt(vm, call, permit, deliver)
         except RequestError as error:
-            # Once an attempt may have run, no later refusal may say "not run".
+            # If an attempt may have run, report that rather than a later refusal.
             if uncertain is None and error.code.run is not Run.NOT_RUN:
                 uncertain = error
             last = number == MAX_ATTEMPTS or target is None
@@ -104,8 +104,8 @@
     certain = False
 
     async def end():
-        # The slot is free once the target is done, not when its answer has arrived:
-        # the caller may send its next request before this task runs again.
+        # Release the slot before the caller receives the end of the response: it may
+        # send its next request before this task runs again.
         nonlocal ended
         ended = True
         _note_success(vm, permit, attempt, vm.stalls.running() - started_at)
@@ -131,14 +131,14 @@
 
 
 async def _settle(vm, call, permit, attempt, certain, whole=True):
-    """Give the connection and the slot back, also when a deadline passes meanwhile."""
+    """Release the connection and the slot, even if a deadline passes meanwhile."""
     async with disable_cancellation():
         await attempt.finish(whole)
         await vm.admission.release(call, permit, certain)
 
 
 async def _cover(vm, call, permit):
-    """Announce until when the request may occupy its target, before it is sent."""
+    """Ensure that an announced bound covers the deadline before the request is sent."""
     if isinstance(permit, LeasedPermit):
         return
     try:
@@ -154,7 +154,7 @@
         raise CallerLeftError
     await attempt.send(fresh=once)
     if once and call.lease is None:
-        # The run goes on without its caller, who gets the outcome with a repeat.
+        # Continue if the caller disconnects: a repeat returns the outcome.
         return await _receive(vm, call, permit, attempt, deliver)
     watcher = await spawn(_watch_caller, call, attempt)
     try:
@@ -191,7 +191,10 @@
 
 
 def _check_status(vm, call, permit, response):
-    """Turn refusals and server errors that may be retried into failures."""
+    """Raise an error for a refusal or server error that may be retried.
+
+    Records the status for the health of the target.
+    """
     if isinstance(permit, LeasedPermit):
         return
     status = response.status_code
@@ -217,14 +220,14 @@
 
 def _note_failure(vm, permit, error):
     if isinstance(permit, LeasedPermit):
-        # The granter refused, or could not be reached: the lease is worth nothing.
+        # The granter refused the request or is unreachable.
         vm.holder.end(permit.lease)
     elif error.blame is not None:
         vm.health.failed(permit.target, error.blame)
 
 
 def _may_retry(vm, call, error):
-    """Return whether another attempt can neither double the work nor lose a part."""
+    """Return whether a retry is safe and can still send the complete request."""
     if call.lease is not None or vm.clock.now() >= call.deadline:
         return False
     if not call.stream.can_answer:
@@ -237,7 +240,7 @@
 
 
 async def _stream_answer(call, attempt, target, extra_headers):
-    """Send an answer on as it arrives; cancel the request if the caller leaves."""
+    """Stream the response to the caller."""
     headers = list(end_to_end(attempt.headers))
     headers.append((SERVED_BY, target))
     headers.append((REQUEST_ID, call.id))
@@ -247,7 +250,7 @@
 
 
 async def _send_answer(call, attempt, response):
-    """Send head and body; the last event of a whole answer is its end."""
+    """Send the head and the body until the end of the response."""
     pending = [response]
     while True:
         event = await attempt.next_event()
@@ -262,7 +265,10 @@
 
 
 async def _watch_caller(call, attempt):
-    """Return whether the caller left, after cancelling its request."""
+    """Cancel the attempt when the caller disconnects.
+
+    :return: whether that happened.
+    """
     if not call.stream.request_complete:
         return False
     if not await call.stream.wait_closed():
--- a/src/heathercleat/request/headers.py
+++ b/src/heathercleat/request/headers.py
@@ -1,4 +1,4 @@
-"""Header names, and which headers pass through."""
+"""Names of HTTP headers, framing checks and removal of hop-by-hop headers."""
 
 from heathercleat.errors import RequestError
 
@@ -13,7 +13,7 @@
 SERVED_BY = "heathercleat-target"
 IDEMPOTENCY_KEY = "idempotency-key"
 OWN_PREFIX = b"heathercleat-"
-#: Start of the path of every request: the name of the service follows.
+#: Prefix of every request path; the name of the service follows.
 SERVICE_PREFIX = "/s/"
 
 _HOP_BY_HOP = {
@@ -31,7 +31,7 @@
 
 
 def find(headers, name):
-    """Return the value of a header as text, or ``None``.
+    """Return the value of a header, decoded as Latin-1, or ``None``.
 
     :param headers: pairs of lower-case names and values, as bytes.
     """
@@ -43,11 +43,11 @@
 
 
 def check_framing(headers, code):
-    """Refuse a message whose length two parsers could read differently.
+    """Reject ambiguous framing, which could allow request smuggling.
 
-    :param code: the result code of the refusal.
-    :raises RequestError: for both Content-Length and Transfer-Encoding, a repeated one
-        of either, or a Transfer-Encoding other than chunked.
+    :param code: the result code of the error.
+    :raises RequestError: if the message has both Content-Length and Transfer-Encoding,
+        repeats one of them, or has a Transfer-Encoding other than chunked.
     """
     lengths = [value for name, value in headers if name == b"content-length"]
     codings = [value for name, value in headers if name == b"transfer-encoding"]
@@ -60,7 +60,7 @@
 
 
 def end_to_end(headers):
-    """Yield the headers that pass through, without this system's own."""
+    """Yield the headers except hop-by-hop headers and those of Heathercleat."""
     named = _connection_options(headers)
     for name, value in headers:
         if name in _HOP_BY_HOP or name in named or name.startswith(OWN_PREFIX):
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups: which entry VMs a caller uses for a service, and until when."""
+"""Look-ups: the entry VMs that a caller should use for a service."""
 
 from ipaddress import AddressValueError, IPv4Address
 from itertools import islice
@@ -11,20 +11,23 @@
 from heathercleat.version.ramp import position_of
 from heathercleat.version.text import Semantics
 
-#: Entry VMs in an answer: the nearest ones first, then others to fall back on.
+#: Maximum number of entry VMs in a response from the best failure domain, and of
+#: fallbacks from other domains.
 MAX_NEAR = 3
 MAX_FAR = 3
-#: Draws for each VM that an answer names, since a draw may repeat one.
+#: Random draws for each VM in a response, since a draw may repeat an earlier one.
 DRAWS_EACH = 4
 
 
 def answer_lookup(vm, query, caller):
-    """Answer a look-up.
+    """Return the response to a look-up.
 
-    :param query: ``service``, and ``client`` when the caller asks for another address.
-    :param caller: the IP number that the look-up came from.
+    :param query: the parameters ``service`` and, to look up for another address,
+        ``client``.
+    :param caller: the IP address of the caller.
     :return: a JSON object; see ``docs/reference/callers.md``.
-    :raises RequestError: for an unknown service, or when nothing is known here yet.
+    :raises RequestError: if the service is unknown, ``client`` is invalid or this VM
+        has no configuration yet.
     """
     if vm.text is None:
         code = ResultCode.NO_CONFIGURATION
@@ -69,9 +72,9 @@
 
 
 def _avoided(vm, service, client):
-    """Return the failure domains that a client is not sent to now.
+    """Return the failure domains that a client should avoid.
 
-    They are drained, or cannot serve all their callers yet.
+    These are drained or not ready for all their callers.
     """
     drained = vm.text.avoided(client, vm.clock.wall())
     if vm.readiness.share(service) >= 1:
@@ -89,9 +92,9 @@
 
 
 def _choose(candidates, avoided):
-    """Return ``(entry VM, weight)`` pairs: near ones, then one of each next domain.
+    """Return ``(entry VM, weight)`` pairs of the best domain, then one for each other.
 
-    A VM to fall back on has no weight if its domain cannot serve the caller now.
+    The weight of a fallback is 0 if its domain should be avoided.
     """
     if not candidates:
         return []
@@ -105,15 +108,15 @@
 
 
 def _pick(domain, count):
-    """Return up to ``count`` pairs of a domain, drawn by weight.
+    """Return up to ``count`` pairs of a domain, drawn at random by weight.
 
-    The weight is the number of slots of the service that the VM is the home of: a
-    request that arrives there needs no lease.
+    The weight is the number of the service's slots that the VM is the home of, since
+    requests sent to their home need no lease.
     """
     drawn = choices(
         domain.weighted, cum_weights=domain.cumulative, k=DRAWS_EACH * count
     )
-    # Those that were not drawn fill up a small domain.
+    # In a small domain, the draws may yield too few distinct VMs.
     distinct = {entry.name: (entry, weight) for entry, weight in drawn}
     if len(distinct) < count:
         for entry, weight in domain.weighted[: DRAWS_EACH * count]:
@@ -122,7 +125,11 @@
 
 
 def _ticket(vm, service, domain, now):
-    """Return ticket fields when non-idempotent requests may be sent here."""
+    """Return the ticket fields of a response.
+
+    The ticket is ``None`` if the service has no at-most-once requests or the caller
+    should send them to another VM.
+    """
     needed = any(kind.semantics is Semantics.AT_MOST_ONCE for kind in service.kinds)
     if not needed or vm.leaving or domain != vm.settings.failure_domain:
         return {"ticket": None}
--- a/src/heathercleat/request/run_once.py
+++ b/src/heathercleat/request/run_once.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once: tickets, keys, claims, repeats and closing out."""
+"""Requests with at-most-once semantics: tickets, claims, repeats and close-outs."""
 
 from hashlib import sha256
 
@@ -16,10 +16,10 @@
 async def run_once(vm, call):
     """Run a non-idempotent request at most once and return its :class:`Outcome`.
 
-    A request without a ticket and key is sent to a target at most once by this system;
-    a repeat of it is another request.
+    A request without a ticket is sent to a target at most once too, but a repeat of it
+    counts as another request.
 
-    :raises RequestError: with what is known about the run.
+    :raises RequestError: if there is no outcome; the code says whether the request ran.
     """
     if call.ticket is None:
         return await carry_whole(vm, call)
@@ -64,9 +64,9 @@
 
 
 async def _claim(vm, call, entry):
-    """Write the claim that the ticket asks for.
+    """Write the claim if the ticket requires one.
 
-    :raises RequestError: when the request must not run.
+    :raises RequestError: if the request must not run.
     """
     if not call.ticket.claims or entry.claimed:
         return
@@ -85,7 +85,10 @@
 
 
 async def _repeat(vm, call, entry):
-    """Answer a repeat with the outcome of the first run."""
+    """Return the outcome of the first run, waiting for it if necessary.
+
+    :raises RequestError: if there is none.
+    """
     if entry.state is EntryState.RUNNING:
         try:
             await before(call.deadline, vm.clock, entry.finished.wait())
@@ -108,7 +111,10 @@
 
 
 async def _ask_owner(vm, call):
-    """Find out what became of a key whose ticket names another process."""
+    """Return the outcome of a request whose ticket names another process.
+
+    :raises RequestError: if there is none.
+    """
     check_age(call.ticket.expires_at, vm.clock.wall())
     state, outcome = await _state_at_owner(vm, call)
     vm.journal.write(
@@ -135,7 +141,7 @@
 
 
 async def _state_at_owner(vm, call):
-    """Return ``(EntryState, Outcome or None)`` from the owner or from the table."""
+    """Return ``(EntryState, Outcome or None)`` from the owner or the claim table."""
     state, outcome = await _ask_process(vm, call.ticket, call.key)
     if state is not EntryState.GONE or not call.ticket.claims:
         return state, outcome
--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -1,9 +1,9 @@
-"""Tickets: which process may run a non-idempotent request.
+"""Tickets: the right of one process to run non-idempotent requests.
 
 A ticket names one process of one VM. Only that process runs requests under the ticket,
-so a key can run at most once without any agreement between VMs. A ticket with
-``claims`` also needs a claim in the platform's table before each run; that lets another
-VM find out what ran when the process is gone.
+so each key runs at most once without coordination between VMs. If ``claims`` is set,
+each run also requires a claim in the platform's table, from which another VM can learn
+what ran after the process has exited.
 """
 
 from base64 import urlsafe_b64decode, urlsafe_b64encode
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """A right to run; ``birth`` names the process, ``expires_at`` is epoch seconds."""
+    """A ticket; ``birth`` identifies the process, ``expires_at`` is epoch seconds."""
 
     id: str
     vm: str
@@ -34,16 +34,16 @@
 
 
 def issue(keys, vm, birth, service, claims, expires_at):
-    """Return a new ticket as text."""
+    """Return a new ticket, signed with the first of ``keys`` and encoded as text."""
     ticket_id = token_hex(_ID_BYTES)
     data = msgpack.packb([ticket_id, vm, birth, service, claims, expires_at])
     return urlsafe_b64encode(sign(keys[0], b"ticket", data) + data).decode()
 
 
 def read(keys, text):
-    """Return the :class:`Ticket` of a text.
+    """Decode a ticket and verify its signature.
 
-    :raises RequestError: when it was not issued with one of ``keys``.
+    :raises RequestError: if it was not signed with one of ``keys``.
     """
     try:
         raw = urlsafe_b64decode(text.encode())
