--- a/src/heathercleat/process/clock.py
+++ b/src/heathercleat/process/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: instants within a process, and instants that travel between VMs."""
+"""Clocks: monotonic instants within a process and epoch seconds between VMs."""
 
 from time import CLOCK_BOOTTIME, clock_gettime, time
 from typing import Protocol
@@ -8,23 +8,23 @@
 
 
 class Clock(Protocol):
-    """Source of instants, in seconds."""
+    """Interface of a clock; times are in seconds."""
 
     def now(self):
-        """Return an instant that never goes back, for deadlines in this process."""
+        """Return a monotonic instant, for deadlines within this process."""
 
     def wall(self):
-        """Return epoch seconds, for deadlines that travel between VMs."""
+        """Return epoch seconds, for deadlines that are sent to other VMs."""
 
 
 class SystemClock:
     """The clocks of the operating system.
 
-    ``CLOCK_BOOTTIME`` also runs while a VM is suspended, so that a lease lapses then.
+    ``CLOCK_BOOTTIME`` also runs while a VM is suspended, so leases expire meanwhile.
     """
 
     def now(self):
-        """Return seconds since the VM booted, suspended time included."""
+        """Return the seconds since boot, including suspended time."""
         return clock_gettime(CLOCK_BOOTTIME)
 
     def wall(self):
--- a/src/heathercleat/process/configuration/keeper.py
+++ b/src/heathercleat/process/configuration/keeper.py
@@ -1,9 +1,10 @@
-"""The configuration in force: read from the platform and from peers, never older.
+"""The current configuration: fetched from the platform and from peers.
 
-A configuration is the operators' text and the drains planned beside it. A few readers
-in each failure domain ask the platform; every VM also learns of newer versions from
-heartbeats, announcements and peers of other failure domains, so a domain that is cut
-off from the platform still follows as long as any VM can be reached.
+A configuration consists of the operators' text and the planned drains; its version
+never decreases. A few readers in each failure domain poll the platform. Each VM also
+learns of newer versions from heartbeats, announcements and gossip with other failure
+domains, so a domain without access to the platform still gets updates while another VM
+is reachable.
 """
 
 from random import choice, uniform
@@ -30,22 +31,22 @@
 )
 from heathercleat.version.hashing import ranked
 
-#: VMs of a failure domain that ask the platform.
+#: Number of VMs of a failure domain that poll the platform.
 READERS = 2
 READ_INTERVAL = 0.5
-#: Seconds between the calls of a VM that is not a reader, lest all readers be wrong.
+#: Seconds between polls of a VM that is not a reader, in case the readers fail.
 FALLBACK_INTERVAL = 30.0
-#: Other failure domains asked by a reader at each interval.
+#: Number of VMs of other failure domains that a reader contacts after each poll.
 GOSSIP_FANOUT = 1
 FETCH_TIMEOUT = 5.0
 
 
 class ConfigurationKeeper:
-    """Keeps the newest configuration and VM list that this VM has seen.
+    """Tracks the latest configuration and VM list known to this VM.
 
-    :param vm: the process, told of each new version.
+    :param vm: the process, which is notified of each new version.
     :param platform: the platform client.
-    :param links: calls to peers.
+    :param links: the :class:`PeerLinks` to other VMs.
     """
 
     def __init__(self, vm, platform, links, membership, directory, clock):
@@ -64,33 +65,35 @@
 
     @property
     def version(self):
-        """Return the version in force here, or 0 when none is known."""
+        """Return the version of the current configuration, or 0 if there is none."""
         return self._version
 
     @property
     def text(self):
-        """Return the :class:`Text` in force, or ``None``."""
+        """Return the current configuration as a :class:`Text`, or ``None``."""
         return self._text
 
     @property
     def data(self):
-        """Return the bytes of the document in force, or none."""
+        """Return the encoded current document; empty if there is none."""
         return self._data
 
     @property
     def document(self):
-        """Return the :class:`Document` in force, or ``None``."""
+        """Return the current :class:`Document`, or ``None``."""
         return unpack_document(self._data) if self._data else None
 
     @property
     def platform_answers(self):
-        """Return whether the platform answered when it was last asked."""
+        """Return whether the last call to the platform succeeded."""
         return self._platform_failures == 0
 
     def adopt(self, version, data, source):
-        """Take a configuration if it is newer than the one in force.
+        """Switch to a configuration if it is newer than the current one.
 
+        :param data: the encoded document.
         :param source: where it came from, for the log.
+        :return: whether the configuration has changed.
         """
         if version <= self._version:
             if version < self._version:
@@ -116,14 +119,17 @@
         return True
 
     async def hint(self, host, version, vm_serial):
-        """Fetch what a peer has that is newer than what is known here."""
+        """Start to fetch the configuration and VM list of a peer if one is newer."""
         newer = version > self._version or vm_serial > self._directory.serial
         if newer and host not in self._fetching:
             self._fetching.add(host)
             await spawn(self._fetch, host, daemon=True)
 
     async def read_platform(self):
-        """Read the head and the VM list; return whether the platform answered."""
+        """Read the head row and the VM list from the platform.
+
+        :return: whether the platform responded.
+        """
         try:
             await self._read_head()
             vms = await self._platform.list_vms(self._directory.serial)
@@ -141,11 +147,11 @@
         return True
 
     def note_claim_failure(self):
-        """Note that the platform failed a claim, so that tickets do without."""
+        """Record that a claim failed, so that new tickets require none."""
         self._platform_failures += 1
 
     def adopt_vms(self, vms):
-        """Take a :class:`VmList` if it is newer."""
+        """Switch to a :class:`VmList` if it is newer than the current one."""
         if not self._directory.adopt(vms):
             return
         self._vm.journal.write(
@@ -156,12 +162,12 @@
             self._record_listed(entry, domain)
 
     async def announce(self):
-        """Tell every VM of the failure domain what is in force here."""
+        """Announce the current versions to every VM of the failure domain."""
         for member in self._membership.running():
             await spawn(self._exchange, member.host, daemon=True)
 
     async def run(self):
-        """Follow the platform and the other failure domains."""
+        """Poll the platform and gossip with other failure domains, forever."""
         await self._start()
         while True:
             if self._is_reader() or self._fallback_due():
@@ -174,7 +180,7 @@
             await sleep(uniform(0.8, 1.2) * READ_INTERVAL)
 
     async def _start(self):
-        """Learn the newest version that any peer or the platform has."""
+        """Fetch the latest version from the seeds and the platform."""
         for seed in self._vm.settings.seeds:
             if seed != self._vm.settings.address:
                 await self._membership.exchange_views(seed)
@@ -212,7 +218,7 @@
             await spawn(self._exchange, choice(others).host, daemon=True)
 
     async def _exchange(self, host):
-        """Tell a peer what is in force here and learn what is in force there."""
+        """Exchange versions with a peer and fetch what is newer there."""
         mine = Announcement(self._version, self._directory.serial)
         try:
             theirs = await self._links.call(host, mine)
@@ -234,7 +240,10 @@
             self._fetching.discard(host)
 
     def _record_listed(self, entry, domain):
-        """Take a listed VM as a member until its silence or its own record decides."""
+        """Record a listed VM as a member, with its last known incarnation.
+
+        If the entry is of this VM and leaving, begin a graceful shutdown.
+        """
         known = self._membership.members.get(entry.name)
         incarnation = known.incarnation if known is not None else 0
         state = MemberState.LEAVING if entry.leaving else MemberState.LIVE
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -1,8 +1,7 @@
-"""The platform's table service, object store and VM list.
+"""Client of the platform's table service, object store and VM list.
 
-:class:`Platform` is the interface that the daemon uses; a client for another platform
-takes the place of :class:`HttpPlatform`. The protocol that this client speaks is
-written down in ``docs/reference/platform.md``.
+:class:`Platform` is the interface that the daemon requires; :class:`HttpPlatform`
+implements it with the protocol described in ``docs/reference/platform.md``.
 """
 
 from dataclasses import dataclass
@@ -27,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """A row of the table with its version, which is at least 1."""
+    """A row of the table; its version is at least 1."""
 
     key: str
     value: bytes
@@ -36,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Condition:
-    """The row ``key`` must stand at ``version``, or be missing at ``ABSENT``."""
+    """A condition: ``key`` is at ``version``, or is missing for ``ABSENT``."""
 
     key: str
     version: int
@@ -44,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Put ``value`` (bytes) at ``key``, or remove the row for ``None``."""
+    """A write of ``value`` at ``key``; ``None`` removes the row."""
 
     key: str
     value: bytes | None
@@ -52,9 +51,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """The result of a transaction; ``conflicts`` lists the keys whose condition failed.
+    """The result of a transaction; ``conflicts`` has the keys whose condition failed.
 
-    Nothing is written when there is a conflict.
+    If there are any, nothing was written.
     """
 
     conflicts: tuple
@@ -67,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VmEntry:
-    """One VM of the platform's list, which lags."""
+    """One VM of the platform's VM list, which may be out of date."""
 
     name: str
     host: str
@@ -84,21 +83,22 @@
 
 
 class Platform(Protocol):
-    """What the platform gives. Every call raises ``PlatformError`` when it is down.
+    """Interface of a platform client.
 
-    After an error a write may or may not have taken effect.
+    Every method raises ``PlatformError`` if the platform is unavailable. After an
+    error, a write may or may not have taken effect.
     """
 
     async def transact(self, conditions, writes):
-        """Apply all writes if every condition holds; return a :class:`Commit`."""
+        """Apply all writes if every condition holds, and return a :class:`Commit`."""
 
     async def read(self, key):
         """Return the :class:`Row` of a key, or ``None``."""
 
     async def read_range(self, prefix, limit=None):
-        """Return the first ``limit`` rows whose key starts with ``prefix``, in order.
+        """Return the rows whose key starts with ``prefix``, in order of their keys.
 
-        Without a limit all of them are returned.
+        :param limit: maximum number of rows, or ``None`` for all of them.
         """
 
     async def put_object(self, key, data):
@@ -108,17 +108,15 @@
         """Return the bytes of an object, or ``None``."""
 
     async def list_vms(self, since):
-        """Return the :class:`VmList`, or ``None`` if it stands at serial ``since``."""
+        """Return the :class:`VmList`, or ``None`` if its serial is still ``since``."""
 
 
 class HttpPlatform:
-    """Client of the platform over HTTP with msgpack bodies, one request at a time.
+    """Platform client over HTTP with msgpack bodies; sends one request at a time.
 
-    :param host: IP number of the platform.
-    :param port: TCP port.
-    :param clock: source of instants.
-    :param timeout: seconds that one call may take.
-    :param fence: returns the :class:`Fence` in force.
+    :param host: IP address of the platform.
+    :param timeout: timeout of each call, in seconds.
+    :param fence: a callable that returns the current :class:`Fence`.
     """
 
     def __init__(self, host, port, clock, timeout, fence):
@@ -130,7 +128,7 @@
         self._connection = KeptConnection(self._connect, MAX_ANSWER_BYTES)
 
     async def transact(self, conditions, writes):
-        """Apply all writes if every condition holds; return a :class:`Commit`."""
+        """Apply all writes if every condition holds, and return a :class:`Commit`."""
         body = {
             "conditions": [[each.key, each.version] for each in conditions],
             "writes": [[each.key, each.value] for each in writes],
@@ -146,7 +144,7 @@
         return Row(*msgpack.unpackb(answer.body))
 
     async def read_range(self, prefix, limit=None):
-        """Return the first ``limit`` rows whose key starts with ``prefix``."""
+        """Return the rows whose key starts with ``prefix``, at most ``limit``."""
         path = f"/table/range?prefix={quote(prefix, safe='')}"
         if limit is not None:
             path += f"&limit={limit}"
@@ -163,7 +161,7 @@
         return None if answer.status == 404 else answer.body
 
     async def list_vms(self, since):
-        """Return the :class:`VmList`, or ``None`` if it stands at serial ``since``."""
+        """Return the :class:`VmList`, or ``None`` if its serial is still ``since``."""
         answer = await self._call("GET", f"/vms?since={since}")
         serial, entries = msgpack.unpackb(answer.body)
         if entries is None:
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -1,4 +1,4 @@
-"""Why a caller's request goes where it goes, with the alternatives' figures."""
+"""Explanation of the routing of a service, for operators."""
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import HeathercleatError
@@ -6,10 +6,11 @@
 
 
 def explain(vm, service_name, client):
-    """Return the look-up, the places in order, and what is known of each.
+    """Return the look-up of a client and the state of each target, nearest first.
 
-    :param client: the caller's IP number, or ``None`` for this VM's own.
-    :raises HeathercleatError: for an unknown service.
+    :param client: IP address of the client, or ``None`` for that of this VM.
+    :return: a JSON object.
+    :raises HeathercleatError: if the service is unknown.
     """
     text = vm.text
     service = text.services.get(service_name) if text is not None else None
@@ -31,7 +32,7 @@
 
 
 def _places(vm, service):
-    """Yield every target of a service, the nearest first."""
+    """Yield the JSON object of each target of a service, nearest first."""
     text, here = vm.text, vm.settings.failure_domain
     targets = sorted(
         service.targets.values(),
--- a/src/heathercleat/process/fence.py
+++ b/src/heathercleat/process/fence.py
@@ -1,34 +1,34 @@
-"""Fences for drills: addresses that a VM behaves as if it were cut off from.
+"""Simulated network partitions, to rehearse failures.
 
-Operators name them in the settings and send SIGHUP, to rehearse a network partition. A
-call to a fenced address gets no answer, and its connections are closed.
+Operators list networks under ``fenced`` in the settings and send SIGHUP. Calls to a
+fenced address time out, and calls from it are not answered.
 """
 
 from ipaddress import ip_address, ip_network
 
 from curio import sleep
 
-#: Longer than any deadline of a call.
+#: Seconds; longer than the deadline of any call.
 FOREVER = 3600.0
 
 
 class Fence:
-    """A set of IP networks that cannot be reached.
+    """A set of IP networks to treat as unreachable.
 
-    :param networks: blocks such as ``127.0.3.0/24``.
+    :param networks: networks in CIDR notation, such as ``127.0.3.0/24``.
     """
 
     def __init__(self, networks=()):
         self._networks = [ip_network(network) for network in networks]
 
     def covers(self, host):
-        """Return whether ``host`` lies behind the fence."""
+        """Return whether ``host``, an IP address, is in one of the networks."""
         if not self._networks:
             return False
         address = ip_address(host)
         return any(address in network for network in self._networks)
 
     async def pass_through(self, host):
-        """Return at once, or never when ``host`` lies behind the fence."""
+        """Return at once, or after ``FOREVER`` if ``host`` is fenced."""
         if self.covers(host):
             await sleep(FOREVER)
--- a/src/heathercleat/process/guard.py
+++ b/src/heathercleat/process/guard.py
@@ -1,4 +1,4 @@
-"""Loops of a process that go on after an unexpected error."""
+"""Supervision of background loops."""
 
 from curio import sleep
 
@@ -6,10 +6,10 @@
 
 
 async def run_guarded(run, journal, pause):
-    """Run a loop; an error in it is logged and the loop starts again.
+    """Run a loop and restart it after an unexpected error, which is logged.
 
     :param run: the loop, a coroutine function.
-    :param pause: seconds until it starts again.
+    :param pause: seconds to wait before a restart.
     """
     while True:
         try:
--- a/src/heathercleat/process/listeners.py
+++ b/src/heathercleat/process/listeners.py
@@ -1,4 +1,4 @@
-"""The listeners of an entry VM, and the connections of callers under way."""
+"""The listening sockets of an entry VM and the open connections of callers."""
 
 from socket import SHUT_RDWR
 
@@ -15,9 +15,9 @@
 
 
 class Listeners:
-    """Accepts connections on the four ports of a VM, one task for each.
+    """Accepts connections on the four ports of a VM; each connection has a task.
 
-    :param vm: the process that serves them.
+    :param vm: the process.
     """
 
     def __init__(self, vm):
@@ -28,18 +28,18 @@
 
     @property
     def connections(self):
-        """Return the number of connections of callers and of VMs that forward."""
+        """Return the number of open connections of callers and forwarding VMs."""
         return len(self._connections)
 
     @property
     def busy(self):
-        """Return whether any request is under way."""
+        """Return whether any request is in progress."""
         return any(connection.busy for connection in self._connections)
 
     def listen(self):
-        """Open every port.
+        """Open the listening sockets.
 
-        :raises OSError: when one is taken.
+        :raises OSError: if a port is in use.
         """
         ports = self._vm.settings.ports
         self._handlers = {
@@ -50,15 +50,15 @@
         }
 
     async def run(self):
-        """Accept connections on every port."""
+        """Accept connections on all ports, forever."""
         async with TaskGroup() as group:
             for sock, handle in self._handlers.items():
                 await group.spawn(self._accept, sock, handle)
 
     async def close_to_callers(self):
-        """Refuse new connections of callers and of VMs that forward; close idle ones.
+        """Stop accepting callers and forwarding VMs and close idle connections.
 
-        Requests under way go on: each ends by its deadline.
+        Requests in progress continue until their deadline at the latest.
         """
         self._closed = True
         for sock, handle in self._handlers.items():
@@ -86,7 +86,7 @@
             await group.spawn(self._run, handle, client, address)
 
     async def _run(self, handle, client, address):
-        """Run one connection; an error in it costs no other connection anything."""
+        """Handle one connection and log an unexpected error in it."""
         async with client:
             try:
                 await handle(client, address)
--- a/src/heathercleat/process/logs.py
+++ b/src/heathercleat/process/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, never waiting for the reader."""
+"""Structured, non-blocking logs: one JSON object per line."""
 
 import json
 import sys
@@ -15,10 +15,10 @@
 
 
 class Journal:
-    """Writes events as log lines.
+    """Logs events with their fields.
 
-    :param vm: the name of this VM, on every line.
-    :param failure_domain: its failure domain, on every line.
+    :param vm: the name of this VM, added to each line.
+    :param failure_domain: its failure domain, added to each line.
     """
 
     def __init__(self, vm, failure_domain, logger=None):
@@ -27,7 +27,7 @@
         self._failure_domain = failure_domain
 
     def write(self, event, **inputs):
-        """Log ``event`` with the inputs of the decision."""
+        """Log ``event``; the keyword arguments become fields of the line."""
         if not self._logger.isEnabledFor(event.level):
             return
         fields = {
@@ -44,7 +44,7 @@
     """Formats a record as one JSON object."""
 
     def format(self, record):
-        """Return the line for ``record``."""
+        """Return the line for ``record``, without a line break."""
         line = {"at": round(record.created, 6), "level": record.levelname}
         line.update(getattr(record, "fields", {"message": record.getMessage()}))
         if record.exc_info:
@@ -53,7 +53,7 @@
 
 
 class BufferHandler(Handler):
-    """Buffers records for another thread; drops and counts them when it is full."""
+    """Buffers records for another thread; drops and counts those that don't fit."""
 
     def __init__(self):
         super().__init__()
@@ -67,7 +67,7 @@
         return self._dropped
 
     def handle(self, record):
-        """Buffer ``record`` or drop it; needs no lock, since appends are atomic."""
+        """Buffer or drop ``record``; no lock is needed because appends are atomic."""
         if len(self._records) >= BUFFER_LINES:
             self._dropped += 1
             return
@@ -76,27 +76,26 @@
             self._filled.set()
 
     def wait(self):
-        """Wait until there is something to take, or :meth:`interrupt` is called."""
+        """Block until a record is buffered or :meth:`interrupt` is called."""
         self._filled.wait()
 
     def interrupt(self):
-        """End a wait."""
+        """Wake the thread that is blocked in :meth:`wait`."""
         self._filled.set()
 
     def take(self):
-        """Return the buffered records and forget them."""
+        """Remove and return the buffered records."""
         self._filled.clear()
         return [self._records.popleft() for _ in range(len(self._records))]
 
 
 class LogWriter:
-    """Moves log lines to a stream, many at a time, on a thread of its own.
+    """Writes log lines to a stream in batches, in a thread of its own.
 
-    A wake-up for every line would cost a request more than its line does; one each 0.05
-    s without any line was a fifth of those of a process without requests.
+    Batches avoid a wake-up per line, and the thread sleeps while there are no lines.
 
-    :param stream: where lines go.
-    :param level: name of the lowest level written.
+    :param level: name of the lowest level to write.
+    :param stream: the stream to write to; standard error by default.
     """
 
     def __init__(self, level, stream=None):
@@ -113,24 +112,24 @@
 
     @property
     def dropped(self):
-        """Return the number of lines dropped because the reader fell behind."""
+        """Return the number of lines dropped because the buffer was full."""
         return self._handler.dropped
 
     def start(self):
-        """Start writing."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self):
-        """Write what is buffered, but wait no longer than ``FLUSH_SECONDS``."""
+        """Write the buffered lines, waiting for at most ``FLUSH_SECONDS``."""
         self._stopping = True
         self._handler.interrupt()
         self._thread.join(FLUSH_SECONDS)
 
     def _take_library_lines(self):
-        """Write what curio logs the same way, in place of bare lines on stderr.
+        """Handle the errors that curio logs in the same way.
 
-        Its warnings only tell of results that came just after their deadline and were
-        used all the same: 223 of them in 50 s under load.
+        Its warnings are ignored: they concern only results that arrive just after a
+        timeout and are used nevertheless.
         """
         library = getLogger(LIBRARY_LOGGER)
         library.setLevel(ERROR)
--- a/src/heathercleat/process/membership/__init__.py
+++ b/src/heathercleat/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs take part, and how they talk to each other."""
+"""Membership, failure detection and calls between VMs."""
--- a/src/heathercleat/process/membership/directory.py
+++ b/src/heathercleat/process/membership/directory.py
@@ -1,14 +1,14 @@
-"""The VM list: entry VMs of every failure domain, as far as this VM knows.
+"""The VM list: the entry VMs of all failure domains.
 
-The list comes from the platform or from a peer, and lags. It tells whom to ask; whether
-a VM answers is learned by asking.
+The list comes from the platform or a peer and may be out of date: a listed VM need not
+be reachable.
 """
 
 from heathercleat.process.configuration.platform import VmEntry, VmList
 
 
 class Directory:
-    """The latest VM list, indexed by failure domain."""
+    """The latest VM list, indexed by name and failure domain."""
 
     def __init__(self):
         self._list = None
@@ -17,21 +17,21 @@
 
     @property
     def known(self):
-        """Return whether any list was read."""
+        """Return whether a list has been received."""
         return self._list is not None
 
     @property
     def serial(self):
-        """Return the serial number of the list, or -1 when there is none."""
+        """Return the serial number of the list, or -1 if there is none."""
         return -1 if self._list is None else self._list.serial
 
     @property
     def entries(self):
-        """Return every :class:`VmEntry`."""
+        """Return the :class:`VmEntry` of each VM in the list."""
         return () if self._list is None else self._list.entries
 
     def adopt(self, vm_list):
-        """Take a list if it is newer than the one known; return whether it was."""
+        """Replace the list by a newer one and return whether it was newer."""
         if vm_list is None or vm_list.serial <= self.serial:
             return False
         self._list = vm_list
@@ -50,20 +50,20 @@
         return self._by_domain.get(failure_domain, [])
 
     def staying_in(self, failure_domain):
-        """Return the entries of one failure domain that do not leave."""
+        """Return the entries of one failure domain that are not leaving."""
         return [entry for entry in self.vms_in(failure_domain) if not entry.leaving]
 
     def homes_in(self, failure_domain, placement, service):
-        """Return the VMs that should be homes of a service's targets, each once.
+        """Return the distinct VMs to which a placement assigns a service's targets.
 
-        :param placement: the :class:`Placement` of the text in force.
+        :param placement: the :class:`Placement` of the current configuration.
         """
         names = [entry.name for entry in self.staying_in(failure_domain)]
         homes = placement.homes_of(service, failure_domain, names)
         return [self._by_name[name] for name in homes]
 
     def to_fields(self):
-        """Return the list as message fields."""
+        """Return the list as fields of a :class:`Vms` message."""
         return [
             [entry.name, entry.host, entry.failure_domain, entry.leaving]
             for entry in self.entries
@@ -71,5 +71,5 @@
 
 
 def vm_list(serial, fields):
-    """Return a :class:`VmList` from message fields."""
+    """Return a :class:`VmList` from the fields of a :class:`Vms` message."""
     return VmList(serial, tuple(VmEntry(*entry) for entry in fields))
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the monitors of this VM, and judgement of those that it monitors."""
+"""Heartbeats to the monitors of this VM, and failure detection of monitored VMs."""
 
 from curio import sleep, spawn
 
@@ -8,18 +8,17 @@
 from heathercleat.process.membership.member import DEAD_AFTER, MemberState
 
 HEARTBEAT_INTERVAL = 0.25
-#: Seconds between looks at a VM that closed its connection, and how many there are.
+#: Seconds between probes of a VM that closed its connection, and number of probes.
 LOOK_INTERVAL = 0.3
 LOOKS = 4
 
 
 class Heartbeats:
-    """Keeps the membership of this VM up to date.
+    """Sends heartbeats and detects failed VMs.
 
     :param vm: the identity of this VM (incarnation, versions, journal).
-    :param membership: the view that is kept.
-    :param links: calls to peers.
-    :param clock: source of instants.
+    :param membership: the :class:`Membership` to update.
+    :param links: the :class:`PeerLinks` to other VMs.
     """
 
     def __init__(self, vm, membership, links, clock):
@@ -31,7 +30,7 @@
         self._tasks = {}
 
     async def run(self):
-        """Send heartbeats and judge the VMs that this one monitors."""
+        """Send heartbeats and detect failures of monitored VMs, forever."""
         while True:
             self._membership.note_tick()
             await self._start_tasks()
@@ -39,9 +38,9 @@
             await sleep(HEARTBEAT_INTERVAL)
 
     async def send(self, name, host):
-        """Send one heartbeat to a monitor and take its answer.
+        """Send one heartbeat to a monitor and process its acknowledgement.
 
-        :raises PeerError: when it does not answer.
+        :raises PeerError: if the monitor does not respond.
         """
         membership = self._membership
         self._sequence += 1
@@ -70,14 +69,14 @@
         await self._vm.hint(host, ack.version, ack.vm_serial)
 
     async def end(self, member):
-        """Note that the process of a VM has ended."""
+        """Record that the process of a VM has exited."""
         member.gone = True
         if member.state is not MemberState.DEAD:
             self._membership.declare_dead(member)
             await self._membership.announce()
 
     async def judge(self):
-        """Declare the VMs dead that this one monitors and has not heard."""
+        """Declare monitored VMs dead whose heartbeats have timed out."""
         if not self._membership.settled:
             return
         now = self._clock.now()
@@ -91,17 +90,17 @@
             await spawn(self._membership.announce, daemon=True)
 
     async def suspect(self, name):
-        """Look soon whether a VM that closed its connection has ended.
+        """Start probes of a monitored VM that closed its connection.
 
-        A host that refuses connections has no such process any more: there is no need
-        to wait for its silence. Only its monitors look.
+        If its host refuses connections, the process has exited, and the VM is declared
+        dead before its heartbeats time out.
         """
         for member in self._membership.monitored():
             if member.vm == name:
                 await spawn(self._look_for_end, member, daemon=True)
 
     async def _start_tasks(self):
-        """Keep one task running for each monitor of this VM."""
+        """Start a heartbeat task for each new monitor and cancel those of others."""
         hosts = {member.host: member.vm for member in self._membership.monitors()}
         for host in [host for host in self._tasks if host not in hosts]:
             await self._tasks.pop(host).cancel(blocking=False)
@@ -130,6 +129,6 @@
                 return
 
     def _heard_otherwise(self, member, now):
-        # With few VMs a monitor is also monitored: an acknowledgement is a sign of
-        # life, but only heartbeats count for a VM that we never asked.
+        # A monitored VM may also be a monitor of this VM. Then a recent
+        # acknowledgement shows that it is alive.
         return member.acked_at > now - HEARTBEAT_INTERVAL
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -1,18 +1,18 @@
-"""A VM of a failure domain as another VM of it sees it."""
+"""The state of one VM in the membership view of another."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 from heathercleat.process.clock import NEVER
 
-#: Seconds for which an acknowledged heartbeat lets a VM act as a home.
+#: Seconds for which an acknowledged heartbeat permits a VM to act as a home.
 LEASE = 1.0
-#: Seconds of silence after which a monitor presumes a VM dead.
+#: Seconds without a heartbeat after which a monitor declares a VM dead.
 DEAD_AFTER = 1.5
 
 
 class MemberState(Enum):
-    """The state of a VM as others see it."""
+    """The state of a VM in the membership."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -26,12 +26,17 @@
 class Member:
     """A VM of this failure domain.
 
-    ``heard_at`` is when its last heartbeat came; ``acked_at`` is when the last
-    heartbeat that it acknowledged was sent. ``beat_at`` is when its last heartbeat
-    came, and ``died_at`` when it was found dead. All are instants of this process.
-    ``heard_before`` is the incarnation before this one, if it was heard to its end.
-    ``gone`` tells that its host refused connections, so that its process has ended and
-    with it every request that it sent.
+    Instants are of ``clock.now()``:
+
+    - ``heard_at``: last heartbeat from this VM, moved forward by pauses of this process
+    - ``acked_at``: when the last heartbeat that this VM acknowledged was sent
+    - ``silent_from``: last heartbeat or acknowledgement, moved forward by pauses
+    - ``beat_at``: last heartbeat from this VM
+    - ``died_at``: when this VM was declared dead
+
+    ``heard_before`` is the previous incarnation if its heartbeats were received until
+    it ended, or ``None``. ``gone`` means that the host refused connections: the process
+    has exited, and its requests with it.
     """
 
     vm: str
@@ -48,10 +53,13 @@
 
     @property
     def heard_to_the_end(self):
-        """Return whether heartbeats came until a monitor would have noticed the end."""
+        """Return whether heartbeats were received until shortly before the end.
+
+        A monitor would have declared the VM dead by then.
+        """
         return self.died_at - self.beat_at <= DEAD_AFTER + LEASE
 
     @property
     def rank(self):
-        """Return the order of records: a later incarnation or a worse state wins."""
+        """Return the precedence of a record: by incarnation, then by state."""
         return self.incarnation, RANK[self.state]
--- a/src/heathercleat/process/membership/members.py
+++ b/src/heathercleat/process/membership/members.py
@@ -1,10 +1,10 @@
-"""Membership of a failure domain: who is alive, at which incarnation.
+"""Membership of a failure domain: its VMs with their states and incarnations.
 
-Every VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
-does not grow with the number of VMs. A VM may act as a home only while its monitors
-have acknowledged a heartbeat within ``LEASE``; a monitor presumes a VM dead only after
-``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore finds its
-right to act lapsed before anybody takes its place.
+Each VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
+doesn't grow with the number of VMs. A VM may act as a home only while its monitors have
+acknowledged a heartbeat within ``LEASE``. A monitor declares a VM dead after
+``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore loses its
+permission to act as a home before another VM takes over.
 """
 
 from hashlib import blake2b
@@ -17,23 +17,24 @@
 from heathercleat.process.membership.member import LEASE, Member, MemberState
 from heathercleat.version.hashing import weight
 
-#: Seconds of silence after which a monitor no longer has to acknowledge.
+#: Seconds without a message from a monitor after which its acknowledgement is no longer
+#: required.
 SILENT_AFTER = 3.0
-#: A gap between two ticks that counts as a pause of this process.
+#: Minimum gap in seconds between two ticks that counts as a pause of this process.
 PAUSE_GAP = 0.75
-#: Seconds after a pause in which this VM only listens.
+#: Seconds after a start or a pause during which this VM may not act as a home or
+#: declare others dead.
 SETTLE = 0.5
-#: Seconds for which the record of a dead VM is kept against late news of its life.
+#: Seconds for which the record of a dead VM is kept, to reject outdated records.
 DEAD_KEPT = 3600.0
 MONITORS = 3
 
 
 class Membership:
-    """The view of one VM on its failure domain.
+    """The membership view of one VM.
 
     :param vm: the identity of this VM (settings, incarnation, journal).
-    :param links: calls to peers.
-    :param clock: source of instants.
+    :param links: the :class:`PeerLinks` to other VMs.
     """
 
     def __init__(self, vm, links, clock):
@@ -55,24 +56,27 @@
 
     @property
     def digest(self):
-        """Return a 64-bit digest of the view, equal on VMs with the same view."""
+        """Return a 64-bit digest of the live and leaving members of the view."""
         return self._digest
 
     @property
     def leaving(self):
-        """Return whether this VM has announced that it leaves."""
+        """Return whether this VM has announced that it is leaving."""
         return self._members[self._vm.name].state is MemberState.LEAVING
 
     def on_pause(self, callback):
-        """Call ``callback()`` when this VM did not run for a while."""
+        """Call ``callback()`` after each pause of this process."""
         self._on_pause = callback
 
     def on_presumed_dead(self, callback):
-        """Call ``callback()`` when this VM was paused or presumed dead."""
+        """Call ``callback()`` after a new incarnation has begun.
+
+        That follows a long pause, or a record that declares this VM dead.
+        """
         self._on_presumed_dead = callback
 
     def live(self):
-        """Return the names of the VMs that may be homes, in order."""
+        """Return the sorted names of the live VMs, which may be homes."""
         return sorted(
             name
             for name, member in self._members.items()
@@ -80,7 +84,7 @@
         )
 
     def running(self):
-        """Return the members that are live or leaving, this VM not included."""
+        """Return the other VMs that are live or leaving."""
         return [
             member
             for name, member in self._members.items()
@@ -89,7 +93,7 @@
 
     @property
     def settled(self):
-        """Return whether this VM has listened long enough to judge others."""
+        """Return whether ``SETTLE`` has passed since the start or the last pause."""
         return self._clock.now() >= self._settled_at
 
     def may_act(self):
@@ -102,14 +106,14 @@
         )
 
     def answering_monitors(self):
-        """Return the monitors whose acknowledgement this VM needs."""
+        """Return the monitors whose acknowledgement this VM requires."""
         now = self._clock.now()
         return [
             member for member in self.monitors() if not self._is_silent(member, now)
         ]
 
     def monitors(self):
-        """Return the members that this VM sends heartbeats to."""
+        """Return the members to which this VM sends heartbeats."""
         return self._neighbours(+1)
 
     def monitored(self):
@@ -117,10 +121,10 @@
         return self._neighbours(-1)
 
     def heard_until_end(self, name, incarnation):
-        """Return whether this VM had the heartbeats of an ended life up to its end.
+        """Return whether this VM received heartbeats of an incarnation until it ended.
 
-        A life ends by death or by a later incarnation. A VM that was no longer a
-        monitor then has heard nothing for longer than a monitor would wait.
+        An incarnation ends when it is declared dead or a later one begins. This VM may
+        have stopped being its monitor before that.
         """
         member = self._members.get(name)
         if member is None:
@@ -130,12 +134,12 @@
         return member.heard_before == incarnation
 
     def is_gone(self, name, incarnation):
-        """Return whether the process of an ended life is known to have ended too."""
+        """Return whether the process of an ended incarnation has certainly exited."""
         member = self._members.get(name)
         return member is not None and member.incarnation == incarnation and member.gone
 
     def all_gone(self, seconds):
-        """Return whether every VM found dead in the last ``seconds`` has ended."""
+        """Return whether all VMs declared dead in the last ``seconds`` have exited."""
         since = self._clock.now() - seconds
         return all(
             member.gone
@@ -144,9 +148,11 @@
         )
 
     def record(self, item):
-        """Take a :class:`MemberRecord` from a peer or the VM list.
+        """Apply a :class:`MemberRecord` from a peer or the VM list.
+
+        A record that the view already supersedes is ignored.
 
-        :return: whether the view changed.
+        :return: whether the view has changed.
         """
         if item.failure_domain != self._vm.settings.failure_domain:
             return False
@@ -174,11 +180,11 @@
         return True
 
     def records(self):
-        """Return the whole view as message fields."""
+        """Return the view as fields of a :class:`ViewExchange` message."""
         return [fields_of(self._to_record(member)) for member in self._members.values()]
 
     def heard(self, heartbeat):
-        """Take a heartbeat and return whether its sender was presumed dead."""
+        """Record a heartbeat and return whether its incarnation was declared dead."""
         member = self._members.get(heartbeat.vm)
         if member is None or heartbeat.incarnation < member.incarnation:
             return member is not None
@@ -192,13 +198,13 @@
         return False
 
     async def announce(self):
-        """Exchange views with every VM known here, to join or to spread a change."""
+        """Exchange views with all other VMs, to join or to spread a change."""
         async with TaskGroup() as group:
             for member in self.running():
                 await group.spawn(self.exchange_views, member.host)
 
     async def exchange_views(self, host):
-        """Exchange views with one VM; return whether it answered."""
+        """Exchange views with one VM and return whether it responded."""
         try:
             answer = await self._links.call(host, ViewExchange(self.records()))
         except PeerError:
@@ -207,23 +213,26 @@
         return True
 
     def merge(self, records):
-        """Take every record of a peer's view."""
+        """Merge the view of a peer into this one.
+
+        :param records: fields of a :class:`ViewExchange` message.
+        """
         for fields in records:
             self.record(MemberRecord(*fields))
 
     async def leave(self):
-        """Announce that this VM takes no new targets or callers."""
+        """Announce that this VM accepts no new targets or callers."""
         self._add_self(MemberState.LEAVING)
         await self.announce()
 
     async def rejoin(self):
-        """Announce that this VM takes targets and callers again, as a new life."""
+        """Announce, with a new incarnation, that this VM accepts targets again."""
         self._vm.renew_incarnation()
         self._add_self(MemberState.LIVE)
         await self.announce()
 
     def _carry_over(self, known, fresh, now):
-        """Keep what the next record of a VM does not say."""
+        """Copy to a new record the state that is not part of a message."""
         if known.incarnation == fresh.incarnation:
             fresh.beat_at = known.beat_at
             fresh.heard_before = known.heard_before
@@ -239,7 +248,10 @@
         return MemberRecord(member.vm, member.host, domain, incarnation, state)
 
     def _neighbours(self, step):
-        """Return the next members on the ring in one direction, at most MONITORS."""
+        """Return up to ``MONITORS`` neighbours on the ring.
+
+        :param step: 1 for successors, -1 for predecessors.
+        """
         ring = self._ring
         if len(ring) <= 1:
             return []
@@ -254,14 +266,15 @@
         return member.silent_from + SILENT_AFTER <= now
 
     def note_tick(self):
-        """Note that this VM runs, and find out whether it was paused before."""
+        """Record that this process runs, and handle a pause since the last call."""
         now = self._clock.now()
         gap = now - self._last_tick
         self._last_tick = now
         if gap <= PAUSE_GAP:
             return
-        # What was not heard during a pause says nothing about the others. Their silence
-        # before it counts, or a VM that stalls often would take no dead one's place.
+        # Heartbeats missed during the pause say nothing about the senders. Time without
+        # heartbeats before it still counts: otherwise frequent stalls would prevent
+        # failure detection.
         self._settled_at = now + SETTLE
         for member in self._members.values():
             member.heard_at = min(now, member.heard_at + gap)
@@ -273,14 +286,14 @@
             self.start_new_life()
 
     def start_new_life(self):
-        """Take a new incarnation, after a pause or when it was presumed dead."""
+        """Start a new incarnation, after a pause or after being declared dead."""
         self._vm.renew_incarnation()
         self._add_self(self._members[self._vm.name].state)
         if self._on_presumed_dead is not None:
             self._on_presumed_dead()
 
     def forget_old(self):
-        """Forget the VMs that died long ago."""
+        """Remove the records of VMs that have been dead for ``DEAD_KEPT``."""
         now = self._clock.now()
         old = [
             name
@@ -291,7 +304,7 @@
             del self._members[name]
 
     def declare_dead(self, member):
-        """Note that a member is dead, as its monitor."""
+        """Declare a member dead, as one of its monitors."""
         member.state = MemberState.DEAD
         member.died_at = self._clock.now()
         self._changed()
@@ -304,7 +317,10 @@
         )
 
     def _record_self(self, item):
-        """Refute a record that presumes this incarnation dead."""
+        """Refute a record that declares this incarnation dead.
+
+        :return: whether a new incarnation was started.
+        """
         if item.incarnation < self._vm.incarnation:
             return False
         if MemberState(item.state) is not MemberState.DEAD:
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers the calls of other VMs: one task for each connection, one call at a time."""
+"""Server for the calls of other VMs: one task per connection, one call at a time."""
 
 from secrets import token_bytes
 
@@ -38,9 +38,9 @@
 
 
 class PeerService:
-    """Serves the peers' address of a VM.
+    """Dispatches messages of other VMs to the components of this process.
 
-    :param vm: the process, whose parts answer.
+    :param vm: the process.
     """
 
     def __init__(self, vm):
@@ -62,7 +62,10 @@
         }
 
     async def serve(self, sock, address):
-        """Answer calls on one connection until the peer closes it."""
+        """Handle calls on one connection until the peer closes it.
+
+        :param address: address of the peer, as returned by ``accept``.
+        """
         stream, hello = MessageStream(sock), None
         try:
             hello = await timeout_after(HELLO_SECONDS, self._authenticate, stream)
--- a/src/heathercleat/process/membership/peers.py
+++ b/src/heathercleat/process/membership/peers.py
@@ -1,4 +1,4 @@
-"""Calls to other VMs: one link each, opened on demand and authenticated."""
+"""Calls to other VMs over one authenticated connection each, opened on demand."""
 
 from curio import Lock
 
@@ -7,17 +7,17 @@
 from heathercleat.connection.peer import MessageStream, sign
 from heathercleat.errors import PeerError
 
-#: Seconds that a call to a peer may take, one way latency included.
+#: Default timeout of a call to a peer, in seconds.
 CALL_TIMEOUT = 0.5
-#: Seconds for which a peer that did not answer is not called again.
+#: Seconds for which an unresponsive peer is not called again.
 BACKOFF = 0.25
 
 
 class PeerLink:
-    """A link to one VM; calls run one after the other.
+    """A connection to one VM; calls are serialized.
 
     :param vm: the identity of this VM.
-    :param host: IP number of the peer.
+    :param host: IP address of the peer.
     """
 
     def __init__(self, vm, host, clock):
@@ -32,27 +32,27 @@
 
     @property
     def refused(self):
-        """Return whether the last attempt to connect was refused."""
+        """Return whether the last call failed because the connection was refused."""
         return self._refused
 
     @property
     def reachable(self):
-        """Return whether a call would be tried now."""
+        """Return whether no backoff is in progress after a failed call."""
         return self._clock.now() >= self._retry_at
 
     @property
     def bytes(self):
-        """Return the bytes sent and received over all connections."""
+        """Return the number of bytes sent and received over all connections."""
         stream = self._stream
         if stream is None:
             return self._bytes
         return self._bytes + stream.bytes_sent + stream.bytes_received
 
     async def call(self, item, timeout=CALL_TIMEOUT):
-        """Send a message and return the answer.
+        """Send a message and return the response.
 
-        :param timeout: seconds, the wait for earlier calls included.
-        :raises PeerError: when the peer cannot be reached or refuses the call.
+        :param timeout: timeout in seconds, including the wait for earlier calls.
+        :raises PeerError: if the peer is unreachable or refuses the call.
         """
         if not self.reachable:
             raise PeerError(f"{self._host} did not answer a moment ago")
@@ -126,7 +126,7 @@
 
 
 class PeerLinks:
-    """All links of a process.
+    """The links of a process by host.
 
     :param vm: the identity of this VM.
     """
@@ -138,11 +138,11 @@
 
     @property
     def bytes(self):
-        """Return the bytes of control traffic over all links."""
+        """Return the number of bytes sent and received over all links."""
         return sum(link.bytes for link in self._links.values())
 
     def to(self, host):
-        """Return the link to the VM on ``host``."""
+        """Return the :class:`PeerLink` to ``host``, created on first use."""
         link = self._links.get(host)
         if link is None:
             link = self._links[host] = PeerLink(self._vm, host, self._clock)
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -28,9 +28,9 @@
 
 
 class Metrics:
-    """Counters kept as events happen, and gauges read when metrics are asked for.
+    """Counters that are updated by events, and gauges that are read on each scrape.
 
-    :param vm: the process whose state the gauges show.
+    :param vm: the process whose state the gauges report.
     """
 
     def __init__(self, vm):
@@ -75,7 +75,11 @@
         self._platform = self._gauge("platform_answers", "Whether the platform answers")
 
     def count_request(self, call, result, run, seconds, late):
-        """Count one finished request; ``seconds`` is its latency."""
+        """Count one finished request.
+
+        :param seconds: latency of the request.
+        :param late: whether it finished after its deadline.
+        """
         service, kind = call.service.name, call.kind.name
         self._requests.labels(service, kind, result, run).inc()
         self._latency.labels(service, kind).observe(seconds)
@@ -83,11 +87,14 @@
             self._late.labels(service, kind).inc()
 
     def count_lookup(self, service):
-        """Count one look-up."""
+        """Count one answered look-up.
+
+        :param service: name of the service.
+        """
         self._lookups.labels(service).inc()
 
     def render(self):
-        """Return the exposition text as bytes."""
+        """Read the gauges and return the exposition format as bytes."""
         self._read_gauges()
         return generate_latest(self._registry)
 
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -1,4 +1,4 @@
-"""How each request ends: its log line and its metrics."""
+"""Logging and metrics of finished requests."""
 
 from contextlib import contextmanager
 
@@ -8,7 +8,7 @@
 
 
 class CallObserver:
-    """Notes the end of every call of a process.
+    """Records the result of each call of a process.
 
     :param vm: the process: clock, journal, metrics.
     """
@@ -18,10 +18,10 @@
 
     @contextmanager
     def observing(self, call):
-        """Log and count how a call ends.
+        """Log and count the result of a call.
 
-        :return: a context manager; ``done()`` of its value tells that the whole answer
-            was sent.
+        :return: a context manager; call ``done()`` of its value when the complete
+            response has been sent.
         """
         observed = _Observed()
         code, event = ResultCode.ANSWER_LOST, Event.REQUEST_CUT
@@ -61,16 +61,16 @@
 
 
 class _Observed:
-    """Notes whether a call was answered."""
+    """Whether a call has been answered."""
 
     def __init__(self):
         self._answered = False
 
     @property
     def answered(self):
-        """Return whether the whole answer was sent."""
+        """Return whether the complete response has been sent."""
         return self._answered
 
     def done(self):
-        """Note that the whole answer was sent."""
+        """Record that the complete response has been sent."""
         self._answered = True
--- a/src/heathercleat/process/settings.py
+++ b/src/heathercleat/process/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: JSON with comments, checked by schema."""
+"""The settings of the daemon: JSON with comments, validated by a JSON schema."""
 
 from dataclasses import dataclass
 from functools import cache
@@ -70,9 +70,10 @@
 
 @dataclass(slots=True)
 class Settings:
-    """Settings of one entry VM; times in seconds.
+    """Settings of one entry VM; times are in seconds.
 
-    ``keys`` are the shared keys: the first signs, all of them verify.
+    ``keys`` are the shared keys: the first one signs, all of them verify. ``path`` is
+    that of the settings file, or ``None`` if they were not read from a file.
     """
 
     vm: str
@@ -94,8 +95,9 @@
 def load_settings(path):
     """Read a settings file.
 
-    :raises FindingsError: with every finding, each with its line and column.
-    :raises HeathercleatError: when the file cannot be read.
+    :raises FindingsError: if the settings are invalid; each finding has its line and
+        column.
+    :raises HeathercleatError: if the file can't be read.
     """
     try:
         source = Path(path).read_text(encoding="utf-8")
@@ -108,7 +110,11 @@
 
 
 def parse_settings(source, name="settings"):
-    """Parse settings; see :func:`load_settings`."""
+    """Parse the source text of settings.
+
+    :param name: name of the source in findings.
+    :raises FindingsError: see :func:`load_settings`.
+    """
     document = loads(source, name, ResultCode.SETTINGS_INVALID)
     errors = list(_validator().iter_errors(document))
     if errors:
@@ -143,7 +149,7 @@
 
 @cache
 def _validator():
-    """Return the validator of settings; importing its library takes 70 ms."""
+    """Return the validator of settings; its library is slow to import."""
     from jsonschema import Draft7Validator
 
     return Draft7Validator(SETTINGS_SCHEMA)
--- a/src/heathercleat/process/signals.py
+++ b/src/heathercleat/process/signals.py
@@ -1,4 +1,4 @@
-"""Signals to this process, as events that a task waits for."""
+"""Delivery of process signals to a task."""
 
 import signal
 import socket
@@ -8,12 +8,10 @@
 
 
 class SignalWatch:
-    """Tells of signals as they come.
+    """Queues signals for a task, which needs no polling to receive them.
 
-    Nothing wakes up to look for them: a process without requests rests.
-
-    :param clock: source of instants.
-    :param numbers: the signals to take.
+    :param clock: the clock.
+    :param numbers: the signals to handle.
     """
 
     def __init__(self, clock, *numbers):
@@ -28,11 +26,14 @@
 
     @property
     def came_at(self):
-        """Return the instant at which the last signal came that was returned."""
+        """Return when the signal last returned by :meth:`next` was received.
+
+        It is ``None`` before the first one.
+        """
         return self._came_at
 
     async def next(self):
-        """Wait for a signal and return its number."""
+        """Wait for the next signal and return it."""
         received = await self._reader.recv(1)
         self._came_at = self._instants.popleft()
         return signal.Signals(received[0])
@@ -42,5 +43,5 @@
             self._writer.send(bytes([number]))
             self._instants.append(self._clock.now())
         except BlockingIOError:
-            # Hundreds of signals wait to be read; the task has enough to tell it.
+            # The buffer is full of unread signals, so another one adds nothing.
             pass
--- a/src/heathercleat/process/stalls.py
+++ b/src/heathercleat/process/stalls.py
@@ -1,19 +1,20 @@
-"""For how long this process did not run, because its VM was paused or overloaded.
+"""Measurement of stalls: times at which this process was not running.
 
-What a stall adds to the time of a request says nothing about its target.
+A stall is caused by a paused or overloaded VM. It delays requests, but says nothing
+about the speed of their targets.
 """
 
 from curio import sleep
 
 TICK = 0.05
-#: Seconds between two ticks of a process that runs, at most.
+#: Maximum seconds between two ticks that don't count as a stall.
 USUAL_GAP = 2 * TICK
 
 
 class Stalls:
-    """Adds up the stalls of this process.
+    """Measures the stalls of this process.
 
-    :param clock: source of instants.
+    :param clock: the clock.
     """
 
     def __init__(self, clock):
@@ -22,21 +23,21 @@
         self._last_tick = clock.now()
 
     def seconds(self):
-        """Return the seconds of all stalls, one that has just ended included."""
+        """Return the total of all stalls in seconds, including one that just ended."""
         return self._seconds + self._latest(self._clock.now())
 
     def running(self):
-        """Return the instant on a clock that stands still while the process does."""
+        """Return the time of a clock that is stopped during stalls."""
         return self._clock.now() - self.seconds()
 
     def tick(self):
-        """Note that the process runs."""
+        """Record that the process is running."""
         now = self._clock.now()
         self._seconds += self._latest(now)
         self._last_tick = now
 
     async def run(self):
-        """Tick."""
+        """Tick periodically, forever."""
         while True:
             self.tick()
             await sleep(TICK)
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -1,10 +1,10 @@
-"""What one VM reports of itself to operators."""
+"""The status report of a VM, for operators."""
 
 
 def status_of(vm):
     """Return the state of a VM as a JSON object.
 
-    Instants are epoch seconds, limits and uses are slots.
+    Limits and numbers of uses are in slots.
     """
     return {
         "vm": vm.name,
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry VM: its parts, its listeners and its graceful shutdown."""
+"""The daemon of one entry VM: its components, reloads and graceful shutdown."""
 
 import signal
 from secrets import token_hex
@@ -39,9 +39,9 @@
 from heathercleat.process.stalls import Stalls
 from heathercleat.version.blocks import build_blocks
 
-#: Seconds added to the life of look-ups before a leaving VM stops listening.
+#: Seconds after the expiry of the last look-up until a leaving VM stops listening.
 LEAVE_MARGIN = 1.0
-#: Seconds between two looks for a reason to leave, and at what is under way then.
+#: Seconds between two checks for a drain of this VM, or for the end of its requests.
 CHECK_INTERVAL = 0.2
 MILLISECONDS = 1000
 
@@ -50,8 +50,10 @@
     """One entry VM.
 
     :param settings: its :class:`Settings`.
-    :param platform: a platform client, or ``None`` for the one of the settings.
-    :param log_writer: the writer whose dropped lines are counted, or ``None``.
+    :param platform: a platform client, or ``None`` to create one from the settings.
+    :param log_writer: the :class:`LogWriter` whose dropped lines are reported, or
+        ``None``.
+    :param clock: the clock; that of the system by default.
     """
 
     def __init__(self, settings, platform=None, log_writer=None, clock=None):
@@ -68,7 +70,7 @@
         self._left_at = self._clock.now()
         self._fence = Fence(settings.fenced)
         self._platform = platform or self._connect_platform()
-        # Claims wait for nobody else's calls: they have a connection of their own.
+        # Claims use a separate connection, so that other calls don't delay them.
         self._claims_platform = platform or self._connect_platform()
         self._build()
 
@@ -141,7 +143,7 @@
 
     @property
     def settings(self):
-        """Return the :class:`Settings` in force."""
+        """Return the current :class:`Settings`."""
         return self._settings
 
     @property
@@ -161,86 +163,92 @@
 
     @property
     def birth(self):
-        """Return the name of this process, as in its tickets."""
+        """Return the id of this process, as in its tickets."""
         return self._birth
 
     @property
     def incarnation(self):
-        """Return the incarnation of this VM, as its peers know it."""
+        """Return the incarnation of this VM in the membership."""
         return self._incarnation
 
     @property
     def version(self):
-        """Return the version of the text in force here."""
+        """Return the version of the current configuration, or 0 if there is none."""
         return self.configuration.version
 
     @property
     def vm_serial(self):
-        """Return the serial number of the VM list known here."""
+        """Return the serial number of the VM list, or -1 if there is none."""
         return self.directory.serial
 
     @property
     def text(self):
-        """Return the :class:`Text` in force here, or ``None``."""
+        """Return the current configuration as a :class:`Text`, or ``None``."""
         return self.configuration.text
 
     @property
     def blocks(self):
-        """Return the :class:`BlockTable` in force here."""
+        """Return the current :class:`BlockTable`, for failure domains of clients."""
         return self._blocks
 
     @property
     def fence(self):
-        """Return the :class:`Fence` in force."""
+        """Return the current :class:`Fence`."""
         return self._fence
 
     @property
     def leaving(self):
-        """Return whether this VM takes no new callers."""
+        """Return whether this VM accepts no new callers."""
         return self.membership.leaving
 
     @property
     def claims_wanted(self):
-        """Return whether new tickets need a claim: only while the platform answers."""
+        """Return whether new tickets require claims.
+
+        They do while the platform is available.
+        """
         return self.configuration.platform_answers
 
     @property
     def control_bytes(self):
-        """Return the bytes of control traffic with other VMs."""
+        """Return the number of bytes sent to and received from other VMs."""
         return self.links.bytes + self._peer_bytes
 
     @property
     def dropped_log_lines(self):
-        """Return the log lines dropped because their reader fell behind."""
+        """Return the number of log lines dropped because the buffer was full."""
         return self._log_writer.dropped if self._log_writer else 0
 
     def _get_fence(self):
         return self._fence
 
     def renew_incarnation(self):
-        """Take a new incarnation after a pause or an accusation."""
+        """Start a new incarnation, which is greater than the current one."""
         wall = int(self._clock.wall() * MILLISECONDS)
         self._incarnation = max(self._incarnation + 1, wall)
 
     async def hint(self, host, version, vm_serial):
-        """Learn from a peer that a newer version or VM list exists."""
+        """Fetch the configuration and VM list of a peer if its versions are newer."""
         await self.configuration.hint(host, version, vm_serial)
 
     def budget(self, service):
-        """Return the :class:`RetryBudget` of a service."""
+        """Return the :class:`RetryBudget` of a service, created on first use.
+
+        :param service: name of the service.
+        """
         return self._budgets.setdefault(service, RetryBudget())
 
     def configuration_changed(self, text):
-        """Take a new version of the text."""
+        """Apply a new version of the configuration."""
         self._blocks = build_blocks(text.client_blocks, text.failure_domains)
         self.health.check(self._clock.now())
 
     def count_peer_bytes(self, count):
-        """Add the bytes of a closed connection to the control traffic."""
+        """Add the bytes of a closed connection to :attr:`control_bytes`."""
         self._peer_bytes += count
 
     def entry_vms(self, domain):
-        """Return the entry VMs of a failure domain that take callers."""
+        """Return the entry VMs of a failure domain that accept callers."""
         now = self._clock.wall()
         return [
             entry
@@ -249,7 +257,10 @@
         ]
 
     def local_homes(self, service):
-        """Return the likely homes of a service's targets in this failure domain."""
+        """Return the live VMs of this failure domain, likely homes of a service first.
+
+        The homes follow from the VM list, which may be out of date.
+        """
         domain = self._settings.failure_domain
         entries = {entry.name: entry for entry in self._known_vms(domain)}
         homes = {
@@ -261,7 +272,7 @@
         ]
 
     async def record_outcome(self, ticket, key, outcome):
-        """Keep an outcome in the table without keeping the caller waiting."""
+        """Store an outcome in the table in the background."""
         await spawn(self.claims.record, ticket, key, outcome, daemon=True)
 
     def request_leave(self):
@@ -269,7 +280,7 @@
         self._leave_requested = True
 
     async def serve(self):
-        """Run until a graceful shutdown has ended."""
+        """Run the daemon until a graceful shutdown has finished."""
         self._journal.write(
             Event.VM_STARTED, incarnation=self._incarnation, birth=self._birth
         )
@@ -318,7 +329,7 @@
         self._journal.write(Event.SETTINGS_RELOADED, keys=len(self._settings.keys))
 
     async def _shut_down(self):
-        """Wait for a reason to leave, then leave without cutting any request."""
+        """Wait for a shutdown request, then finish the requests in progress."""
         while not self._leave_requested:
             await self._follow_own_drain()
             await sleep(CHECK_INTERVAL)
@@ -329,15 +340,15 @@
             targets=len(self.ledger.targets),
         )
         await self.membership.leave()
-        # Callers may use a look-up made before this until it expires.
+        # Callers may use earlier look-ups until they expire.
         await sleep(self._settings.lookup_ttl + LEAVE_MARGIN)
-        # What came later could be cut by the end of the process.
+        # A request that arrived later could be interrupted by the end of the process.
         await self._listeners.close_to_callers()
         while self._listeners.busy:
             await sleep(CHECK_INTERVAL)
 
     async def _follow_own_drain(self):
-        """Leave the domain's work while a planned drain of this VM is in force."""
+        """Leave when a drain of this VM begins, and rejoin when it ends."""
         if self.text is None:
             return
         drain = self.text.vm_draining(self.name, None, self._clock.wall())
@@ -348,7 +359,7 @@
             await self.membership.rejoin()
 
     def _known_vms(self, domain):
-        """Return the VMs of a domain that are live as far as this VM knows."""
+        """Return the VMs of a failure domain that are not known to leave or be dead."""
         if domain != self._settings.failure_domain:
             return self.directory.staying_in(domain)
         return [
