--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -169,12 +169,12 @@
             self._set_blocked(entry, self._reason(entry, text, now, wall))
 
     def _judge_speed(self, target, health, seconds):
-        """Note whether a target is slow, from its answers and the last one."""
+        """Update whether a target is slow after a response that took ``seconds``."""
         limit = self._slow_limit(target)
         if limit is None:
             health.slow = False
         elif health.slow and seconds <= limit:
-            # What it took before the last answer says nothing of it now.
+            # The earlier latency is outdated.
             health.slow, health.latency = False, seconds
             entry = self._ledger.targets.get(target.name)
             if entry is not None:
--- a/src/heathercleat/process/configuration/__init__.py
+++ b/src/heathercleat/process/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' text: followed, edited and kept on the platform."""
+"""The configuration: polling, gossip, edits and its storage on the platform."""
