--- a/src/heathercleat/process/once/ledger.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -47,7 +47,7 @@
     finished: Signal = field(default_factory=Signal)
 
 
-class OnceLedger:
+class DeduplicationTable:
     """The runs of this process by ticket id and key."""
 
     def __init__(self, clock):
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from heathercleat.version.reach import Reach
+from heathercleat.version.domain_ranking import DomainRanking
 
 #: Lifetime of a cache entry in seconds; a drain may be noticed this much later.
-KEPT_SECONDS = 0.2
+CACHE_TTL_SECONDS = 0.2
 #: Maximum number of failure domains besides the best one.
 MAX_FAR_DOMAINS = 3
 #: Weight of a VM that is not the home of any target; a slot has weight 1.
@@ -63,7 +63,7 @@
         state = self._state()
         if known is None or known.state != state or known.expires_at <= now:
             domains = list(self._build(service, domain, avoided))
-            known = Candidates(domains, state, now + KEPT_SECONDS)
+            known = Candidates(domains, state, now + CACHE_TTL_SECONDS)
             self._candidates[place] = known
         return known.domains
 
@@ -76,9 +76,9 @@
 
         Those without targets come last.
         """
-        reach = Reach(self._vm.text, self._clock.wall(), avoided)
+        reach = DomainRanking(self._vm.text, self._clock.wall(), avoided)
         found = 0
-        for other in reach.ordered(service, domain):
+        for other in reach.rank_domains(service, domain):
             entries = self._vm.entry_vms(other)
             if not entries:
                 continue
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -59,7 +59,7 @@
     trial_at: float = 0.0
 
 
-class HealthBoard:
+class HealthTracker:
     """Tracks the health of every target homed here.
 
     :param vm: the process: settings, configuration, journal.
@@ -85,7 +85,7 @@
         load = (entry.used(self._clock.now()) + 1) / limit
         return load * (self.of(entry.target.name).latency + 0.001)
 
-    def succeeded(self, target, seconds):
+    def record_success(self, target, seconds):
         """Record a complete response that took ``seconds``."""
         health = self.of(target.name)
         health.failures = 0
@@ -114,13 +114,13 @@
         health.trial_at = now + TRIAL_INTERVAL
         return True
 
-    def refused(self, target):
+    def record_refusal(self, target):
         """Record that the target refused a request: restart its warm-up."""
         entry = self._ledger.targets.get(target.name)
         if entry is not None:
             self._warm_up(entry)
 
-    def failed(self, target, reason):
+    def record_failure(self, target, reason):
         """Record a failure of the target, which may eject it.
 
         :param reason: the kind of failure; ``"status"`` for an error response.
@@ -209,7 +209,7 @@
         )
 
     def _reason(self, entry, text, now, wall):
-        drain = text.draining(entry.target, wall)
+        drain = text.find_drain(entry.target, wall)
         if drain is not None:
             return f"drain {drain.id}"
         health = self.of(entry.target.name)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -11,25 +11,25 @@
 
 from curio import TaskGroup, sleep
 
-from heathercleat.connection.messages import Acquire, Handover, Released
+from heathercleat.connection.messages import AcquireTargets, Handover, SlotReleased
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.capacity.covers import Vouched, occupied_until
+from heathercleat.process.capacity.occupancy import OccupancyBound, occupied_until
 from heathercleat.process.capacity.slots import CANCEL_GRACE, CLOCK_SKEW, Hold
 from heathercleat.process.clock import from_wall, to_wall
-from heathercleat.process.membership.member import DEAD_AFTER, LEASE
-from heathercleat.version.transition import Transition
+from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
+from heathercleat.version.version_transition import VersionTransition
 
 CHECK_INTERVAL = 0.1
 #: Seconds between attempts to report to the new home that a request has ended.
 TELL_INTERVAL = 0.25
 #: Seconds for which a handover is kept while other VMs don't respond; an unresponsive
 #: VM is declared dead within this time.
-HANDOVER_KEPT = DEAD_AFTER + LEASE
+HANDOVER_RETENTION_SECONDS = DEAD_AFTER + HOME_LEASE_SECONDS
 
 
 @dataclass(slots=True, frozen=True)
-class KeptHandover:
+class PendingHandover:
     """The handover of a target that this VM hasn't adopted yet.
 
     ``holds`` and ``levels`` are as in :class:`Handover`; ``until`` is the instant at
@@ -41,7 +41,7 @@
     until: float
 
 
-class Homes:
+class HomeManager:
     """Adds and removes targets in the ledger as their homes change.
 
     :param vm: the process: settings, configuration, journal.
@@ -64,12 +64,12 @@
         self._contested = set()
         self._kept = {}
         self._released = set()
-        self._transition = Transition()
+        self._transition = VersionTransition()
         self._desired_state = None
         self._desired_pairs = []
 
     async def run(self):
-        """Acquire targets as the configuration and the membership change, forever."""
+        """AcquireTargets targets as the configuration and the membership change, forever."""
         while True:
             if self._vm.text is not None:
                 self._follow_text()
@@ -87,7 +87,7 @@
         self._released.clear()
 
     def hand_over(self, receiver, names):
-        """Return the :class:`Handover` that answers an :class:`Acquire`.
+        """Return the :class:`Handover` that answers an :class:`AcquireTargets`.
 
         :param receiver: name of the VM that acquires the targets.
         :raises PeerError: if this VM is acquiring one of them too and takes precedence,
@@ -122,7 +122,7 @@
         vouched = [astuple(each) for each in self._records.vouched(names)]
         return Handover(targets, levels, vouched)
 
-    async def tell_released(self, receiver, use):
+    async def report_released(self, receiver, use):
         """Report to the new home of a target that a handed-over request has ended.
 
         Retries until the new home responds or its hold for the request has expired.
@@ -137,19 +137,19 @@
         if member is None:
             return True
         try:
-            await self._links.call(member.host, Released(use.target, use.id))
+            await self._links.call(member.host, SlotReleased(use.target, use.id))
         except PeerError:
             return False
         return True
 
-    def note_released(self, target, use_id):
+    def record_released(self, target, use_id):
         """Release the hold of a request that an earlier home reported as ended.
 
         The report may arrive before this VM has adopted the target.
         """
         if target in self._acquiring or target in self._kept:
             self._released.add((target, use_id))
-        self._ledger.drop_hold(target, use_id)
+        self._ledger.release_hold(target, use_id)
 
     def _follow_text(self):
         """Apply the limits of the configuration.
@@ -157,7 +157,7 @@
         While a new version spreads, the smaller of the old and new limits apply.
         """
         text, now = self._vm.text, self._clock.now()
-        settled = self._transition.settle(now)
+        settled = self._transition.expire_superseded(now)
         if text is self._transition.text and not settled:
             return
         if text is not self._transition.text:
@@ -219,7 +219,7 @@
 
         :return: a list, with ``None`` for each VM that doesn't respond.
         """
-        question = Acquire(self._vm.name, names)
+        question = AcquireTargets(self._vm.name, names)
         async with TaskGroup() as group:
             tasks = [
                 await group.spawn(self._ask, member.host, question)
@@ -234,12 +234,12 @@
             return None
 
     def _keep(self, handovers):
-        until = self._clock.now() + HANDOVER_KEPT
+        until = self._clock.now() + HANDOVER_RETENTION_SECONDS
         for handover in handovers:
             if handover is None:
                 continue
             for name, holds in handover.targets.items():
-                kept = KeptHandover(holds, handover.levels[name], until)
+                kept = PendingHandover(holds, handover.levels[name], until)
                 self._kept.setdefault(name, []).append(kept)
 
     def _take_kept(self, name):
@@ -287,7 +287,7 @@
     def _occupied_until(self, service, target, handovers):
         vouched = list(self._records.vouched([target.name]))
         for handover in handovers:
-            told = (Vouched(*fields) for fields in handover.vouched)
+            told = (OccupancyBound(*fields) for fields in handover.vouched)
             vouched.extend(each for each in told if each.target == target.name)
         return occupied_until(self._clock, service, vouched)
 
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -20,7 +20,7 @@
 )
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.clock import NEVER, from_wall, to_wall
+from heathercleat.process.clock import DISTANT_PAST, from_wall, to_wall
 
 #: Seconds for which a lease is granted or renewed.
 LEASE_TTL = 1.0
@@ -183,7 +183,7 @@
         self._on_room = None
         self._gained = Signal()
 
-    def on_room(self, callback):
+    def on_lease_gained(self, callback):
         """Call ``await callback(service_name)`` whenever a lease is granted."""
         self._on_room = callback
 
@@ -191,12 +191,12 @@
         """Return the leases held for a service."""
         return self._leases.get(service, [])
 
-    def short_at(self, service):
+    def last_shortfall_at(self, service):
         """Return the instant at which a search last ended with too few slots.
 
         It is negative infinity if that has never happened.
         """
-        return self._short_at.get(service, NEVER)
+        return self._short_at.get(service, DISTANT_PAST)
 
     def take(self, service, avoid, patience):
         """Use a slot of the nearest lease that has a free one.
--- a/src/heathercleat/process/capacity/covers.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -14,23 +14,23 @@
 from curio import Lock, TaskGroup
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.messages import Cover
+from heathercleat.connection.messages import OccupancyNotice
 from heathercleat.errors import PeerError, RequestError
-from heathercleat.process.clock import NEVER, from_wall, to_wall
+from heathercleat.process.clock import DISTANT_PAST, from_wall, to_wall
 
 #: Requests that end within this many seconds need no announced bound.
-SHORT = 2.0
+MAX_UNANNOUNCED_SECONDS = 2.0
 #: Seconds added to each bound, so that fewer announcements are needed.
-SLACK = 5.0
+ANNOUNCEMENT_MARGIN_SECONDS = 5.0
 
 
 #: A VM declared dead within this many seconds that may still run could have become the
 #: home of a target without an announcement.
-UNCERTAIN = 2 * SHORT
+UNCERTAIN_HOME_SECONDS = 2 * MAX_UNANNOUNCED_SECONDS
 
 
 @dataclass(slots=True, frozen=True)
-class Vouched:
+class OccupancyBound:
     """The bound that a monitor knows for a target of a failed home.
 
     The target may be occupied until ``until``, in epoch seconds. ``gone`` means that
@@ -51,7 +51,7 @@
     edition: int
 
 
-class CoverPublisher:
+class OccupancyPublisher:
     """Announces the bounds of the targets homed here to the monitors of this VM.
 
     :param vm: the identity of this VM.
@@ -77,11 +77,11 @@
         :param deadline: an instant of ``clock.now()``.
         :raises RequestError: if a monitor does not acknowledge; the request is not run.
         """
-        if deadline <= self._clock.now() + SHORT:
+        if deadline <= self._clock.now() + MAX_UNANNOUNCED_SECONDS:
             return
         async with self._lock:
             if self._until.get(target, 0.0) < deadline:
-                self._set(target, deadline + SLACK)
+                self._set(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
             if not await self._tell_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
@@ -99,9 +99,9 @@
                 del self._editions[target]
                 self._edition += 1
             for target, until in holds.items():
-                if until > self._held.get(target, NEVER):
+                if until > self._held.get(target, DISTANT_PAST):
                     self._held[target] = until
-                    self._set(target, max(until, self._until.get(target, NEVER)))
+                    self._set(target, max(until, self._until.get(target, DISTANT_PAST)))
             if self._until or self._told:
                 await self._tell_all(self._edition)
 
@@ -115,7 +115,7 @@
 
         :return: whether all of them acknowledged.
         """
-        monitors = self._membership.answering_monitors()
+        monitors = self._membership.responsive_monitors()
         names = {member.vm for member in monitors}
         self._told = {name: told for name, told in self._told.items() if name in names}
         missing = [each for each in monitors if not self._knows(each, edition)]
@@ -143,7 +143,7 @@
             for target, until in self._until.items()
         }
         try:
-            cover = Cover(self._vm.name, self._vm.incarnation, covers)
+            cover = OccupancyNotice(self._vm.name, self._vm.incarnation, covers)
             await self._links.call(member.host, cover)
         except PeerError:
             return False
@@ -151,7 +151,7 @@
         return True
 
 
-class CoverRecords:
+class OccupancyRecords:
     """The bounds that other homes have announced to this VM as their monitor.
 
     :param membership: whether this VM received heartbeats until a home failed.
@@ -175,7 +175,7 @@
         self._records.clear()
 
     def vouched(self, targets):
-        """Yield the :class:`Vouched` of each target for each failed home."""
+        """Yield the :class:`OccupancyBound` of each target for each failed home."""
         for vm, (incarnation, covers) in self._records.items():
             if not self._membership.heard_until_end(vm, incarnation):
                 continue
@@ -183,19 +183,19 @@
             for target in targets:
                 if target in covers:
                     until, held = covers[target]
-                    yield Vouched(target, vm, held if gone else until, gone)
+                    yield OccupancyBound(target, vm, held if gone else until, gone)
 
     def _is_gone(self, vm, incarnation):
         # Another VM may have become the home shortly before it failed as well.
         return self._membership.is_gone(vm, incarnation) and self._membership.all_gone(
-            UNCERTAIN
+            UNCERTAIN_HOME_SECONDS
         )
 
 
 def occupied_until(clock, service, vouched):
     """Return the instant until which a target without a handover may be occupied.
 
-    :param vouched: the :class:`Vouched` of every monitor that has one; without any, the
+    :param vouched: the :class:`OccupancyBound` of every monitor that has one; without any, the
         longest timeout of the service applies.
     """
     now = clock.now()
@@ -212,5 +212,5 @@
 
 
 def _occupied(clock, vouched, now):
-    least = now if vouched.gone else now + SHORT
+    least = now if vouched.gone else now + MAX_UNANNOUNCED_SECONDS
     return max(from_wall(clock, vouched.until), least)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -17,8 +17,8 @@
 
 from heathercleat.connection.messages import FetchReadiness, Readiness
 from heathercleat.errors import PeerError
-from heathercleat.process.clock import NEVER
-from heathercleat.process.membership.peers import CALL_TIMEOUT
+from heathercleat.process.clock import DISTANT_PAST
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT
 
 CHECK_INTERVAL = 0.25
 #: Seconds for which look-ups wait for the first poll after a start.
@@ -29,9 +29,9 @@
 ENOUGH = 0.5
 #: Seconds for which a domain may be unready before callers are sent elsewhere; a
 #: handover takes less time, and callers use a look-up for longer.
-GRACE = 0.5
+DIVERT_DELAY_SECONDS = 0.5
 #: Lifetime of the cached shares of a service, in seconds.
-KEPT_SECONDS = 0.1
+SHARE_CACHE_TTL_SECONDS = 0.1
 #: Maximum number of other failure domains to poll, nearest first.
 MAX_DOMAINS = 6
 
@@ -44,7 +44,7 @@
     expires_at: float
 
 
-class ReadinessBoard:
+class ReadinessTracker:
     """Tracks the readiness of each service, here and in near failure domains.
 
     :param vm: the process: configuration, settings, homes, VM list.
@@ -86,15 +86,18 @@
         """Return the failure domains that can't serve a caller of this domain now.
 
         :param position: the caller's position in the ramp, from 0 up to 1; see
-            :func:`position_of`.
+            :func:`ramp_position`.
         """
         shares = self._shares(service)
-        ready_at = self._ready_at.get(service.name, NEVER)
-        if position < shares[self._here] or self._clock.now() < ready_at + GRACE:
+        ready_at = self._ready_at.get(service.name, DISTANT_PAST)
+        if (
+            position < shares[self._here]
+            or self._clock.now() < ready_at + DIVERT_DELAY_SECONDS
+        ):
             return frozenset()
         return frozenset(name for name, each in shares.items() if position >= each)
 
-    async def wait_asked(self):
+    async def wait_first_round(self):
         """Wait until the homes have been polled once, at most for ``FIRST_ROUND``.
 
         Otherwise a VM that has just started could send callers to homes that are
@@ -179,7 +182,7 @@
             else:
                 for domain in self._near_domains():
                     shares[domain] = self._share(service, domain)
-            known = KnownShares(shares, now + KEPT_SECONDS)
+            known = KnownShares(shares, now + SHARE_CACHE_TTL_SECONDS)
             self._known[service.name] = known
         return known.shares
 
@@ -187,7 +190,7 @@
         wall = self._clock.wall()
         homes, totals = self._homes(domain), {}
         for target in service.targets_in(domain):
-            if not self._vm.text.draining(target, wall):
+            if not self._vm.text.find_drain(target, wall):
                 home = homes.get(target.name)
                 totals[home] = totals.get(home, 0) + target.limit
         total = sum(totals.values())
--- a/src/heathercleat/process/capacity/budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -1,9 +1,9 @@
 """A retry budget: limits retries to a fraction of the requests."""
 
 #: Retries added to the budget by each request.
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 #: Maximum number of retries in the budget.
-MAX_SAVED = 10.0
+MAX_BALANCE = 10.0
 
 
 class RetryBudget:
@@ -13,7 +13,7 @@
     :param saved: maximum balance, which is also the initial one.
     """
 
-    def __init__(self, share=RETRY_SHARE, saved=MAX_SAVED):
+    def __init__(self, share=RETRY_RATIO, saved=MAX_BALANCE):
         self._share = share
         self._limit = saved
         self._balance = saved
@@ -23,11 +23,11 @@
         """Return the number of retries left; it need not be whole."""
         return self._balance
 
-    def earn(self):
+    def deposit(self):
         """Add the share of a first attempt to the budget."""
         self._balance = min(self._limit, self._balance + self._share)
 
-    def spend(self):
+    def withdraw(self):
         """Spend one retry and return whether the budget allowed it."""
         if self._balance < 1:
             return False
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -10,7 +10,7 @@
 from math import ceil
 from secrets import randbits
 
-from heathercleat.process.capacity.shift import ShiftWindow
+from heathercleat.process.capacity.shift_window import ShiftWindow
 
 #: Seconds for which a cancelled request may still occupy its target.
 CANCEL_GRACE = 0.25
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class SlotUse:
     """A request that occupies a slot; ``lease`` is ``None`` for one of this VM."""
 
     id: int
@@ -167,7 +167,7 @@
         for id_ in lapsed:
             del self.leases[id_]
 
-    def note_shift(self, now):
+    def record_spill(self, now):
         """Record the slots used by other failure domains in the shift window."""
         if self.shift is not None:
             self.shift.record(self.foreign(now), now)
@@ -220,7 +220,7 @@
         cap = target.shift_cap
         if entry.shift is None or cap is None:
             entry.shift = _shift_window(target)
-            entry.note_shift(self._clock.now())
+            entry.record_spill(self._clock.now())
         else:
             entry.shift.adjust(cap.slots, cap.window)
         entry.target = target
@@ -240,7 +240,7 @@
         self._index()
         now = self._clock.now()
         entry.closed = True
-        entry.note_shift(now)
+        entry.record_spill(now)
         for use in entry.uses.values():
             self._handed_over[use.id] = receiver
         levels = entry.shift.points if entry.shift is not None else []
@@ -256,11 +256,11 @@
     def take(self, entry, deadline):
         """Claim a free slot for a request of this VM.
 
-        :return: the :class:`Use`, or ``None`` if no slot is free.
+        :return: the :class:`SlotUse`, or ``None`` if no slot is free.
         """
         if not entry.free(self._clock.now()):
             return None
-        use = Use(self._new_id(), entry.target.name, deadline)
+        use = SlotUse(self._new_id(), entry.target.name, deadline)
         entry.uses[use.id] = use
         return use
 
@@ -282,7 +282,7 @@
             expires_at,
         )
         entry.leases[lease.id] = lease
-        entry.note_shift(self._clock.now())
+        entry.record_spill(self._clock.now())
         return lease
 
     def renew(self, lease_id, expires_at):
@@ -308,7 +308,7 @@
     def enter(self, lease_id, deadline):
         """Claim a slot of a lease for a request of its holder.
 
-        :return: the :class:`Use`, or ``None`` if the lease has expired or is full, or
+        :return: the :class:`SlotUse`, or ``None`` if the lease has expired or is full, or
             if the target is blocked.
         """
         lease = self.find_lease(lease_id)
@@ -317,11 +317,11 @@
         if self._targets[lease.target].blocked:
             return None
         lease.uses += 1
-        use = Use(self._new_id(), lease.target, deadline, lease)
+        use = SlotUse(self._new_id(), lease.target, deadline, lease)
         self._targets[lease.target].uses[use.id] = use
         return use
 
-    def give_back(self, lease_id, keep=0):
+    def return_lease(self, lease_id, keep=0):
         """Reduce a lease to ``keep`` slots; 0 ends it.
 
         Requests under the lease keep their slots.
@@ -335,7 +335,7 @@
             lease.expires_at = now
         entry = self._targets[lease.target]
         entry.prune(now)
-        entry.note_shift(now)
+        entry.record_spill(now)
 
     def release(self, use, certain):
         """Release the slot of a request.
@@ -353,16 +353,16 @@
             use.lease.uses -= 1
         if not certain:
             self._linger(entry, use, now)
-        entry.note_shift(now)
+        entry.record_spill(now)
         return receiver
 
-    def drop_hold(self, target, use_id):
+    def release_hold(self, target, use_id):
         """Release the hold of a request that an earlier home reported as ended."""
         entry = self._targets.get(target)
         if entry is None:
             return
         entry.holds = [hold for hold in entry.holds if hold.use_id != use_id]
-        entry.note_shift(self._clock.now())
+        entry.record_spill(self._clock.now())
 
     def _linger(self, entry, use, now):
         # Without this, the holder could use the slot of the lease again while the
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -16,7 +16,7 @@
     before,
     connect,
 )
-from heathercleat.connection.kept import KeptConnection
+from heathercleat.connection.persistent import PersistentConnection
 from heathercleat.errors import PlatformError
 
 ABSENT = 0
@@ -125,7 +125,7 @@
         self._clock = clock
         self._timeout = timeout
         self._fence = fence
-        self._connection = KeptConnection(self._connect, MAX_ANSWER_BYTES)
+        self._connection = PersistentConnection(self._connect, MAX_ANSWER_BYTES)
 
     async def transact(self, conditions, writes):
         """Apply all writes if every condition holds, and return a :class:`Commit`."""
@@ -184,7 +184,7 @@
         return answer
 
     async def _exchange(self, message):
-        await self._fence().pass_through(self._host)
+        await self._fence().wait_if_fenced(self._host)
         return await self._connection.exchange(message)
 
     async def _connect(self):
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 
 #: Seconds for which an acknowledged heartbeat permits a VM to act as a home.
-LEASE = 1.0
+HOME_LEASE_SECONDS = 1.0
 #: Seconds without a heartbeat after which a monitor declares a VM dead.
 DEAD_AFTER = 1.5
 
@@ -46,8 +46,8 @@
     heard_at: float
     acked_at: float
     silent_from: float
-    beat_at: float = NEVER
-    died_at: float = NEVER
+    beat_at: float = DISTANT_PAST
+    died_at: float = DISTANT_PAST
     heard_before: int | None = None
     gone: bool = False
 
@@ -57,7 +57,7 @@
 
         A monitor would have declared the VM dead by then.
         """
-        return self.died_at - self.beat_at <= DEAD_AFTER + LEASE
+        return self.died_at - self.beat_at <= DEAD_AFTER + HOME_LEASE_SECONDS
 
     @property
     def rank(self):
--- a/src/heathercleat/process/membership/members.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -2,7 +2,7 @@
 
 Each VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 doesn't grow with the number of VMs. A VM may act as a home only while its monitors have
-acknowledged a heartbeat within ``LEASE``. A monitor declares a VM dead after
+acknowledged a heartbeat within ``HOME_LEASE_SECONDS``. A monitor declares a VM dead after
 ``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore loses its
 permission to act as a home before another VM takes over.
 """
@@ -14,7 +14,11 @@
 from heathercleat.connection.messages import MemberRecord, ViewExchange, fields_of
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.membership.member import LEASE, Member, MemberState
+from heathercleat.process.membership.member import (
+    HOME_LEASE_SECONDS,
+    Member,
+    MemberState,
+)
 from heathercleat.version.hashing import weight
 
 #: Seconds without a message from a monitor after which its acknowledgement is no longer
@@ -24,7 +28,7 @@
 PAUSE_GAP = 0.75
 #: Seconds after a start or a pause during which this VM may not act as a home or
 #: declare others dead.
-SETTLE = 0.5
+SETTLE_SECONDS = 0.5
 #: Seconds for which the record of a dead VM is kept, to reject outdated records.
 DEAD_KEPT = 3600.0
 MONITORS = 3
@@ -43,7 +47,7 @@
         self._clock = clock
         self._members = {}
         self._digest = 0
-        self._settled_at = clock.now() + SETTLE
+        self._settled_at = clock.now() + SETTLE_SECONDS
         self._last_tick = clock.now()
         self._on_presumed_dead = None
         self._on_pause = None
@@ -93,7 +97,7 @@
 
     @property
     def settled(self):
-        """Return whether ``SETTLE`` has passed since the start or the last pause."""
+        """Return whether ``SETTLE_SECONDS`` has passed since the start or the last pause."""
         return self._clock.now() >= self._settled_at
 
     def may_act(self):
@@ -102,10 +106,11 @@
         if now < self._settled_at or now - self._last_tick > PAUSE_GAP:
             return False
         return all(
-            member.acked_at + LEASE > now for member in self.answering_monitors()
+            member.acked_at + HOME_LEASE_SECONDS > now
+            for member in self.responsive_monitors()
         )
 
-    def answering_monitors(self):
+    def responsive_monitors(self):
         """Return the monitors whose acknowledgement this VM requires."""
         now = self._clock.now()
         return [
@@ -183,7 +188,7 @@
         """Return the view as fields of a :class:`ViewExchange` message."""
         return [fields_of(self._to_record(member)) for member in self._members.values()]
 
-    def heard(self, heartbeat):
+    def record_heartbeat(self, heartbeat):
         """Record a heartbeat and return whether its incarnation was declared dead."""
         member = self._members.get(heartbeat.vm)
         if member is None or heartbeat.incarnation < member.incarnation:
@@ -265,7 +270,7 @@
             return True
         return member.silent_from + SILENT_AFTER <= now
 
-    def note_tick(self):
+    def record_tick(self):
         """Record that this process runs, and handle a pause since the last call."""
         now = self._clock.now()
         gap = now - self._last_tick
@@ -275,17 +280,17 @@
         # Heartbeats missed during the pause say nothing about the senders. Time without
         # heartbeats before it still counts: otherwise frequent stalls would prevent
         # failure detection.
-        self._settled_at = now + SETTLE
+        self._settled_at = now + SETTLE_SECONDS
         for member in self._members.values():
             member.heard_at = min(now, member.heard_at + gap)
             member.silent_from = min(now, member.silent_from + gap)
         self._vm.journal.write(Event.VM_PAUSED, gap=round(gap, 3))
         if self._on_pause is not None:
             self._on_pause()
-        if gap > LEASE:
-            self.start_new_life()
+        if gap > HOME_LEASE_SECONDS:
+            self.start_new_incarnation()
 
-    def start_new_life(self):
+    def start_new_incarnation(self):
         """Start a new incarnation, after a pause or after being declared dead."""
         self._vm.renew_incarnation()
         self._add_self(self._members[self._vm.name].state)
@@ -326,7 +331,7 @@
         if MemberState(item.state) is not MemberState.DEAD:
             return False
         self._vm.journal.write(Event.ACCUSED, by="view")
-        self.start_new_life()
+        self.start_new_incarnation()
         return True
 
     def _add_self(self, state):
--- a/src/heathercleat/process/signals.py
+++ b/src/heathercleat/process/signals.py
@@ -25,7 +25,7 @@
             signal.signal(number, self._on_signal)
 
     @property
-    def came_at(self):
+    def received_at(self):
         """Return when the signal last returned by :meth:`next` was received.
 
         It is ``None`` before the first one.
