--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -87,7 +87,7 @@
 
         :param avoid: names of targets that the request must not go to.
         :raises RequestError: if no slot is free within the limits of the queue.
-        :raises CallerDisconnectedError: if the caller disconnects while the request waits.
+        :raises CallerDisconnectedError: if the caller disconnects while waiting.
         """
         queue = self._queue(request.service.name)
         if not queue.waiters:
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -69,7 +69,7 @@
         self._desired_pairs = []
 
     async def run(self):
-        """AcquireTargets targets as the configuration and the membership change, forever."""
+        """Acquire targets as the configuration and the membership change, forever."""
         while True:
             if self._vm.text is not None:
                 self._follow_text()
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -195,8 +195,8 @@
 def occupied_until(clock, service, vouched):
     """Return the instant until which a target without a handover may be occupied.
 
-    :param vouched: the :class:`OccupancyBound` of every monitor that has one; without any, the
-        longest timeout of the service applies.
+    :param vouched: the :class:`OccupancyBound` of every monitor that has one; without
+        any, the longest timeout of the service applies.
     """
     now = clock.now()
     longest = now + service.longest_timeout
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -308,8 +308,8 @@
     def enter(self, lease_id, deadline):
         """Claim a slot of a lease for a request of its holder.
 
-        :return: the :class:`SlotUse`, or ``None`` if the lease has expired or is full, or
-            if the target is blocked.
+        :return: the :class:`SlotUse`, or ``None`` if the lease has expired or is full,
+            or if the target is blocked.
         """
         lease = self.find_lease(lease_id)
         if lease is None or lease.uses >= lease.slots:
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -2,9 +2,9 @@
 
 Each VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 doesn't grow with the number of VMs. A VM may act as a home only while its monitors have
-acknowledged a heartbeat within ``HOME_LEASE_SECONDS``. A monitor declares a VM dead after
-``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore loses its
-permission to act as a home before another VM takes over.
+acknowledged a heartbeat within ``HOME_LEASE_SECONDS``. A monitor declares a VM dead
+after ``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore loses
+its permission to act as a home before another VM takes over.
 """
 
 from hashlib import blake2b
@@ -97,7 +97,7 @@
 
     @property
     def settled(self):
-        """Return whether ``SETTLE_SECONDS`` has passed since the start or the last pause."""
+        """Return whether ``SETTLE_SECONDS`` have passed since the last pause or start."""
         return self._clock.now() >= self._settled_at
 
     def may_act(self):
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -188,7 +188,7 @@
 
     @property
     def blocks(self):
-        """Return the current :class:`ClientBlockTable`, for failure domains of clients."""
+        """Return the current :class:`ClientBlockTable`."""
         return self._blocks
 
     @property
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -99,7 +99,8 @@
 
         :param fresh: whether to open a new connection.
         :raises AttemptFailedError: if the request can't be sent.
-        :raises CallerDisconnectedError: if the caller disconnects before the end of its body.
+        :raises CallerDisconnectedError: if the caller disconnects before it has sent
+            its whole body.
         """
         await self._connect(fresh)
         try:
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -37,7 +37,8 @@
 
     :param extra_headers: mapping of headers to add to the response.
     :raises RequestError: if there is no response from a target.
-    :raises CallerDisconnectedError: if the caller disconnects; the request is cancelled.
+    :raises CallerDisconnectedError: if the caller disconnects, which cancels the
+        request.
     """
 
     async def deliver(attempt, target):
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -22,7 +22,8 @@
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
-    :param is_time_short: returns whether some route's requests cannot end in time any more
+    :param is_time_short: returns whether some route's requests cannot end in time any
+        more
         when they begin at an instant.
     """
 
@@ -42,7 +43,8 @@
     def begin(self, now, keep_alive_until, ends_at):
         """Start to leave.
 
-        :param keep_alive_until: instant until which clients may still come that looked this
+        :param keep_alive_until: instant until which clients may still come that looked
+            this
             VM up.
         :param ends_at: instant at which this process ends.
         """
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -28,7 +28,8 @@
         the VM makes none.
     :param digest: see :attr:`Members.digest`.
     :param news: the fields of each :class:`MemberUpdate` that is passed on.
-    :param rooms: see :meth:`CapacityReports.report`; ``None`` in a beat without reports.
+    :param rooms: see :meth:`CapacityReports.report`; ``None`` in a beat without
+        reports.
     :param waits: see :meth:`CapacityReports.report`.
     :param losses: see :meth:`CapacityReports.report`.
     :param held: see :meth:`HeldSlots.report`.
