--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -97,7 +97,7 @@
 
     @property
     def settled(self):
-        """Return whether ``SETTLE_SECONDS`` have passed since the last pause or start."""
+        """Return whether ``SETTLE_SECONDS`` have passed since a pause or the start."""
         return self._clock.now() >= self._settled_at
 
     def may_act(self):
