--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -24,7 +24,7 @@
     VmListResponse,
     encode,
 )
-from heathercleat.process.capacity.readiness import WATCH_SECONDS
+from heathercleat.process.capacity.readiness import MIN_POLL_SECONDS
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.heartbeats import Heartbeats
@@ -247,7 +247,7 @@
         with Fleet(text, {"fd-0": size}, subnet=36) as fleet:
             fleet.wait_ready()
             # Homes are asked for their readiness for a while after a start.
-            time.sleep(WATCH_SECONDS)
+            time.sleep(MIN_POLL_SECONDS)
             before = [fleet.metrics(vm) for vm in fleet.vms.values()]
             time.sleep(IDLE_SECONDS)
             after = [fleet.metrics(vm) for vm in fleet.vms.values()]
--- a/bench/control.py
+++ b/bench/control.py
@@ -13,7 +13,7 @@
 
 from bench.report import Row
 from heathercleat.events import Event
-from heathercleat.process.at_most_once.claims import Claims
+from heathercleat.process.at_most_once.claims import ClaimTable
 from heathercleat.process.logs import Journal, JsonFormatter, LogWriter
 from heathercleat.version.text import parse_text
 from standins.demo import demo_text
@@ -30,7 +30,7 @@
 def bench_claims(report):
     """Transactions needed for claims that come together."""
     platform = FakePlatform()
-    claims = Claims(platform, "p")
+    claims = ClaimTable(platform, "p")
     ticket = type("T", (), {"id": "t", "expires_at": 0.0})()
 
     async def act():
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -20,25 +20,25 @@
 from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.clock import from_wall, to_wall
-from heathercleat.request.at_most_once import run_once
+from heathercleat.request.at_most_once import run_at_most_once
 from heathercleat.request.call import Call
 from heathercleat.request.headers import (
-    CODE,
-    DEADLINE,
-    IDEMPOTENCY_KEY,
-    LEASE,
-    PEER,
-    REQUEST_ID,
-    RETRY_AT,
-    RUN,
+    CODE_HEADER,
+    DEADLINE_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    LEASE_HEADER,
+    PEER_HEADER,
+    REQUEST_ID_HEADER,
+    RETRY_AT_HEADER,
+    RUN_HEADER,
     SERVICE_PREFIX,
-    TICKET,
+    TICKET_HEADER,
     check_framing,
     find,
 )
 from heathercleat.request.lookup import answer_lookup
-from heathercleat.request.proxying import carry
-from heathercleat.request.ticket import read as read_ticket
+from heathercleat.request.proxying import proxy_request
+from heathercleat.request.ticket import read_ticket
 from heathercleat.version.text import Semantics
 
 LOOKUP_PATH = "/lookup"
@@ -154,7 +154,9 @@
             raise RequestError(ResultCode.UNKNOWN_KIND, message)
         deadline = self._deadline(headers, kind)
         return Call(
-            id=find(headers, REQUEST_ID) if self._forwarded else token_hex(ID_BYTES),
+            id=find(headers, REQUEST_ID_HEADER)
+            if self._forwarded
+            else token_hex(ID_BYTES),
             service=service,
             kind=kind,
             method=method,
@@ -166,13 +168,13 @@
             received_at=vm.clock.now(),
             key=self._key(headers),
             ticket=self._ticket(headers),
-            lease=self._lease(headers),
+            lease_id=self._lease(headers),
             caller=self._caller,
         )
 
     def _deadline(self, headers, kind):
         deadline = self._vm.clock.now() + kind.timeout
-        given = find(headers, DEADLINE)
+        given = find(headers, DEADLINE_HEADER)
         if given is None:
             return deadline
         try:
@@ -182,14 +184,14 @@
             raise RequestError(ResultCode.BAD_DEADLINE, message) from None
 
     def _key(self, headers):
-        key = find(headers, IDEMPOTENCY_KEY)
+        key = find(headers, IDEMPOTENCY_KEY_HEADER)
         if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
             message = f"an Idempotency-Key has 1 to {MAX_KEY_LENGTH} characters"
             raise RequestError(ResultCode.BAD_REQUEST, message)
         return key
 
     def _ticket(self, headers):
-        text = find(headers, TICKET)
+        text = find(headers, TICKET_HEADER)
         if text is None or self._forwarded:
             return None
         return read_ticket(self._vm.settings.keys, text)
@@ -197,7 +199,7 @@
     def _lease(self, headers):
         if not self._forwarded:
             return None
-        token, lease = find(headers, PEER), find(headers, LEASE)
+        token, lease = find(headers, PEER_HEADER), find(headers, LEASE_HEADER)
         if token is None or lease is None or not self._vm.tokens.accepts(token):
             message = "this address is for entry VMs"
             raise RequestError(ResultCode.BAD_REQUEST, message)
@@ -209,10 +211,10 @@
                 call.body = await self._read_body(call)
             else:
                 self._check_length(call)
-            if call.kind.semantics is Semantics.AT_MOST_ONCE and call.lease is None:
-                await self._send_outcome(call, await run_once(self._vm, call))
+            if call.kind.semantics is Semantics.AT_MOST_ONCE and call.lease_id is None:
+                await self._send_outcome(call, await run_at_most_once(self._vm, call))
             else:
-                await carry(self._vm, call, self._close_header())
+                await proxy_request(self._vm, call, self._close_header())
             observed.done()
 
     def _check_length(self, call):
@@ -240,9 +242,9 @@
         run = Run.UNKNOWN if failed else Run.RUN
         headers = [
             *outcome.headers,
-            (CODE, str(ResultCode.OK.number)),
-            (RUN, run.value),
-            (REQUEST_ID, call.id),
+            (CODE_HEADER, str(ResultCode.OK.number)),
+            (RUN_HEADER, run.value),
+            (REQUEST_ID_HEADER, call.id),
             ("content-length", str(len(outcome.body))),
             *self._close_header().items(),
         ]
@@ -267,14 +269,14 @@
         }
         headers = {
             "content-type": "application/json",
-            CODE: str(code.number),
-            RUN: code.run.value,
+            CODE_HEADER: str(code.number),
+            RUN_HEADER: code.run.value,
             **self._close_header(),
         }
         if error.retry_at is not None:
             wait = max(0.0, error.retry_at - self._vm.clock.wall())
             headers["retry-after"] = str(ceil(wait))
-            headers[RETRY_AT] = f"{error.retry_at:.3f}"
+            headers[RETRY_AT_HEADER] = f"{error.retry_at:.3f}"
         if not self._stream.is_request_complete:
             headers["connection"] = "close"
         message = Message(
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -159,8 +159,8 @@
             {
                 "service": room.service,
                 "slots": room.slots,
-                "left": room.left,
-                "least": room.least,
+                "left": room.remaining,
+                "least": room.minimum,
                 "enough": room.enough,
             }
             for room in headroom_after(text, drain, now)
--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -1,4 +1,4 @@
-"""Claims of at-most-once requests in the platform's table.
+"""ClaimTable of at-most-once requests in the platform's table.
 
 A process writes a claim before it runs a request, on condition that the row is missing.
 A VM that has to find out whether a lost process ran a key writes a closing row on the
@@ -63,16 +63,16 @@
     error: PlatformError | None = None
 
 
-class Claims:
+class ClaimTable:
     """Writes and reads claim rows.
 
     :param platform: the platform client.
-    :param birth: the id of this process, as in its tickets.
+    :param instance_id: the id of this process, as in its tickets.
     """
 
-    def __init__(self, platform, birth):
+    def __init__(self, platform, instance_id):
         self._platform = platform
-        self._birth = birth
+        self._instance_id = instance_id
         self._pending = deque()
         self._arrived = Signal()
         self._transactions = 0
@@ -106,7 +106,7 @@
         """
         if len(outcome.body) > MAX_KEPT_BODY:
             return
-        row = ClaimRow(RowState.DONE, self._birth, outcome)
+        row = ClaimRow(RowState.DONE, self._instance_id, outcome)
         try:
             await self._write(_row_key(ticket, key), _pack(row), 1)
         except PlatformError:
@@ -127,7 +127,7 @@
 
     async def _insert(self, ticket, key, state):
         row_key = _row_key(ticket, key)
-        mine = ClaimRow(state, self._birth)
+        mine = ClaimRow(state, self._instance_id)
         try:
             if not await self._write(row_key, _pack(mine), ABSENT):
                 return mine
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -33,7 +33,7 @@
 class LocalPermit:
     """A slot of a target whose home is this VM.
 
-    ``taken_at`` is a time of :meth:`Stalls.running`.
+    ``taken_at`` is a time of :meth:`Stalls.active_time`.
     """
 
     use: object
@@ -108,7 +108,7 @@
         if use is None:
             return None
         target = self._ledger.targets[use.target].target
-        return LocalPermit(use, target, self._stalls.running())
+        return LocalPermit(use, target, self._stalls.active_time())
 
     async def release(self, request, permit, certain):
         """Release the slot of a permit.
@@ -118,7 +118,7 @@
         if isinstance(permit, LeasedPermit):
             self._holder.release(permit.lease)
         else:
-            held = self._stalls.running() - permit.taken_at
+            held = self._stalls.active_time() - permit.taken_at
             self._queue(request.service.name).observe(held)
             receiver = self._ledger.release(permit.use, certain)
             if receiver is not None:
@@ -239,11 +239,11 @@
         use = self._ledger.take(entry, request.deadline)
         if use is None:
             return None
-        return LocalPermit(use, entry.target, self._stalls.running())
+        return LocalPermit(use, entry.target, self._stalls.active_time())
 
     async def _wait(self, queue, request, avoid):
         waiter = Waiter(request, avoid, self._clock.now())
-        stalled = self._stalls.seconds()
+        stalled = self._stalls.total_seconds()
         longest = queue.longest_wait(request.service, waiter.since, stalled)
         if queue.waiters and self._waits_in_vain(queue, request.service, longest):
             return self._last_resort(waiter, "wait too long")
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -352,7 +352,7 @@
 
     def _reachable(self, homes):
         for entry, distance in homes:
-            if self._links.to(entry.host).reachable:
+            if self._links.to(entry.host).is_reachable:
                 yield entry, distance
 
     def _with_room(self, service, homes):
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -24,7 +24,7 @@
 #: Seconds for which look-ups wait for the first poll after a start.
 FIRST_ROUND = CHECK_INTERVAL + CALL_TIMEOUT
 #: Seconds for which homes are polled after a change, even if they are ready.
-WATCH_SECONDS = 10.0
+MIN_POLL_SECONDS = 10.0
 #: Usable share of the slots at which a domain counts as ready for all its callers.
 ENOUGH = 0.5
 #: Seconds for which a domain may be unready before callers are sent elsewhere; a
@@ -121,7 +121,7 @@
         state = self._vm.version, self._membership.digest
         if state != self._watched_state:
             self._watched_state = state
-            self._watch_until = now + WATCH_SECONDS
+            self._watch_until = now + MIN_POLL_SECONDS
         return now < self._watch_until or not self._is_ready()
 
     def _is_ready(self):
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -158,13 +158,13 @@
 
     service: str
     slots: int
-    left: int
-    least: int
+    remaining: int
+    minimum: int
 
     @property
     def enough(self):
         """Return whether the remaining slots reach the minimum."""
-        return self.left >= self.least
+        return self.remaining >= self.minimum
 
 
 def headroom_after(text, drain, now):
@@ -178,16 +178,16 @@
     drains = [*text.drains.values(), drain]
     for service in text.services.values():
         targets = service.targets.values()
-        left = sum(
+        remaining = sum(
             target.limit
             for target in targets
             if not any(each.covers(target, at) for each in drains)
         )
         slots = sum(target.limit for target in targets)
-        least = service.min_slots
-        if least is None:
-            least = ceil(slots / 2)
-        yield ServiceHeadroom(service.name, slots, left, least)
+        minimum = service.min_slots
+        if minimum is None:
+            minimum = ceil(slots / 2)
+        yield ServiceHeadroom(service.name, slots, remaining, minimum)
 
 
 def schedule_drain(text, drain, now):
@@ -217,8 +217,8 @@
     short = [room for room in headroom_after(text, drain, now) if not room.enough]
     if short:
         figures = "; ".join(
-            f"{room.service} would keep {room.left} of {room.slots} slots, "
-            f"fewer than {room.least}"
+            f"{room.service} would keep {room.remaining} of {room.slots} slots, "
+            f"fewer than {room.minimum}"
             for room in short
         )
         raise HeathercleatError(ResultCode.HEADROOM_REFUSED, figures)
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -124,7 +124,7 @@
             member = self._membership.members.get(suspected.vm)
             if member is None or member.incarnation != suspected.incarnation:
                 return
-            if self._links.to(member.host).refused:
+            if self._links.to(member.host).is_refused:
                 await self.end(member)
                 return
 
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -266,7 +266,7 @@
         return [self._members[name] for name in names]
 
     def _is_silent(self, member, now):
-        if self._links.to(member.host).refused:
+        if self._links.to(member.host).is_refused:
             return True
         return member.silent_from + SILENT_AFTER <= now
 
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -31,12 +31,12 @@
         self._bytes = 0
 
     @property
-    def refused(self):
+    def is_refused(self):
         """Return whether the last call failed because the connection was refused."""
         return self._refused
 
     @property
-    def reachable(self):
+    def is_reachable(self):
         """Return whether no backoff is in progress after a failed call."""
         return self._clock.now() >= self._retry_at
 
@@ -54,7 +54,7 @@
         :param timeout: timeout in seconds, including the wait for earlier calls.
         :raises PeerError: if the peer is unreachable or refuses the call.
         """
-        if not self.reachable:
+        if not self.is_reachable:
             raise PeerError(f"{self._host} did not answer a moment ago")
         deadline = self._clock.now() + timeout
         try:
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -147,10 +147,12 @@
         return Accepted()
 
     async def _close_out(self, item, hello):
-        if item.birth != self._vm.birth:
+        if item.birth != self._vm.instance_id:
             return ClosedOut(EntryState.GONE.value, 0, [], b"")
         try:
-            entry = self._vm.once.close_out(item.ticket_id, item.key, item.expires_at)
+            entry = self._vm.deduplication.close_out(
+                item.ticket_id, item.key, item.expires_at
+            )
         except RequestError:
             return ClosedOut(EntryState.UNKNOWN.value, 0, [], b"")
         outcome = entry.outcome
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -53,9 +53,9 @@
             seconds=round(seconds, 6),
             late=late,
             caller=call.caller,
-            forwarded=call.lease is not None,
+            forwarded=call.lease_id is not None,
         )
-        if call.lease is None:
+        if call.lease_id is None:
             result, run = code.name.lower(), code.run.value
             self._vm.metrics.count_request(call, result, run, seconds, late)
 
--- a/src/heathercleat/process/stalls.py
+++ b/src/heathercleat/process/stalls.py
@@ -22,13 +22,13 @@
         self._seconds = 0.0
         self._last_tick = clock.now()
 
-    def seconds(self):
+    def total_seconds(self):
         """Return the total of all stalls in seconds, including one that just ended."""
         return self._seconds + self._latest(self._clock.now())
 
-    def running(self):
+    def active_time(self):
         """Return the time of a clock that is stopped during stalls."""
-        return self._clock.now() - self.seconds()
+        return self._clock.now() - self.total_seconds()
 
     def tick(self):
         """Record that the process is running."""
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -7,7 +7,7 @@
 
 from heathercleat.connection.pool import ConnectionPool
 from heathercleat.events import Event
-from heathercleat.process.at_most_once.claims import Claims
+from heathercleat.process.at_most_once.claims import ClaimTable
 from heathercleat.process.at_most_once.deduplication import DeduplicationTable
 from heathercleat.process.at_most_once.sweeper import ClaimSweeper
 from heathercleat.process.capacity.admission import Admission
@@ -60,7 +60,7 @@
         self._settings = settings
         self._log_writer = log_writer
         self._clock = clock or SystemClock()
-        self._birth = token_hex(8)
+        self._instance_id = token_hex(8)
         self._incarnation = int(self._clock.wall() * MILLISECONDS)
         self._journal = Journal(settings.vm, settings.failure_domain)
         self._blocks = build_client_blocks({}, [])
@@ -70,7 +70,7 @@
         self._left_at = self._clock.now()
         self._fence = Fence(settings.fenced)
         self._platform = platform or self._connect_platform()
-        # Claims use a separate connection, so that other calls don't delay them.
+        # ClaimTable use a separate connection, so that other calls don't delay them.
         self._claims_platform = platform or self._connect_platform()
         self._build()
 
@@ -88,7 +88,7 @@
         self.links = PeerLinks(self, clock)
         self.directory = Directory()
         self.ledger = SlotLedger(clock)
-        self.once = DeduplicationTable(clock)
+        self.deduplication = DeduplicationTable(clock)
         self.pool = ConnectionPool(clock, self._settings.address, self._get_fence)
         self.membership = Membership(self, self.links, clock)
         self.heartbeats = Heartbeats(self, self.membership, self.links, clock)
@@ -97,14 +97,16 @@
         )
         self.health = HealthTracker(self, self.ledger, clock)
         self.occupancy_records = OccupancyRecords(self.membership, clock)
-        self.covers = OccupancyPublisher(self, self.membership, self.links, clock)
+        self.occupancy_publisher = OccupancyPublisher(
+            self, self.membership, self.links, clock
+        )
         self.homes = HomeManager(
             self,
             self.membership,
             self.ledger,
             self.links,
             self.occupancy_records,
-            self.covers,
+            self.occupancy_publisher,
             clock,
         )
         self.lease_holder = LeaseHolder(self, self.links, self.directory, clock)
@@ -129,7 +131,7 @@
             self.health,
             clock,
         )
-        self.claims = Claims(self._claims_platform, self._birth)
+        self.claims = ClaimTable(self._claims_platform, self._instance_id)
         self.sweeper = ClaimSweeper(self, self._platform, clock)
         self.editor = Editor(self._claims_platform, clock)
         self.candidates = CandidateCache(self, clock)
@@ -162,9 +164,9 @@
         return self._journal
 
     @property
-    def birth(self):
+    def instance_id(self):
         """Return the id of this process, as in its tickets."""
-        return self._birth
+        return self._instance_id
 
     @property
     def incarnation(self):
@@ -282,7 +284,7 @@
     async def serve(self):
         """Run the daemon until a graceful shutdown has finished."""
         self._journal.write(
-            Event.VM_STARTED, incarnation=self._incarnation, birth=self._birth
+            Event.VM_STARTED, incarnation=self._incarnation, birth=self._instance_id
         )
         signal.signal(signal.SIGTERM, lambda *_: self.request_leave())
         signal.signal(signal.SIGINT, lambda *_: self.request_leave())
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -13,7 +13,7 @@
 from heathercleat.request.proxying import proxy_buffered
 
 
-async def run_once(vm, call):
+async def run_at_most_once(vm, call):
     """Run a non-idempotent request at most once and return its :class:`Outcome`.
 
     A request without a ticket is sent to a target at most once too, but a repeat of it
@@ -28,13 +28,13 @@
     if call.ticket.service != call.service.name:
         message = f'the ticket is for "{call.ticket.service}"'
         raise RequestError(ResultCode.TICKET_INVALID, message)
-    if call.ticket.birth != vm.birth:
+    if call.ticket.instance_id != vm.instance_id:
         return await _ask_owner(vm, call)
     return await _run_as_owner(vm, call)
 
 
 async def _run_as_owner(vm, call):
-    entry, first = vm.once.begin(call.ticket, call.key, _digest(call))
+    entry, first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
     if not first:
         return await _repeat(vm, call, entry)
     state, outcome = EntryState.UNKNOWN, None
@@ -49,7 +49,7 @@
             state = EntryState.NOT_RUN
         raise
     finally:
-        await vm.once.finish(entry, state, outcome)
+        await vm.deduplication.finish(entry, state, outcome)
     vm.journal.write(
         Event.TICKET_RUN,
         request=call.id,
@@ -77,7 +77,7 @@
         vm.journal.write(Event.CLAIM_FAILED, request=call.id, reason=str(error))
         message = "the claim could not be written, so the request was not run"
         raise RequestError(ResultCode.CLAIM_FAILED, message) from None
-    if row.state is RowState.CLAIMED and row.writer == vm.birth:
+    if row.state is RowState.CLAIMED and row.writer == vm.instance_id:
         entry.claimed = True
         return
     message = "another VM closed this ticket and key"
@@ -161,7 +161,7 @@
     if entry is None or entry.name == vm.name:
         return EntryState.GONE, None
     try:
-        question = CloseOut(ticket.id, key, ticket.birth, ticket.expires_at)
+        question = CloseOut(ticket.id, key, ticket.instance_id, ticket.expires_at)
         answer = await vm.links.call(entry.host, question)
     except PeerError:
         return EntryState.GONE, None
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -8,9 +8,9 @@
 from heathercleat.connection.http import CONNECTION_ERRORS
 from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.request.headers import (
-    CODE,
-    DEADLINE,
-    REQUEST_ID,
+    CODE_HEADER,
+    DEADLINE_HEADER,
+    REQUEST_ID_HEADER,
     SERVICE_PREFIX,
     check_framing,
     end_to_end,
@@ -204,8 +204,8 @@
             if name != b"content-length"
         ]
         headers.extend(self._upstream.headers)
-        headers.append((DEADLINE, f"{call.wall_deadline:.3f}"))
-        headers.append((REQUEST_ID, call.id))
+        headers.append((DEADLINE_HEADER, f"{call.wall_deadline:.3f}"))
+        headers.append((REQUEST_ID_HEADER, call.id))
         length = find(call.headers, "content-length")
         if call.body is not None:
             if call.body or length is not None:
@@ -277,7 +277,7 @@
             raise self._failed(ResultCode.BAD_ANSWER, "bad answer", error)
 
     def _raise_code_of_vm(self, headers):
-        number = find(headers, CODE)
+        number = find(headers, CODE_HEADER)
         if number is None:
             return
         code = ResultCode.from_number(int(number))
--- a/src/heathercleat/request/call.py
+++ b/src/heathercleat/request/call.py
@@ -11,7 +11,7 @@
 
     ``deadline`` is an instant of ``clock.now()``; ``wall_deadline`` is the same in
     epoch seconds. ``body`` is ``None`` if the body is streamed. ``key`` is the
-    idempotency key. ``lease`` is the id of the lease under which another VM forwarded
+    idempotency key. ``lease_id`` is that of the lease under which another VM forwarded
     the request, or ``None``.
     """
 
@@ -28,7 +28,7 @@
     body: bytes | None = None
     key: str | None = None
     ticket: object = None
-    lease: int | None = None
+    lease_id: int | None = None
     caller: str = ""
 
     @property
--- a/src/heathercleat/request/headers.py
+++ b/src/heathercleat/request/headers.py
@@ -2,17 +2,17 @@
 
 from heathercleat.errors import RequestError
 
-DEADLINE = "heathercleat-deadline"
-TICKET = "heathercleat-ticket"
-CODE = "heathercleat-code"
-RUN = "heathercleat-run"
-RETRY_AT = "heathercleat-retry-at"
-REQUEST_ID = "heathercleat-request"
-LEASE = "heathercleat-lease"
-PEER = "heathercleat-peer"
-SERVED_BY = "heathercleat-target"
-IDEMPOTENCY_KEY = "idempotency-key"
-OWN_PREFIX = b"heathercleat-"
+DEADLINE_HEADER = "heathercleat-deadline"
+TICKET_HEADER = "heathercleat-ticket"
+CODE_HEADER = "heathercleat-code"
+RUN_HEADER = "heathercleat-run"
+RETRY_AT_HEADER = "heathercleat-retry-at"
+REQUEST_ID_HEADER = "heathercleat-request"
+LEASE_HEADER = "heathercleat-lease"
+PEER_HEADER = "heathercleat-peer"
+TARGET_HEADER = "heathercleat-target"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+OWN_HEADER_PREFIX = b"heathercleat-"
 #: Prefix of every request path; the name of the service follows.
 SERVICE_PREFIX = "/s/"
 
@@ -63,7 +63,7 @@
     """Yield the headers except hop-by-hop headers and those of Heathercleat."""
     named = _connection_options(headers)
     for name, value in headers:
-        if name in _HOP_BY_HOP or name in named or name.startswith(OWN_PREFIX):
+        if name in _HOP_BY_HOP or name in named or name.startswith(OWN_HEADER_PREFIX):
             continue
         yield name, value
 
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -136,7 +136,12 @@
     expires_at = now + vm.settings.ticket_ttl
     settings = vm.settings
     ticket = issue_ticket(
-        settings.keys, vm.name, vm.birth, service.name, vm.claims_wanted, expires_at
+        settings.keys,
+        vm.name,
+        vm.instance_id,
+        service.name,
+        vm.claims_wanted,
+        expires_at,
     )
     return {
         "ticket": ticket,
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -16,10 +16,10 @@
 )
 from heathercleat.request.call import Outcome
 from heathercleat.request.headers import (
-    LEASE,
-    PEER,
-    REQUEST_ID,
-    SERVED_BY,
+    LEASE_HEADER,
+    PEER_HEADER,
+    REQUEST_ID_HEADER,
+    TARGET_HEADER,
     end_to_end,
 )
 from heathercleat.version.text import Semantics
@@ -32,7 +32,7 @@
 SERVER_ERRORS = (500, 502, 503, 504)
 
 
-async def carry(vm, call, extra_headers):
+async def proxy_request(vm, call, extra_headers):
     """Run a request and stream the response to the caller.
 
     :param extra_headers: mapping of headers to add to the response.
@@ -91,16 +91,16 @@
 
 
 async def _permit(vm, call, tried):
-    if call.lease is None:
+    if call.lease_id is None:
         return await vm.admission.acquire(call, tried)
-    permit = None if tried else vm.admission.enter(call.lease, call.deadline)
+    permit = None if tried else vm.admission.enter(call.lease_id, call.deadline)
     if permit is None:
         raise RequestError(ResultCode.NO_ROOM, "the lease has no room here")
     return permit
 
 
 async def _attempt(vm, call, permit, deliver):
-    started_at = vm.stalls.running()
+    started_at = vm.stalls.active_time()
     ended = False
     certain = False
 
@@ -109,7 +109,7 @@
         # send its next request before this task runs again.
         nonlocal ended
         ended = True
-        _note_success(vm, permit, attempt, vm.stalls.running() - started_at)
+        _note_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
         await _settle(vm, call, permit, attempt, certain=True)
 
     upstream = _upstream(vm, call, permit)
@@ -143,7 +143,7 @@
     if isinstance(permit, LeasedPermit):
         return
     try:
-        await vm.covers.ensure(permit.target.name, call.deadline)
+        await vm.occupancy_publisher.ensure(permit.target.name, call.deadline)
     except BaseException:
         await vm.admission.release(call, permit, certain=True)
         raise
@@ -154,7 +154,7 @@
     if not once and call.stream.is_request_complete and call.stream.is_closed():
         raise CallerDisconnectedError
     await attempt.send(fresh=once)
-    if once and call.lease is None:
+    if once and call.lease_id is None:
         # Continue if the caller disconnects: a repeat returns the outcome.
         return await _receive(vm, call, permit, attempt, deliver)
     watcher = await spawn(_watch_caller, call, attempt)
@@ -180,7 +180,7 @@
         limit = target.connections
         return Upstream(target.name, target.host, target.port, (), limit, False)
     lease = permit.lease
-    headers = ((LEASE, str(lease.id)), (PEER, vm.tokens.current()))
+    headers = ((LEASE_HEADER, str(lease.id)), (PEER_HEADER, vm.tokens.current()))
     port = vm.settings.ports.forward
     return Upstream(lease.granter, lease.host, port, headers, None, True)
 
@@ -229,7 +229,7 @@
 
 def _may_retry(vm, call, error):
     """Return whether a retry is safe and can still send the complete request."""
-    if call.lease is not None or vm.clock.now() >= call.deadline:
+    if call.lease_id is not None or vm.clock.now() >= call.deadline:
         return False
     if not call.stream.can_respond:
         return False
@@ -243,8 +243,8 @@
 async def _stream_answer(call, attempt, target, extra_headers):
     """Stream the response to the caller."""
     headers = list(end_to_end(attempt.headers))
-    headers.append((SERVED_BY, target))
-    headers.append((REQUEST_ID, call.id))
+    headers.append((TARGET_HEADER, target))
+    headers.append((REQUEST_ID_HEADER, call.id))
     headers.extend(extra_headers.items())
     response = h11.Response(status_code=attempt.response.status_code, headers=headers)
     await _send_answer(call, attempt, response)
@@ -294,5 +294,5 @@
         for name, value in end_to_end(attempt.headers)
         if name != b"content-length"
     ]
-    headers.append((SERVED_BY.encode(), target.encode()))
+    headers.append((TARGET_HEADER.encode(), target.encode()))
     return Outcome(attempt.response.status_code, headers, b"".join(parts))
--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -23,24 +23,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """A ticket; ``birth`` identifies the process, ``expires_at`` is epoch seconds."""
+    """A ticket; ``instance_id`` identifies the process, ``expires_at`` is epoch seconds."""
 
     id: str
     vm: str
-    birth: str
+    instance_id: str
     service: str
     claims: bool
     expires_at: float
 
 
-def issue_ticket(keys, vm, birth, service, claims, expires_at):
+def issue_ticket(keys, vm, instance_id, service, claims, expires_at):
     """Return a new ticket, signed with the first of ``keys`` and encoded as text."""
     ticket_id = token_hex(_ID_BYTES)
-    data = msgpack.packb([ticket_id, vm, birth, service, claims, expires_at])
+    data = msgpack.packb([ticket_id, vm, instance_id, service, claims, expires_at])
     return urlsafe_b64encode(sign(keys[0], b"ticket", data) + data).decode()
 
 
-def read(keys, text):
+def read_ticket(keys, text):
     """Decode a ticket and verify its signature.
 
     :raises RequestError: if it was not signed with one of ``keys``.
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -86,8 +86,8 @@
 
 
 class FakeLink:
-    refused = False
-    reachable = True
+    is_refused = False
+    is_reachable = True
 
 
 class FakeLinks:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -6,22 +6,22 @@
 
 from heathercleat import HeathercleatError, ResultCode
 from heathercleat.errors import PlatformError
-from heathercleat.process.at_most_once.claims import Claims, RowState
+from heathercleat.process.at_most_once.claims import ClaimTable, RowState
 from heathercleat.process.at_most_once.deduplication import (
     RETENTION,
     DeduplicationTable,
     EntryState,
 )
 from heathercleat.request.call import Outcome
-from heathercleat.request.ticket import Ticket, issue_ticket, read
+from heathercleat.request.ticket import Ticket, issue_ticket, read_ticket
 from tests.fakes import FakePlatform, ManualClock
 
 KEYS = ["a-shared-key-for-tests"]
 OTHER_KEYS = ["another-shared-key-here"]
 
 
-def make_ticket(birth="p1", claims=True, expires_at=160.0):
-    return Ticket("ticket", "north-a-1", birth, "rules", claims, expires_at)
+def make_ticket(instance_id="p1", claims=True, expires_at=160.0):
+    return Ticket("ticket", "north-a-1", instance_id, "rules", claims, expires_at)
 
 
 async def with_claims(claims, act):
@@ -34,8 +34,8 @@
 
 def test_ticket_is_read_as_it_was_issued():
     text = issue_ticket(KEYS, "vm", "birth", "rules", True, 12.0)
-    ticket = read(KEYS, text)
-    assert (ticket.vm, ticket.birth, ticket.claims) == ("vm", "birth", True)
+    ticket = read_ticket(KEYS, text)
+    assert (ticket.vm, ticket.instance_id, ticket.claims) == ("vm", "birth", True)
 
 
 @pytest.mark.parametrize(
@@ -45,13 +45,13 @@
 )
 def test_ticket_of_a_stranger_is_refused(text):
     with pytest.raises(HeathercleatError) as caught:
-        read(KEYS, text)
+        read_ticket(KEYS, text)
     assert caught.value.code is ResultCode.TICKET_INVALID
 
 
 def test_rotated_keys_still_verify_old_tickets():
     old = issue_ticket(OTHER_KEYS, "vm", "birth", "rules", True, 12.0)
-    assert read([*KEYS, *OTHER_KEYS], old).vm == "vm"
+    assert read_ticket([*KEYS, *OTHER_KEYS], old).vm == "vm"
 
 
 def test_same_key_with_another_request_is_refused():
@@ -117,7 +117,7 @@
 
 def test_claim_and_closing_exclude_each_other():
     platform = FakePlatform()
-    owner, other = Claims(platform, "p1"), Claims(platform, "p2")
+    owner, other = ClaimTable(platform, "p1"), ClaimTable(platform, "p2")
 
     async def act():
         row = await with_claims(owner, lambda: owner.claim(make_ticket(), "k"))
@@ -135,7 +135,7 @@
 def test_lost_reply_of_a_claim_is_resolved_by_reading_back():
     platform = FakePlatform()
     platform.fail_after = 1
-    claims = Claims(platform, "p1")
+    claims = ClaimTable(platform, "p1")
     row = run(with_claims, claims, lambda: claims.claim(make_ticket(), "k"))
     assert (row.state, row.writer) == (RowState.CLAIMED, "p1")
 
@@ -143,14 +143,14 @@
 def test_claim_without_effect_is_an_error():
     platform = FakePlatform()
     platform.fail_before = 1
-    claims = Claims(platform, "p1")
+    claims = ClaimTable(platform, "p1")
     with pytest.raises(PlatformError):
         run(with_claims, claims, lambda: claims.claim(make_ticket(), "k"))
 
 
 def test_claims_that_come_together_share_a_transaction():
     platform = FakePlatform()
-    claims = Claims(platform, "p1")
+    claims = ClaimTable(platform, "p1")
 
     async def act():
         tasks = [
@@ -166,7 +166,7 @@
 
 def test_conflict_of_one_claim_does_not_fail_the_others():
     platform = FakePlatform()
-    owner, other = Claims(platform, "p1"), Claims(platform, "p2")
+    owner, other = ClaimTable(platform, "p1"), ClaimTable(platform, "p2")
 
     async def act():
         await with_claims(other, lambda: other.close_out(make_ticket(), "k1"))
@@ -189,8 +189,8 @@
     def __init__(self):
         super().__init__()
         self.platform = FakePlatform()
-        self.owner = Claims(self.platform, "owner")
-        self.others = [Claims(self.platform, name) for name in ("b", "c")]
+        self.owner = ClaimTable(self.platform, "owner")
+        self.others = [ClaimTable(self.platform, name) for name in ("b", "c")]
         self.may_run = False
         self.said_not_run = False
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -11,16 +11,16 @@
     clock = ManualClock()
     stalls = Stalls(clock)
     clock.time += gap
-    assert stalls.seconds() == pytest.approx(stalled)
+    assert stalls.total_seconds() == pytest.approx(stalled)
     stalls.tick()
-    assert stalls.seconds() == pytest.approx(stalled)
+    assert stalls.total_seconds() == pytest.approx(stalled)
 
 
 def test_running_clock_stands_still_in_each_stall():
     clock = ManualClock()
     stalls = Stalls(clock)
-    began = stalls.running()
+    began = stalls.active_time()
     for _ in range(3):
         clock.time += USUAL_GAP + 1.0
         stalls.tick()
-    assert stalls.running() - began == pytest.approx(3 * USUAL_GAP)
+    assert stalls.active_time() - began == pytest.approx(3 * USUAL_GAP)
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -6,7 +6,7 @@
 from heathercleat.process.at_most_once.claims import (
     BUCKET_SECONDS,
     CLAIM_PREFIX,
-    Claims,
+    ClaimTable,
 )
 from heathercleat.process.at_most_once.deduplication import RETENTION
 from heathercleat.process.at_most_once.sweeper import BATCH_ROWS, ClaimSweeper
@@ -44,7 +44,7 @@
     """Claim keys of a ticket that expires at an instant."""
 
     async def act():
-        claims = Claims(platform, "p1")
+        claims = ClaimTable(platform, "p1")
         worker = await spawn(claims.run, daemon=True)
         ticket = Ticket("ticket", "north-a-1", "p1", "rules", True, expires_at)
         for key in keys:
