--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ticket:
-    """A ticket; ``instance_id`` identifies the process, ``expires_at`` is epoch seconds."""
+    """A ticket for the process ``instance_id``; ``expires_at`` is epoch seconds."""
 
     id: str
     vm: str
