--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once: tickets, keys, claims, repeats and closing out."""
+"""Requests with at-most-once semantics: tickets, claims, repeats and close-outs."""
 
 from hashlib import sha256
 
@@ -13,13 +13,13 @@
 from heathercleat.request.proxying import proxy_buffered
 
 
-async def run_once(vm, call):
+async def run_at_most_once(vm, call):
     """Run a non-idempotent request at most once and return its :class:`Outcome`.
 
-    A request without a ticket and key is sent to a target at most once by this system;
-    a repeat of it is another request.
+    A request without a ticket is sent to a target at most once too, but a repeat of it
+    counts as another request.
 
-    :raises RequestError: with what is known about the run.
+    :raises RequestError: if there is no outcome; the code says whether the request ran.
     """
     if call.ticket is None:
         return await proxy_buffered(vm, call)
@@ -28,13 +28,13 @@
     if call.ticket.service != call.service.name:
         message = f'the ticket is for "{call.ticket.service}"'
         raise RequestError(ResultCode.TICKET_INVALID, message)
-    if call.ticket.birth != vm.birth:
+    if call.ticket.instance_id != vm.instance_id:
         return await _ask_owner(vm, call)
     return await _run_as_owner(vm, call)
 
 
 async def _run_as_owner(vm, call):
-    entry, first = vm.once.begin(call.ticket, call.key, _digest(call))
+    entry, first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
     if not first:
         return await _repeat(vm, call, entry)
     state, outcome = EntryState.UNKNOWN, None
@@ -49,7 +49,7 @@
             state = EntryState.NOT_RUN
         raise
     finally:
-        await vm.once.finish(entry, state, outcome)
+        await vm.deduplication.finish(entry, state, outcome)
     vm.journal.write(
         Event.TICKET_RUN,
         request=call.id,
@@ -64,9 +64,9 @@
 
 
 async def _claim(vm, call, entry):
-    """Write the claim that the ticket asks for.
+    """Write the claim if the ticket requires one.
 
-    :raises RequestError: when the request must not run.
+    :raises RequestError: if the request must not run.
     """
     if not call.ticket.claims or entry.claimed:
         return
@@ -77,7 +77,7 @@
         vm.journal.write(Event.CLAIM_FAILED, request=call.id, reason=str(error))
         message = "the claim could not be written, so the request was not run"
         raise RequestError(ResultCode.CLAIM_FAILED, message) from None
-    if row.state is RowState.CLAIMED and row.writer == vm.birth:
+    if row.state is RowState.CLAIMED and row.writer == vm.instance_id:
         entry.claimed = True
         return
     message = "another VM closed this ticket and key"
@@ -85,7 +85,10 @@
 
 
 async def _repeat(vm, call, entry):
-    """Answer a repeat with the outcome of the first run."""
+    """Return the outcome of the first run, waiting for it if necessary.
+
+    :raises RequestError: if there is none.
+    """
     if entry.state is EntryState.RUNNING:
         try:
             await before(call.deadline, vm.clock, entry.finished.wait())
@@ -108,7 +111,10 @@
 
 
 async def _ask_owner(vm, call):
-    """Find out what became of a key whose ticket names another process."""
+    """Return the outcome of a request whose ticket names another process.
+
+    :raises RequestError: if there is none.
+    """
     check_age(call.ticket.expires_at, vm.clock.wall())
     state, outcome = await _state_at_owner(vm, call)
     vm.journal.write(
@@ -135,7 +141,7 @@
 
 
 async def _state_at_owner(vm, call):
-    """Return ``(EntryState, Outcome or None)`` from the owner or from the table."""
+    """Return ``(EntryState, Outcome or None)`` from the owner or the claim table."""
     state, outcome = await _ask_process(vm, call.ticket, call.key)
     if state is not EntryState.GONE or not call.ticket.claims:
         return state, outcome
@@ -155,7 +161,7 @@
     if entry is None or entry.name == vm.name:
         return EntryState.GONE, None
     try:
-        question = CloseOut(ticket.id, key, ticket.birth, ticket.expires_at)
+        question = CloseOut(ticket.id, key, ticket.instance_id, ticket.expires_at)
         answer = await vm.links.call(entry.host, question)
     except PeerError:
         return EntryState.GONE, None
