--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -57,7 +57,9 @@
         times, route = self._response_times, call.route.name
         if call.affinity is None or not call.route.sticky:
             return times.mean(route)
-        return times.at_affinity_target(route) if is_home else times.at_other_target(route)
+        return (
+            times.at_affinity_target(route) if is_home else times.at_other_target(route)
+        )
 
     def known_work(self, route):
         """Return the response time for a cached object, or ``None`` if unknown."""
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -32,9 +32,9 @@
     Suspects,
 )
 from heathercleat.steering.request.attempt_result import (
-    TargetResponse,
     AttemptOutcome,
     AttemptResult,
+    TargetResponse,
 )
 from heathercleat.steering.request.containment import (
     MAX_SENDERS,
@@ -97,7 +97,9 @@
         made = made or self.call(name)
         assert self.refusal(made) is None
         self.containment.record_result(
-            made, AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")), False
+            made,
+            AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
+            False,
         )
         return made
 
@@ -294,7 +296,9 @@
         result.crashed_incarnation = f"i-{number}"
         view.containment.record_result(made, result, False)
         view.containment.record_result(
-            made, AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")), False
+            made,
+            AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
+            False,
         )
     containment = view.containment
     assert view.suspects.count <= MAX_SUSPECTS
@@ -306,7 +310,9 @@
     assert sender_digest([(b"host", b"a")]) is None
     named = [(b"host", b"a"), (b"cookie", b"k=1")]
     assert sender_digest(named) == sender_digest([*named, (b"request-id", b"2")])
-    assert sender_digest(named) != sender_digest([(b"host", b"a"), (b"authorization", b"k=1")])
+    assert sender_digest(named) != sender_digest(
+        [(b"host", b"a"), (b"authorization", b"k=1")]
+    )
 
 
 def test_suspected_request_runs_alone_at_one_of_few_targets():
