--- a/src/heathercleat/__init__.py
+++ b/src/heathercleat/__init__.py
@@ -1,11 +1,10 @@
-"""Global traffic steering between callers and targets."""
+"""Steers traffic between callers and targets in several regions."""
 
 from importlib import import_module
 
 __version__ = "0.1.0"
 
-#: Module of each public name. They are imported when they are first used: a VM that
-#: steers on the platform needs half of them, and its start is charged for the rest.
+#: Module of each public name; imported on first use to keep the start of a VM short.
 _MODULES = {
     "EntryVM": "heathercleat.process.vm",
     "Finding": "heathercleat.errors",
@@ -25,7 +24,7 @@
 
 
 def __getattr__(name):
-    """Import a public name."""
+    """Import a public name on first use."""
     if name not in _MODULES:
         raise AttributeError(f'module "{__name__}" has no attribute "{name}"')
     return getattr(import_module(_MODULES[name]), name)
--- a/src/heathercleat/_jsonc.py
+++ b/src/heathercleat/_jsonc.py
@@ -1,7 +1,7 @@
-"""JSON with comments, read with the standard library's parser.
+"""Parser for JSON with comments and trailing commas.
 
-Comments and trailing commas are blanked to spaces, so every value keeps its line and
-column, which :func:`locate` looks up when there is a finding to report.
+Comments and trailing commas are replaced by spaces, so that line and column numbers
+stay valid, and the result is parsed with the standard library.
 """
 
 import json
@@ -22,10 +22,9 @@
 def loads(source, name, code=ResultCode.TEXT_INVALID):
     """Parse JSON with comments.
 
-    :param source: the text.
-    :param name: the file name for error messages.
+    :param name: the file name in error messages.
     :param code: the result code of findings.
-    :raises FindingsError: when the text is not well formed or repeats a name.
+    :raises FindingsError: for a syntax error or a repeated name in an object.
     """
     try:
         return json.loads(blank(source), object_pairs_hook=_unique)
@@ -41,21 +40,21 @@
 
 
 def blank(source):
-    """Return ``source`` with comments and trailing commas as spaces."""
+    """Return ``source`` with comments and trailing commas replaced by spaces."""
     return _TOKEN.sub(_blank_token, source)
 
 
 def locate(source, pointers):
-    """Return ``{pointer: (line, column)}`` for JSON pointers, both from 1.
+    """Return ``{pointer: (line, column)}`` for JSON pointers, counted from 1.
 
-    A pointer that the text lacks takes the place of its nearest parent.
+    A pointer that does not exist in ``source`` gets the position of its nearest parent.
     """
     places = calculate(blank(source))
     return {pointer: _place(places, pointer) for pointer in pointers}
 
 
 class _RepeatedNameError(Exception):
-    """A name stands twice in one object."""
+    """An object has two members of the same name."""
 
 
 def _blank_token(match):
--- a/src/heathercleat/cli/__init__.py
+++ b/src/heathercleat/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The ``heathercleat`` command line."""
 
 from heathercleat.cli._main import main
 
--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' address of an entry VM."""
+"""Client of the operators' API of an entry VM."""
 
 import json
 import os
@@ -22,13 +22,13 @@
 
 KEY_VARIABLE = "HEATHERCLEAT_KEY"
 CALL_SECONDS = 20.0
-#: Seconds to wait for each further VM that one call leads to.
+#: Timeout for calls to further VMs that a command makes.
 FOLLOW_UP_SECONDS = 2.0
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 class RemoteError(HeathercleatError):
-    """An error that an entry VM answered with."""
+    """An error response of an entry VM."""
 
     def __init__(self, answer):
         super().__init__(
@@ -39,10 +39,10 @@
 class OperatorClient:
     """Calls one entry VM.
 
-    :param host: its IP number.
+    :param host: the IP address of the VM.
     :param port: the operators' port.
     :param key: a shared key.
-    :param timeout: seconds that a call may take.
+    :param timeout: timeout of a call, in seconds.
     """
 
     def __init__(self, host, port, key, timeout=CALL_SECONDS):
@@ -53,16 +53,16 @@
         self._clock = SystemClock()
 
     def get(self, path, **query):
-        """Return the JSON answer of a GET call."""
+        """Return the JSON response to a GET call; ``None`` values are left out."""
         given = {name: value for name, value in query.items() if value is not None}
         return self._call("GET", f"{path}?{urlencode(given)}" if given else path)
 
     def post(self, path, body):
-        """Return the JSON answer of a POST call with a JSON body."""
+        """Return the JSON response to a POST call with a JSON body."""
         return self._call("POST", path, json.dumps(body).encode())
 
     def at(self, host):
-        """Return a client of another VM with the same key and port."""
+        """Return a client of another VM, with the same key and port."""
         return OperatorClient(host, self._port, self._key, FOLLOW_UP_SECONDS)
 
     def _call(self, method, path, body=b""):
@@ -73,7 +73,7 @@
         try:
             answer = run(self._exchange, message)
         except (TimeoutError, *CONNECTION_ERRORS) as error:
-            # A call whose connection was refused did nothing; any other may have.
+            # Only a refused connection rules out that an edit took effect.
             code = ResultCode.EDIT_UNKNOWN if body else ResultCode.VM_UNREACHABLE
             if isinstance(error, ConnectionRefusedError):
                 code = ResultCode.VM_UNREACHABLE
@@ -95,7 +95,7 @@
 
 
 def add_client_options(parser):
-    """Add the options that say which VM to call, and ``--json``."""
+    """Add the options that select the VM to call, and ``--json``."""
     group = parser.add_argument_group("which entry VM to call")
     group.add_argument(
         "--settings", metavar="FILE", help="take address, port and key from here"
@@ -110,7 +110,10 @@
 
 
 def client_of(args):
-    """Return the :class:`OperatorClient` that the options name."""
+    """Return the :class:`OperatorClient` that the options select.
+
+    :raises HeathercleatError: when the VM or the key is missing.
+    """
     host, port, key = None, DEFAULT_PORTS["operator"], os.environ.get(KEY_VARIABLE)
     if args.settings:
         settings = load_settings(args.settings)
--- a/src/heathercleat/cli/_drain.py
+++ b/src/heathercleat/cli/_drain.py
@@ -1,4 +1,4 @@
-"""The ``drain`` command: plan, list and cancel."""
+"""The ``drain`` command."""
 
 import time
 from getpass import getuser
@@ -10,7 +10,7 @@
 
 
 def add_drain(commands):
-    """Add the command to the parser."""
+    """Add the ``drain`` command to the parser."""
     parser = commands.add_parser(
         "drain",
         help="plan, list and cancel drains",
--- a/src/heathercleat/cli/_edit.py
+++ b/src/heathercleat/cli/_edit.py
@@ -1,4 +1,4 @@
-"""Commands on the operators' text: check, diff, apply, history, show."""
+"""Commands that read and edit the operators' configuration."""
 
 import sys
 from difflib import unified_diff
@@ -16,7 +16,7 @@
 
 
 def add_edits(commands):
-    """Add the commands to the parser."""
+    """Add ``check``, ``diff``, ``apply``, ``history`` and ``show`` to the parser."""
     check = _add(commands, "check", "check a text without sending it", _check)
     check.add_argument("text", metavar="TEXT")
     diff = _add(commands, "diff", "compare a text with the one in force", _diff)
--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -1,4 +1,4 @@
-"""Commands that only look: status and explain."""
+"""The read-only commands ``status`` and ``explain``."""
 
 from heathercleat.cli._client import add_client_options, client_of
 from heathercleat.cli._output import show, table
@@ -6,7 +6,7 @@
 
 
 def add_inspections(commands):
-    """Add the commands to the parser."""
+    """Add the ``status`` and ``explain`` commands to the parser."""
     status = commands.add_parser(
         "status",
         help="what is in force where, and the headroom",
@@ -46,7 +46,7 @@
 
 
 def _headroom(statuses):
-    """Yield slots and free slots for each service and failure domain."""
+    """Yield slots and waiting requests per service and failure domain."""
     sums = {}
     for status in statuses:
         for service in status["services"]:
--- a/src/heathercleat/cli/_main.py
+++ b/src/heathercleat/cli/_main.py
@@ -1,4 +1,4 @@
-"""The parser of the command line, and the one place where errors are shown."""
+"""Entry point, argument parser and error output of the command line."""
 
 import sys
 from argparse import ArgumentParser, RawDescriptionHelpFormatter
@@ -21,12 +21,12 @@
 4 outcome unknown, 5 refused because of another edit or too little headroom.
 """
 
-#: The commands that start a VM's process; their own modules import what they need.
+#: Commands that run a VM; their modules import the dependencies when they run.
 _VM_COMMANDS = ("serve", "steer")
 
 
 def main(argv=None):
-    """Run one command and exit with the status of its result code.
+    """Run a command; after an error, exit with the status of its result code.
 
     :param argv: the arguments, or ``None`` for those of the process.
     """
@@ -40,12 +40,11 @@
 
 
 def build_parser(command=None):
-    """Return the parser with every command, or with those that start a VM alone.
+    """Return the argument parser.
 
-    :param command: the command that will be parsed, if it is known. The commands for
-        operators import what a VM never uses: with them, and the libraries for YAML and
-        metrics, a start took 0.40 s of processor time, and 0.23 s without (best of
-        eight starts on a busy machine).
+    :param command: the command to be parsed, or ``None`` if unknown. The parser for a
+        command that runs a VM lacks the operators' commands, whose imports would slow
+        down the start.
     """
     parser = ArgumentParser(
         prog="heathercleat",
--- a/src/heathercleat/cli/_output.py
+++ b/src/heathercleat/cli/_output.py
@@ -1,11 +1,11 @@
-"""Tables for people and JSON for machines."""
+"""Output of results as tables or JSON."""
 
 import json
 from datetime import UTC, datetime
 
 
 def show(args, value, render):
-    """Print ``value`` as JSON if asked to, else what ``render(value)`` yields."""
+    """Print ``value`` as JSON if ``--json`` is set, else the lines of ``render``."""
     if args.json:
         print(json.dumps(value, indent=2))
         return
@@ -23,7 +23,7 @@
 
 
 def instant(seconds):
-    """Return epoch seconds as UTC time."""
+    """Return epoch seconds as a UTC date and time."""
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
--- a/src/heathercleat/cli/_quarantine.py
+++ b/src/heathercleat/cli/_quarantine.py
@@ -1,4 +1,4 @@
-"""The ``quarantine`` command: requests that end targets, as the store keeps them."""
+"""The ``quarantine`` command, which reads and edits the platform's store."""
 
 import time
 
@@ -15,12 +15,12 @@
     QuarantineRow,
 )
 
-#: Seconds in which the store has to answer.
+#: Timeout of a call to the store.
 STORE_SECONDS = 5.0
 
 
 def add_quarantine(commands):
-    """Add the command to the parser."""
+    """Add the ``quarantine`` command to the parser."""
     parser = commands.add_parser(
         "quarantine",
         help="requests that are refused since they end targets",
@@ -90,7 +90,7 @@
 
 
 def _described(fingerprint, quarantine):
-    """Return what is shown of a quarantine, or of a row that cannot be read."""
+    """Return a quarantine, or a row that cannot be decoded, as JSON values."""
     if isinstance(quarantine, ValueError):
         quarantine, damage = QuarantineRow(None, []), f"cannot be read: {quarantine}"
     else:
@@ -108,7 +108,7 @@
 
 
 def _find(args, quarantines):
-    """Return the quarantine that was asked for.
+    """Return the quarantine with the fingerprint that the arguments name.
 
     :raises HeathercleatError: when there is none.
     """
@@ -122,9 +122,9 @@
 
 
 def _read(args):
-    """Return each :class:`QuarantineRow` by fingerprint, or why it cannot be read.
+    """Return each :class:`QuarantineRow`, or its ``ValueError``, by fingerprint.
 
-    :raises PlatformError: when the store does not answer.
+    :raises PlatformError: when the store does not respond.
     """
     snapshot = _on_store(args, lambda store: store.read(QUARANTINE_TABLE))
     return {row.key: _unpacked(row) for row in snapshot.rows if row.value is not None}
@@ -138,7 +138,7 @@
 
 
 def _on_store(args, make_call):
-    """Return the result of one call to the store that the settings name."""
+    """Return the result of one call to the store named in the settings."""
     settings = load_node_settings(args.settings)
 
     async def main():
--- a/src/heathercleat/cli/_serve.py
+++ b/src/heathercleat/cli/_serve.py
@@ -2,7 +2,7 @@
 
 
 def add_serve(commands):
-    """Add the command to the parser."""
+    """Add the ``serve`` command to the parser."""
     parser = commands.add_parser(
         "serve",
         help="run an entry VM",
@@ -13,7 +13,7 @@
 
 
 def _serve(args):
-    # Other commands need none of this.
+    # Imported here to keep the start of other commands short.
     from curio import run
 
     from heathercleat.process.logs import LogWriter
--- a/src/heathercleat/cli/_steer.py
+++ b/src/heathercleat/cli/_steer.py
@@ -4,7 +4,7 @@
 
 
 def add_steer(commands):
-    """Add the command to the parser."""
+    """Add the ``steer`` command to the parser."""
     parser = commands.add_parser(
         "steer",
         help="run a VM on the platform",
@@ -20,7 +20,7 @@
 
 
 def _steer(args):
-    # Other commands need none of this, and a start is charged for what it imports.
+    # Imported here to keep the start of other commands short.
     from curio import run
 
     from heathercleat.platform.settings import load_node_settings
--- a/src/heathercleat/cli/_trace.py
+++ b/src/heathercleat/cli/_trace.py
@@ -1,4 +1,4 @@
-"""The ``trace`` command: a request's story from the logs of all VMs."""
+"""The ``trace`` command, which collects the log lines of a request."""
 
 import json
 import sys
@@ -8,10 +8,10 @@
 from heathercleat.errors import HeathercleatError
 from heathercleat.events import Event
 
-#: Changes of belief shown before a request's last line, and how far back in seconds.
+#: Limits on the state changes shown before the last line of a request.
 BELIEFS_SHOWN = 12
 BELIEF_SECONDS = 10.0
-#: Events that change what a VM believes and so where requests go.
+#: Events on changes of a VM's state that affect routing.
 BELIEFS = frozenset(
     event.name.lower()
     for event in (
@@ -28,7 +28,7 @@
         Event.VM_STARTED,
     )
 )
-#: Events on a request and all that are the same by fingerprint.
+#: Events that refer to all requests with the same fingerprint.
 _SAME_REQUEST = frozenset(
     event.name.lower()
     for event in (
@@ -41,7 +41,7 @@
 
 
 def add_trace(commands):
-    """Add the command to the parser."""
+    """Add the ``trace`` command to the parser."""
     parser = commands.add_parser(
         "trace",
         help="tell from logs what became of a request",
@@ -87,7 +87,7 @@
 
 
 def _read(file):
-    """Yield the objects in a log; a collector may have put text before them."""
+    """Yield the JSON objects in a log, ignoring text before them in a line."""
     for text in file:
         _, brace, rest = text.partition("{")
         try:
@@ -99,7 +99,7 @@
 
 
 def _ends(lines, own):
-    """Yield what is told of a request by its fingerprint, until its end."""
+    """Yield lines with the request's fingerprint, up to its last line."""
     fingerprints = {line.get("fingerprint") for line in own} - {None, ""}
     for line in lines:
         is_same = line.get("fingerprint") in fingerprints and line not in own
@@ -108,9 +108,9 @@
 
 
 def _beliefs(lines, own):
-    """Return the last changes of belief of the VMs that a request met."""
+    """Return the latest state changes of the VMs that handled a request."""
     end = own[-1]["at"]
-    # Where nothing was tried, what any VM believed of its targets may be the cause.
+    # Without an attempt, the state of any VM may be the cause.
     tried = {each.split(" ", 1)[0] for line in own for each in line.get("tries", ())}
     vms = tried | {line["vm"] for line in own if tried}
     found = [
--- a/src/heathercleat/codes.py
+++ b/src/heathercleat/codes.py
@@ -1,13 +1,13 @@
-"""Numbered result codes: what happened to a request or a command.
+"""Numbered result codes of requests and commands.
 
-The table in ``docs/reference/result-codes.md`` is held against this module by a test.
+A test compares ``docs/reference/result-codes.md`` with this module.
 """
 
 from enum import Enum
 
 
 class Run(Enum):
-    """What a result code says about the work at a target."""
+    """Whether a target has executed the request."""
 
     NOT_RUN = "not-run"
     RUN = "run"
@@ -15,10 +15,10 @@
 
 
 class ResultCode(Enum):
-    """A numbered outcome.
+    """Outcome of a request or command.
 
-    Each member carries its number, the HTTP status sent to callers, what is known
-    about the run, the exit status of the command line and advice for the receiver.
+    Each member holds a number, the HTTP status, a :class:`Run`, the exit status of the
+    command line and advice for the receiver.
     """
 
     OK = (0, 200, Run.RUN, 0, "Nothing to do.")
@@ -74,17 +74,17 @@
 
     @property
     def number(self):
-        """Return the number that logs, answers and docs show."""
+        """Return the number shown in logs, responses and documentation."""
         return self._number
 
     @property
     def status(self):
-        """Return the HTTP status code sent with this result."""
+        """Return the HTTP status code of responses with this result."""
         return self._status
 
     @property
     def run(self):
-        """Return whether a target ran the request."""
+        """Return the :class:`Run` of this result."""
         return self._run
 
     @property
@@ -94,12 +94,15 @@
 
     @property
     def advice(self):
-        """Return one sentence that tells the receiver what to do next."""
+        """Return a sentence on what the receiver should do next."""
         return self._advice
 
     @classmethod
     def from_number(cls, number):
-        """Return the member with ``number``, or raise ``KeyError``."""
+        """Return the member with ``number``.
+
+        :raises KeyError: for an unknown number.
+        """
         return _BY_NUMBER[number]
 
 
--- a/src/heathercleat/connection/__init__.py
+++ b/src/heathercleat/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection."""
+"""Connections of callers, targets, operators and other VMs."""
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -42,7 +42,7 @@
 from heathercleat.version.text import Semantics
 
 LOOKUP_PATH = "/lookup"
-#: Seconds for which a connection may be idle between requests.
+#: Longest time between two requests on a connection.
 IDLE_SECONDS = 30.0
 LINGER_SECONDS = 1.0
 LINGER_BYTES = 16 * 1024 * 1024
@@ -54,8 +54,8 @@
 class CallerConnection(ServingConnection):
     """One connection of a caller, or of a VM that forwards requests.
 
-    :param vm: the process that serves it.
-    :param forwarded: whether requests come from other VMs, under leases.
+    :param vm: the :class:`EntryVM`.
+    :param forwarded: whether the requests are forwarded by other VMs under leases.
     """
 
     def __init__(self, vm, sock, address, forwarded=False):
@@ -65,7 +65,7 @@
         self._forwarded = forwarded
 
     async def _serve_next(self):
-        """Serve one request; return whether the connection can take another."""
+        """Serve one request; return whether the connection can be reused."""
         head = await self._read_head()
         if head is None:
             return False
@@ -84,7 +84,7 @@
         return await self._can_go_on()
 
     async def _read_head(self):
-        """Return the head of the next request, or ``None`` to close."""
+        """Return the head of the next request, or ``None`` to close the connection."""
         deadline = self._vm.clock.now() + IDLE_SECONDS
         try:
             event = await before(deadline, self._vm.clock, self._stream.next_event())
@@ -99,7 +99,7 @@
         return event if isinstance(event, h11.Request) else None
 
     async def _serve(self, head):
-        # A list is iterated much faster than the library's header sequence.
+        # Iterating over a list is faster than over h11's header sequence.
         headers = list(head.headers)
         self._check_size(head, headers)
         check_framing(headers, ResultCode.BAD_REQUEST)
@@ -113,7 +113,7 @@
         await self._serve_call(call)
 
     def _check_size(self, head, headers):
-        # h11 limits only heads that arrive in more than one piece.
+        # h11 enforces its limit only on heads that arrive in more than one piece.
         fields = sum(len(name) + len(value) for name, value in headers)
         if len(head.target) + fields > MAX_HEADER_BYTES:
             message = f"the request head is larger than {MAX_HEADER_BYTES} bytes"
@@ -235,7 +235,7 @@
             raise RequestError(ResultCode.BAD_REQUEST, str(error)) from None
 
     async def _send_outcome(self, call, outcome):
-        # A server error does not say how far the target got.
+        # After a server error it is unknown whether the target ran the request.
         failed = outcome.status >= FIRST_SERVER_ERROR
         run = Run.UNKNOWN if failed else Run.RUN
         headers = [
@@ -253,7 +253,7 @@
         )
 
     async def _refuse(self, error):
-        """Send the final answer for an error, or cut an answer that has begun."""
+        """Send an error response, or abort a response that has already begun."""
         if not self._stream.can_answer:
             self._stream.abort()
             return
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over a curio socket, framed by h11 on both sides."""
+"""HTTP/1.1 over curio sockets, with h11 as the protocol implementation."""
 
 import socket
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
     :param sock: a connected curio socket.
     :param role: ``h11.SERVER`` or ``h11.CLIENT``.
-    :param header_bytes: the largest head that is read.
+    :param header_bytes: the maximum size of a message head.
     """
 
     def __init__(self, sock, role, header_bytes=MAX_HEADER_BYTES):
@@ -37,35 +37,35 @@
 
     @property
     def bytes_sent(self):
-        """Return the number of bytes handed to the kernel on this connection."""
+        """Return the number of bytes sent on this connection."""
         return self._bytes_sent
 
     @property
     def body_started(self):
-        """Return whether a part of the current message's body was read."""
+        """Return whether reading the body of the current message has begun."""
         return self._body_started
 
     @property
     def head_begun(self):
-        """Return whether a part of the next message's head was read."""
+        """Return whether unparsed bytes of the next message were received."""
         return bool(self._conn.trailing_data[0])
 
     @property
     def can_answer(self):
-        """Return whether a response may still be sent."""
+        """Return whether a response can still be started."""
         states = (h11.IDLE, h11.SEND_RESPONSE)
         return self._conn.our_state in states
 
     @property
     def request_complete(self):
-        """Return whether the other side has sent its whole message."""
+        """Return whether the peer has sent its whole message."""
         return self._conn.their_state in (h11.DONE, h11.MUST_CLOSE)
 
     async def next_event(self):
         """Return the next h11 event.
 
-        :raises EOFError: when the other side closed in the middle of a message.
-        :raises h11.RemoteProtocolError: when the other side broke the protocol.
+        :raises EOFError: when no further message is possible on this connection.
+        :raises h11.RemoteProtocolError: when the peer violated the protocol.
         """
         while True:
             event = self._conn.next_event()
@@ -80,16 +80,16 @@
             self._conn.receive_data(await self._sock.recv(RECEIVE_BYTES))
 
     async def send(self, *events):
-        """Send h11 events in one write, waiting while the kernel's buffer is full."""
+        """Send h11 events in one write."""
         data = b"".join([self._conn.send(event) for event in events])
         if data:
             self._bytes_sent += len(data)
             await self._sock.sendall(data)
 
     async def wait_closed(self):
-        """Wait until the other side closes or sends bytes ahead of its turn.
+        """Wait until the peer closes the connection or sends the next message.
 
-        Bytes that arrive are kept for the next message. Return whether it closed.
+        Received bytes are kept for the next message. Return whether the peer closed.
         """
         try:
             data = await self._sock.recv(RECEIVE_BYTES)
@@ -99,9 +99,9 @@
         return not data
 
     def expect_another(self, request):
-        """Read one more answer to a request whose answer was not meant for it.
+        """Prepare for another response after one that belongs to a different request.
 
-        :param request: the h11 events of the request, which are not sent again.
+        :param request: the h11 events of the request; they are not sent again.
         """
         rest, _ = self._conn.trailing_data
         self._conn = self._new_connection()
@@ -111,10 +111,10 @@
             self._conn.receive_data(rest)
 
     def following(self):
-        """Return the stream of the next message on this connection, or ``None``.
+        """Return a stream for the next pipelined message, or ``None``.
 
-        The message on this one may still be answered. ``None`` where either side closes
-        the connection after it.
+        The response to the current message can still be sent on this stream. ``None``
+        when either side closes the connection after the current message.
         """
         if self._conn.their_state is not h11.DONE:
             return None
@@ -129,7 +129,7 @@
         return stream
 
     def finish(self):
-        """Send no more, so that the other side sees the end after what was sent."""
+        """Shut down the sending side; data already sent is still delivered."""
         try:
             self._sock._socket.shutdown(socket.SHUT_WR)
         except OSError:
@@ -139,7 +139,7 @@
         return h11.Connection(self._role, max_incomplete_event_size=self._header_bytes)
 
     def next_cycle(self):
-        """Make the connection ready for another message; return whether it can be."""
+        """Prepare for the next message; return whether the connection is reusable."""
         if self._conn.our_state is h11.DONE and self._conn.their_state is h11.DONE:
             self._conn.start_next_cycle()
             self._body_started = False
@@ -147,15 +147,15 @@
         return False
 
     def is_clean(self):
-        """Return whether an idle connection is open with nothing unread on it."""
+        """Return whether an idle connection is open and has no unread data."""
         return not self._conn.trailing_data[0] and self._peek() is None
 
     def is_closed(self):
-        """Return whether the other side has closed, as far as the kernel knows."""
+        """Return whether the peer has closed the connection."""
         return self._peek() == b""
 
     def _peek(self):
-        """Return a byte that waits, none after a close, or ``None`` when idle."""
+        """Return an unread byte, ``b""`` at end of file, or ``None`` without data."""
         try:
             return self._sock._socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -164,7 +164,7 @@
             return b""
 
     def abort(self):
-        """Shut the connection down at once, also for a task that waits on it."""
+        """Shut the connection down at once, which wakes tasks that wait on it."""
         try:
             self._sock._socket.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -175,10 +175,10 @@
         await self._sock.close()
 
     async def linger(self, limit):
-        """Send no more, and read and drop up to ``limit`` bytes.
+        """Shut down the sending side and discard up to ``limit`` received bytes.
 
-        A close with unread bytes would reset the connection, and the other side could
-        lose the answer that it has not read yet.
+        Closing a socket with unread data resets the connection, and the peer could lose
+        a response that it has not read yet.
         """
         self.finish()
         try:
@@ -190,7 +190,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A whole HTTP message held in memory, for small internal exchanges."""
+    """A complete HTTP message in memory, for small internal exchanges."""
 
     method: str = "GET"
     path: str = "/"
@@ -202,15 +202,15 @@
 async def connect(host, port, deadline, clock, source_ip=None):
     """Open a client :class:`HttpStream` before ``deadline``.
 
-    :raises TimeoutError: when the deadline passes first.
-    :raises OSError: when the connection is refused.
+    :raises TimeoutError: at the deadline.
+    :raises OSError: when the connection fails.
     """
     sock = await before(deadline, clock, open_socket(host, port, source_ip))
     return HttpStream(sock, h11.CLIENT)
 
 
 async def open_socket(host, port, source_ip=None):
-    """Return a curio socket connected to an IP number, without a name look-up."""
+    """Return a connected curio socket; ``host`` is an IP address, not a name."""
     sock = Socket(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     try:
         if source_ip:
@@ -223,9 +223,10 @@
 
 
 async def before(deadline, clock, coroutine):
-    """Await ``coroutine``, or raise ``TimeoutError`` at ``deadline``.
+    """Await ``coroutine`` until ``deadline``.
 
     :param deadline: an instant of ``clock.now()``.
+    :raises TimeoutError: at the deadline.
     """
     remaining = deadline - clock.now()
     if remaining <= 0:
@@ -238,9 +239,9 @@
 
 
 async def read_message(stream, limit):
-    """Read one whole message as a server; ``None`` when the other side closed.
+    """Return the next request as a :class:`Message`, or ``None`` at end of file.
 
-    :param limit: the largest body in bytes.
+    :param limit: the maximum size of the body, in bytes.
     :raises ValueError: when the body is larger.
     """
     event = await stream.next_event()
@@ -256,7 +257,7 @@
 
 
 async def read_body(stream, limit):
-    """Read the rest of a body of at most ``limit`` bytes.
+    """Return the rest of a body of at most ``limit`` bytes.
 
     :raises ValueError: when the body is larger.
     """
@@ -275,7 +276,7 @@
 
 
 async def exchange(stream, message, limit):
-    """Send a whole request and return the whole answer as a :class:`Message`."""
+    """Send a request and return the complete response as a :class:`Message`."""
     headers = {
         "host": "vm",
         **message.headers,
@@ -297,7 +298,7 @@
 
 
 async def send_message(stream, message):
-    """Send a whole answer."""
+    """Send a complete response."""
     headers = {**message.headers, "content-length": str(len(message.body))}
     await stream.send(
         h11.Response(status_code=message.status, headers=list(headers.items())),
@@ -307,10 +308,10 @@
 
 
 async def serve_messages(stream, handle, limit):
-    """Answer whole messages on one connection until it closes.
+    """Serve requests on one connection until it closes.
 
-    :param handle: a coroutine from request :class:`Message` to answer.
-    :param limit: the largest body in bytes.
+    :param handle: a coroutine function from request to response :class:`Message`.
+    :param limit: the maximum size of a request body, in bytes.
     """
     try:
         while (message := await read_message(stream, limit)) is not None:
--- a/src/heathercleat/connection/kept.py
+++ b/src/heathercleat/connection/kept.py
@@ -1,4 +1,4 @@
-"""A connection to one server that is kept from one exchange to the next."""
+"""A persistent HTTP connection to one server."""
 
 from curio import Lock
 
@@ -6,10 +6,10 @@
 
 
 class KeptConnection:
-    """Runs exchanges one after the other, on a new connection where it must.
+    """Runs one exchange at a time and reconnects when necessary.
 
-    :param connect: opens a client :class:`HttpStream`; a coroutine function.
-    :param limit: the largest answer in bytes.
+    :param connect: coroutine function that returns a client :class:`HttpStream`.
+    :param limit: the maximum size of a response body, in bytes.
     """
 
     def __init__(self, connect, limit):
@@ -19,10 +19,10 @@
         self._stream = None
 
     async def exchange(self, message):
-        """Send a :class:`Message` and return the whole answer.
+        """Send a :class:`Message` and return the response.
 
-        An exchange that fails or is cancelled closes the connection, so that a late
-        answer is never taken for the answer to a later request.
+        An exchange that fails or is cancelled closes the connection, so that its late
+        response is not attributed to a later request.
         """
         async with self._lock:
             stream, self._stream = self._stream, None
@@ -43,7 +43,7 @@
             return answer
 
     async def close(self):
-        """Close the connection."""
+        """Close the connection, if it is open."""
         stream, self._stream = self._stream, None
         if stream is not None:
             await stream.close()
--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between VMs, as msgpack arrays on a stream.
+"""Typed messages between VMs, encoded as msgpack arrays.
 
-A message on the wire is ``[type number, field, ...]`` with the fields in the order of
-the class. Instants are epoch seconds of the sender's clock.
+The encoding is ``[type number, field, ...]`` with the fields in the order of the class.
+Instants are in epoch seconds of the sender's clock.
 """
 
 from dataclasses import astuple, dataclass
@@ -12,7 +12,7 @@
 
 
 def message(number):
-    """Register a message class under its type number."""
+    """Return a class decorator that registers a message type by its number."""
 
     def register(cls):
         cls = dataclass(slots=True, frozen=True)(cls)
@@ -24,13 +24,13 @@
 
 
 def encode(item):
-    """Return the bytes of a message."""
+    """Return the encoding of a message."""
     fields = [getattr(item, name) for name in item.__slots__]
     return msgpack.packb([item.NUMBER, *fields])
 
 
 def decode(fields):
-    """Return the message of an unpacked array.
+    """Return the message for an unpacked array.
 
     :raises ValueError: for an unknown type or a wrong number of fields.
     """
@@ -42,14 +42,14 @@
 
 @message(1)
 class Challenge:
-    """The first message of a listener: bytes for the caller to sign."""
+    """First message of the accepting VM, with a nonce for the connecting VM to sign."""
 
     nonce: bytes
 
 
 @message(2)
 class Hello:
-    """The answer to a challenge: who connects, signed with a shared key."""
+    """Response to a challenge: identity of the connecting VM, signed with a key."""
 
     vm: str
     host: str
@@ -60,12 +60,12 @@
 
 @message(3)
 class Accepted:
-    """A call took effect."""
+    """Response to a call that took effect."""
 
 
 @message(4)
 class Refused:
-    """A call had no effect, with a result code number and a reason."""
+    """Response to a call without effect; ``code`` is a result code number."""
 
     code: int
     reason: str
@@ -73,7 +73,7 @@
 
 @message(5)
 class Heartbeat:
-    """A VM tells one of its monitors that it runs."""
+    """Heartbeat of a VM to one of its monitors."""
 
     vm: str
     incarnation: int
@@ -85,9 +85,9 @@
 
 @message(6)
 class HeartbeatAck:
-    """A monitor's answer.
+    """Response of a monitor to a heartbeat.
 
-    ``accused`` says that the sender was presumed dead at this incarnation.
+    ``accused`` is true when the monitor had declared this incarnation dead.
     """
 
     sequence: int
@@ -99,7 +99,7 @@
 
 @message(7)
 class MemberRecord:
-    """What one VM knows of another; the state is a ``MemberState`` value."""
+    """Membership record of a VM; ``state`` is a ``MemberState`` value."""
 
     vm: str
     host: str
@@ -110,14 +110,14 @@
 
 @message(8)
 class ViewExchange:
-    """All members that a VM knows, as ``MemberRecord`` fields; answered in kind."""
+    """Request and response with all members of a VM, as ``MemberRecord`` fields."""
 
     members: list
 
 
 @message(9)
 class Acquire:
-    """The sender is to become the home of these targets."""
+    """Request of the VM that becomes the home of these targets."""
 
     vm: str
     targets: list
@@ -125,12 +125,12 @@
 
 @message(10)
 class Handover:
-    """The receiver's part: ``{target: [[use id, deadline, sender's domain], ...]}``.
+    """Response to ``Acquire``, with the state of the targets at the earlier home.
 
-    It names each occupied slot of the targets that the receiver was the home of.
-    ``levels`` holds ``{target: [[instant, slots of spill], ...]}`` within the window of
-    the shift cap. ``vouched`` holds what it vouches for as a monitor, as lists of the
-    fields of ``Vouched``.
+    ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
+    for each occupied slot. ``levels`` holds ``{target: [[instant, slots of spill],
+    ...]}`` within the window of the shift cap. ``vouched`` holds the fields of each
+    ``Vouched`` that the sender has recorded as a monitor.
     """
 
     targets: dict
@@ -140,7 +140,7 @@
 
 @message(11)
 class Released:
-    """A request handed over with its target is done."""
+    """Notice that a request which was handed over with its target has ended."""
 
     target: str
     use_id: int
@@ -148,7 +148,7 @@
 
 @message(12)
 class LeaseRequest:
-    """The sender wants slots of a service from targets homed at the receiver."""
+    """Request for slots of a service at targets whose home is the receiver."""
 
     service: str
     want: int
@@ -157,7 +157,7 @@
 
 @message(13)
 class LeaseGrant:
-    """Slots of one target until an instant; no slots when there is no room."""
+    """Lease of slots of one target; ``slots`` is 0 when none are available."""
 
     lease_id: int
     target: str
@@ -168,14 +168,14 @@
 
 @message(14)
 class LeaseRenewal:
-    """The sender wants to keep a lease."""
+    """Request to extend a lease."""
 
     lease_id: int
 
 
 @message(15)
 class LeaseReturn:
-    """The sender needs no more than ``slots`` slots of a lease, none to end it."""
+    """Reduction of a lease to ``slots`` slots; 0 ends it."""
 
     lease_id: int
     slots: int
@@ -183,9 +183,9 @@
 
 @message(16)
 class CloseOut:
-    """The sender asks what became of a key, and closes it if it never ran.
+    """Request for the outcome of a key, which is closed if its request never ran.
 
-    ``expires_at`` is that of the ticket, in epoch seconds.
+    ``expires_at`` is the expiry of the ticket, in epoch seconds.
     """
 
     ticket_id: str
@@ -196,7 +196,7 @@
 
 @message(17)
 class ClosedOut:
-    """The answer: ``state`` is an ``EntryState`` value, with the outcome if any."""
+    """Response to ``CloseOut``; ``state`` is an ``EntryState`` value."""
 
     state: str
     status: int
@@ -206,12 +206,12 @@
 
 @message(18)
 class FetchConfiguration:
-    """The sender wants the configuration in force at the receiver."""
+    """Request for the configuration in force at the receiver."""
 
 
 @message(19)
 class Configuration:
-    """A packed document and its version; version 0 when the receiver has none."""
+    """Packed document in force at the sender; ``version`` is 0 without one."""
 
     version: int
     document: bytes
@@ -219,7 +219,7 @@
 
 @message(20)
 class Announcement:
-    """A version is in force at the sender, and its VM list has this serial."""
+    """Configuration version and VM list serial in force at the sender."""
 
     version: int
     vm_serial: int
@@ -227,12 +227,12 @@
 
 @message(21)
 class FetchVms:
-    """The sender wants the VM list that the receiver knows."""
+    """Request for the VM list of the receiver."""
 
 
 @message(22)
 class Vms:
-    """The VM list as ``[name, host, failure domain, leaving]`` entries."""
+    """VM list, with ``[name, host, failure domain, leaving]`` entries."""
 
     serial: int
     entries: list
@@ -240,10 +240,10 @@
 
 @message(23)
 class Cover:
-    """The sender's targets: ``{target: [instant, instant]}``.
+    """Occupancy bounds of the sender's targets: ``{target: [instant, instant]}``.
 
-    Each may be occupied until the first instant, and by what earlier homes admitted
-    until the second one.
+    Requests admitted by the sender end by the first instant, and requests admitted by
+    earlier homes by the second.
     """
 
     vm: str
@@ -253,16 +253,16 @@
 
 @message(24)
 class FetchReadiness:
-    """The sender wants to know what can be used at the homes of the receiver."""
+    """Request for the usable slots at targets whose home is the receiver."""
 
 
 @message(25)
 class Readiness:
-    """``{service: slots}`` that requests can use at the homes of the sender."""
+    """Usable slots of the sender's targets, as ``{service: slots}``."""
 
     usable: dict
 
 
 def fields_of(item):
-    """Return the fields of a message as a list, to nest it in another one."""
+    """Return the fields of a message as a list, to nest it in another message."""
     return list(astuple(item))
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -1,6 +1,6 @@
-"""The operators' address: metrics, status, the text and drains, and explanations.
+"""HTTP API for operators: metrics, status, configuration, drains and explanations.
 
-Every call but ``/metrics`` carries a token made with a key of the settings.
+All calls except ``/metrics`` need a token signed with a key of the settings.
 """
 
 from json import dumps, loads
@@ -31,9 +31,9 @@
 
 
 def operator_token(key, method, path, body, wall):
-    """Return the Authorization header of an operator's call.
+    """Return the value of the Authorization header of an operator's call.
 
-    :param wall: epoch seconds now.
+    :param wall: the current time, in epoch seconds.
     """
     expires_at = int(wall + TOKEN_SECONDS)
     signature = sign(key, b"operator", method, path, body, expires_at).hex()
@@ -41,7 +41,7 @@
 
 
 class OperatorService:
-    """Serves the operators' address of a VM."""
+    """Serves the operators' API of a VM."""
 
     def __init__(self, vm):
         self._vm = vm
@@ -58,12 +58,12 @@
         }
 
     async def serve(self, sock, address):
-        """Answer calls on one connection."""
+        """Serve calls on one connection."""
         stream = HttpStream(sock, h11.SERVER)
         await serve_messages(stream, self.handle, MAX_TEXT_BYTES)
 
     async def handle(self, message):
-        """Return the answer to one call.
+        """Return the response to one call.
 
         :param message: the call, a :class:`Message`.
         """
@@ -182,9 +182,9 @@
         return int(call.get("base_version", self._vm.version))
 
     async def _document_at(self, version):
-        """Return the :class:`Document` that an edit is made from.
+        """Return the :class:`Document` that an edit is based on.
 
-        This VM may lag behind the version that the operator has seen.
+        The version in force at this VM may be older than ``version``.
         """
         if version == self._vm.version:
             return self._document()
@@ -201,7 +201,7 @@
         return {"version": version}
 
     async def _follow_platform(self):
-        """Put the newest version in force here and tell the failure domain."""
+        """Adopt the newest version and announce it to the failure domain."""
         await self._vm.configuration.read_platform()
         await self._vm.configuration.announce()
 
--- a/src/heathercleat/connection/peer.py
+++ b/src/heathercleat/connection/peer.py
@@ -1,4 +1,4 @@
-"""Streams of msgpack messages between VMs, authenticated with a shared key."""
+"""Streams of msgpack messages between VMs, and message signatures."""
 
 import hmac
 import socket
@@ -15,7 +15,7 @@
 
 
 class MessageStream:
-    """Messages over a connected curio socket, with counts of bytes both ways."""
+    """Sends and receives messages over a connected curio socket."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -26,24 +26,24 @@
 
     @property
     def bytes_sent(self):
-        """Return the bytes sent so far."""
+        """Return the number of bytes sent."""
         return self._bytes_sent
 
     @property
     def bytes_received(self):
-        """Return the bytes received so far."""
+        """Return the number of bytes received."""
         return self._bytes_received
 
     async def send(self, item):
-        """Send one message."""
+        """Send a message."""
         data = encode(item)
         self._bytes_sent += len(data)
         await self._sock.sendall(data)
 
     async def receive(self):
-        """Return the next message, or ``None`` when the peer closed.
+        """Return the next message, or ``None`` when the peer closed the connection.
 
-        :raises ValueError: when the bytes are not a message.
+        :raises ValueError: for malformed data.
         """
         while True:
             try:
@@ -58,10 +58,12 @@
             self._unpacker.feed(data)
 
     async def call(self, item):
-        """Send a message and return the answer.
+        """Send a message and return the response.
 
-        A call that is cancelled half-way leaves the stream closed, so that a late
-        answer is never taken for the answer to a later call.
+        A cancelled call closes the stream, so that its late response is not attributed
+        to a later call.
+
+        :raises EOFError: when the peer closes the connection first.
         """
         try:
             await self.send(item)
@@ -89,5 +91,5 @@
 
 
 def verify(keys, signature, *parts):
-    """Return whether ``signature`` was made with any of ``keys``."""
+    """Return whether ``signature`` is valid for ``parts`` under any of ``keys``."""
     return any(hmac.compare_digest(sign(key, *parts), signature) for key in keys)
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets and to other VMs."""
+"""Pool of HTTP connections to targets and other VMs."""
 
 from collections import deque
 
@@ -6,21 +6,21 @@
 
 from heathercleat.connection.http import HttpStream, open_socket
 
-#: Seconds for which an idle connection is kept.
+#: Default for the longest time that a connection stays idle in the pool.
 IDLE_SECONDS = 15.0
 
 
 class ConnectionLimitError(OSError):
-    """A target already has as many connections as it takes."""
+    """The connection limit of a target is reached."""
 
 
 class Pool:
-    """Connections by address; one is only kept when nothing on it is uncertain.
+    """Open connections by address; reuses those whose last exchange was complete.
 
-    :param source_ip: the local IP number to connect from.
+    :param source_ip: the local IP address to connect from.
     :param fence: returns the :class:`Fence` in force.
     :param on_open: called with each new socket, or ``None``.
-    :param idle_seconds: for how long an idle connection is kept.
+    :param idle_seconds: the longest time that a connection stays idle.
     """
 
     def __init__(
@@ -35,18 +35,17 @@
         self._open = {}
 
     def open_count(self, host, port):
-        """Return the number of connections to an address, idle ones included."""
+        """Return the number of connections to an address, including idle ones."""
         return self._open.get((host, port), 0)
 
     async def checkout(self, host, port, limit=None, fresh=False, max_age=None):
-        """Return a clean connection.
+        """Return an idle or new connection as an :class:`HttpStream`.
 
-        :param limit: the most connections to this address.
-        :param fresh: open a new one, for a request that must not meet a connection
-            that the other side is just closing.
-        :param max_age: seconds for which a kept connection may have been idle, or
+        :param limit: the maximum number of connections to this address, or ``None``.
+        :param fresh: open a new connection, to avoid one that the peer is closing.
+        :param max_age: the longest idle time of a reused connection, in seconds, or
             ``None`` for any time.
-        :raises OSError: when no connection can be made.
+        :raises OSError: when the connection fails or the limit is reached.
         """
         await self._fence().pass_through(host)
         address = (host, port)
@@ -72,9 +71,9 @@
             raise
 
     async def give_back(self, host, port, stream, keep_for=None):
-        """Keep a connection for later if its last exchange was whole.
+        """Return a connection to the pool, or close it if it is not reusable.
 
-        :param keep_for: seconds for which the other side keeps it, if that is known.
+        :param keep_for: the idle timeout of the peer in seconds, or ``None``.
         """
         if not stream.next_cycle() or not stream.is_clean():
             await self.discard(host, port, stream)
@@ -86,7 +85,7 @@
         self._idle.setdefault((host, port), deque()).append(kept)
 
     async def keep_new(self, host, port, stream):
-        """Keep a connection on which nothing was sent yet."""
+        """Add a connection to the pool on which nothing was sent yet."""
         now = self._clock.now()
         kept = _Kept(stream, now, now + self._idle_seconds)
         self._idle.setdefault((host, port), deque()).append(kept)
@@ -96,7 +95,7 @@
         return len(self._idle.get((host, port), ()))
 
     async def discard(self, host, port, stream):
-        """Close a connection for good."""
+        """Close a connection."""
         self._open[host, port] -= 1
         await stream.close()
 
@@ -107,7 +106,7 @@
                 await self.discard(host, port, idle.pop().stream)
 
     async def sweep(self):
-        """Close the idle connections whose time is over."""
+        """Close the idle connections that have expired."""
         for address, idle in list(self._idle.items()):
             await self._drop_old(address, idle)
 
@@ -118,7 +117,7 @@
 
 
 class _Kept:
-    """An idle connection, since when and until when it is kept."""
+    """An idle connection; ``since`` and ``expires_at`` are monotonic instants."""
 
     __slots__ = ("stream", "since", "expires_at")
 
--- a/src/heathercleat/connection/serving.py
+++ b/src/heathercleat/connection/serving.py
@@ -1,4 +1,4 @@
-"""A connection whose requests are served one after the other."""
+"""Base class of server connections without pipelining."""
 
 from curio import ignore_after
 
@@ -10,12 +10,12 @@
 
 
 class ServingConnection:
-    """The loop of a connection; a subclass serves one request at a time.
+    """Serves requests one after the other; subclasses implement ``_serve_next``.
 
     :param stream: the :class:`HttpStream`.
-    :param linger_seconds: seconds for which the rest of a refused request is read, so
-        that a reset does not overtake the answer.
-    :param linger_bytes: bytes of it that are read at most.
+    :param linger_seconds: the longest time that the rest of a rejected request is read,
+        so that a connection reset does not discard the response.
+    :param linger_bytes: the maximum number of bytes read after a rejected request.
     """
 
     def __init__(self, stream, linger_seconds, linger_bytes):
@@ -26,16 +26,16 @@
 
     @property
     def busy(self):
-        """Return whether a request is under way or has begun to arrive."""
+        """Return whether a request is in progress or partially received."""
         return self._busy or self._stream.head_begun
 
     def close_if_idle(self):
-        """Close the connection unless a request is under way or has begun to arrive."""
+        """Close the connection unless it is busy."""
         if not self._busy and self._stream.is_clean():
             self._stream.abort()
 
     async def serve(self):
-        """Serve requests one after the other until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
             while await self._serve_next():
                 self._busy = False
@@ -45,11 +45,11 @@
             self._busy = False
 
     async def _serve_next(self):
-        """Serve one request; return whether the connection can take another."""
+        """Serve one request; return whether the connection can be reused."""
         raise NotImplementedError
 
     async def _can_go_on(self):
-        """Return whether the connection can take another request after this one."""
+        """Return whether the connection can be reused after the current request."""
         if not self._stream.request_complete:
             async with ignore_after(self._linger_seconds):
                 await self._stream.linger(self._linger_bytes)
@@ -58,7 +58,7 @@
 
 
 def head_error(error):
-    """Return the :class:`RequestError` for a head that does not parse.
+    """Return the :class:`RequestError` for a malformed request head.
 
     :param error: the :class:`h11.RemoteProtocolError`.
     """
--- a/src/heathercleat/connection/sockets.py
+++ b/src/heathercleat/connection/sockets.py
@@ -1,18 +1,18 @@
-"""Options of sockets that notice a peer which fell silent."""
+"""Socket options for the detection of unresponsive peers."""
 
 import socket
 
-#: Milliseconds that sent bytes may stay unacknowledged: several retransmissions on a
-#: link between regions (110 ms both ways), and well below usual request timeouts.
+#: Longest time without acknowledgement of sent data. Leaves time for several
+#: retransmissions between regions and is shorter than usual request timeouts.
 UNACKNOWLEDGED_MS = 900
-#: Seconds of idleness before the first keep-alive probe, and between two probes.
+#: Idle time before the first keep-alive probe, and interval of further probes.
 KEEPALIVE_SECONDS = 1
-#: Probes without an answer after which a connection is given up.
+#: Number of unanswered probes after which the connection is closed.
 KEEPALIVE_PROBES = 2
 
 
 def watch_silence(sock):
-    """Let the kernel end a connection whose other side no longer answers."""
+    """Let the kernel close the connection when the peer stops responding."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
--- a/src/heathercleat/errors.py
+++ b/src/heathercleat/errors.py
@@ -1,13 +1,13 @@
-"""Errors that carry a result code and render themselves for a terminal."""
+"""Exceptions that carry a result code."""
 
 from heathercleat.codes import ResultCode
 
 
 class HeathercleatError(Exception):
-    """An error with a numbered result code.
+    """Base class of errors with a result code.
 
-    :param code: the :class:`ResultCode` of the failure.
-    :param message: names the bad value and how to mend it.
+    :param code: a :class:`ResultCode`.
+    :param message: names the bad value and how to correct it.
     """
 
     def __init__(self, code, message):
@@ -16,24 +16,23 @@
 
     @property
     def code(self):
-        """Return the result code."""
+        """Return the :class:`ResultCode`."""
         return self._code
 
     @property
     def exit_status(self):
-        """Return the exit status for the command line."""
+        """Return the exit status of the command line."""
         return self._code.exit_status
 
     def render(self):
-        """Return the lines shown on a terminal."""
+        """Return the error as lines for a terminal."""
         return f"error {self._code.number}: {self}\n  next: {self._code.advice}"
 
 
 class RequestError(HeathercleatError):
-    """A request that gets ``code`` as its final answer.
+    """A request that is rejected with a final response.
 
-    :param retry_at: the wall-clock instant, in epoch seconds, from which a repeat is
-        welcome, or ``None``.
+    :param retry_at: the earliest time for a retry, in epoch seconds, or ``None``.
     """
 
     def __init__(self, code, message, retry_at=None):
@@ -42,34 +41,34 @@
 
     @property
     def retry_at(self):
-        """Return the instant from which a repeat is welcome, or ``None``."""
+        """Return the earliest time for a retry, in epoch seconds, or ``None``."""
         return self._retry_at
 
 
 class PlatformError(HeathercleatError):
-    """The platform did not answer, so the effect of a write is unknown."""
+    """The platform did not respond; a write may have taken effect."""
 
     def __init__(self, message):
         super().__init__(ResultCode.PLATFORM_DOWN, message)
 
 
 class PeerError(HeathercleatError):
-    """A peer VM did not answer in time or refused the connection."""
+    """A peer VM did not respond in time or refused the connection."""
 
     def __init__(self, message):
         super().__init__(ResultCode.VM_UNREACHABLE, message)
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection before its answer was complete."""
+    """The caller closed its connection before the response was complete."""
 
 
 class Finding(HeathercleatError):  # noqa: N818
-    """One fault in an operators' file, with its place.
+    """An error in a configuration or settings file, with its position.
 
-    :param pointer: the JSON pointer of the faulty value.
-    :param line: line number from 1.
-    :param column: column number from 1.
+    :param pointer: the JSON pointer of the invalid value.
+    :param line: line number, from 1.
+    :param column: column number, from 1.
     """
 
     def __init__(self, message, pointer, line, column, code=ResultCode.TEXT_INVALID):
@@ -80,7 +79,7 @@
 
     @property
     def pointer(self):
-        """Return the JSON pointer of the faulty value."""
+        """Return the JSON pointer of the invalid value."""
         return self._pointer
 
     @property
@@ -99,7 +98,7 @@
 
 
 class FindingsError(ExceptionGroup):
-    """All findings in one file, as an exception group of :class:`Finding`."""
+    """All errors of one file, as an exception group of :class:`Finding`."""
 
     def derive(self, findings):
         """Return a group of the same type for ``findings``."""
@@ -112,10 +111,10 @@
 
     @property
     def exit_status(self):
-        """Return the exit status for the command line."""
+        """Return the exit status of the command line."""
         return self.code.exit_status
 
     def render(self):
-        """Return one line a finding."""
+        """Return a line for each finding, and the advice of the result code."""
         lines = [f"{self.message}:{finding.render()}" for finding in self.exceptions]
         return "\n".join([*lines, f"  next: {self.code.advice}"])
--- a/src/heathercleat/events.py
+++ b/src/heathercleat/events.py
@@ -1,6 +1,6 @@
 """Numbered log events.
 
-The catalogue in ``docs/reference/events.md`` is held against this module by a test.
+A test compares ``docs/reference/events.md`` with this module.
 """
 
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Event(Enum):
-    """A kind of log line: its number and its level."""
+    """Type of a log line, with its number and log level."""
 
     VM_STARTED = (100, INFO)
     VM_LEAVING = (101, INFO)
@@ -82,10 +82,10 @@
 
     @property
     def number(self):
-        """Return the number of the event."""
+        """Return the event number shown in logs."""
         return self._number
 
     @property
     def level(self):
-        """Return the level of the event, as in :mod:`logging`."""
+        """Return the log level, a constant of :mod:`logging`."""
         return self._level
--- a/src/heathercleat/platform/__init__.py
+++ b/src/heathercleat/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapter to the platform that the VMs run on.
 
-This package alone knows the platform's wire names. It decodes them once into the types
-of :mod:`heathercleat.steering` and holds no decision and no state of the product.
+Converts the platform's formats to the types of :mod:`heathercleat.steering`. No other
+package uses the names of the platform's formats, and this one holds no state.
 """
--- a/src/heathercleat/platform/decode.py
+++ b/src/heathercleat/platform/decode.py
@@ -1,4 +1,4 @@
-"""Rows of the operators' table as types of the product."""
+"""Decoding of the operators' table."""
 
 import json
 
@@ -13,7 +13,7 @@
     Share,
 )
 
-#: Seconds until the answer to a request of a route that names no timeout.
+#: Defaults of a route without its own values.
 DEFAULT_TIMEOUT = "60s"
 DEFAULT_LATENCY_AIM = "1s"
 
@@ -21,8 +21,8 @@
 def decode_operator_rows(rows):
     """Return ``(routing table or None, names of evacuated failure domains)``.
 
-    :param rows: the rows of the operators' table, a :class:`StoreRow` each.
-    :raises ValueError: when the configuration does not decode.
+    :param rows: each :class:`StoreRow` of the operators' table.
+    :raises ValueError: when the configuration is malformed.
     """
     table, evacuated = None, set()
     for row in rows:
@@ -34,10 +34,10 @@
 
 
 def decode_config(value):
-    """Return the :class:`RoutingTable` of an operator's configuration.
+    """Return the :class:`RoutingTable` of an operators' configuration.
 
-    :param value: the bytes of the row.
-    :raises ValueError: when it does not decode.
+    :param value: the row's value, JSON as bytes.
+    :raises ValueError: when it is malformed.
     """
     try:
         document = json.loads(value)
@@ -58,7 +58,7 @@
 
 
 def _service(document):
-    # Requests a second that a cold target stands.
+    # Requests per second that a target can handle while its cache is cold.
     cold_rate = float(document.get("coldPerS", 0)) or None
     return Service(document["name"], cold_rate)
 
--- a/src/heathercleat/platform/entry.py
+++ b/src/heathercleat/platform/entry.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a VM: is it ready, and which VMs take a client."""
+"""HTTP endpoints that the platform calls: readiness and look-ups of clients."""
 
 import json
 from urllib.parse import parse_qs, urlsplit
@@ -10,10 +10,10 @@
 
 
 def answer_entry(message, is_ready, lookup):
-    """Return the answer to a call of the platform or of a client's look-up.
+    """Return the response to a readiness check or look-up.
 
     :param message: the request, a :class:`Message`.
-    :param is_ready: returns whether this VM takes clients.
+    :param is_ready: returns whether this VM accepts clients.
     :param lookup: returns the :class:`Lookup` for a region and a failure domain.
     """
     url = urlsplit(message.path)
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of clients and targets, decoded and written once."""
+"""HTTP headers that the platform defines for clients and targets."""
 
 from heathercleat.platform.names import (
     AFFINITY_COOKIE,
@@ -13,16 +13,16 @@
 from heathercleat.steering.request.answer import AnswerHead
 from heathercleat.steering.request.call import ClientHead
 
-#: Seconds that a client waits which does not say how long.
+#: Time that a client waits for the response if its request has no deadline.
 DEFAULT_WAIT = 30.0
-#: Statuses that promise a client that its request has not run.
+#: Statuses that tell a client that its request has not been executed.
 PROMISE_STATUSES = frozenset((408, 421, 429, 503))
 _MISDIRECTED = 421
 _SET_HERE = (DEADLINE_MS, EXPECTED_INSTANCE)
 
 
 def read_client_head(headers):
-    """Return the :class:`ClientHead` of a request's headers."""
+    """Return the :class:`ClientHead` for the headers of a client's request."""
     request_id, wait, affinity = None, DEFAULT_WAIT, None
     for name, value in headers:
         if name == REQUEST_ID:
@@ -38,8 +38,8 @@
     """Yield the headers of a request to a target.
 
     :param headers: the end-to-end headers of the client.
-    :param remaining: seconds for which the answer is waited for.
-    :param target_id: the incarnation that alone may run the request.
+    :param remaining: the time until the deadline, in seconds.
+    :param target_id: the only incarnation that may execute the request.
     """
     for name, value in headers:
         if name not in _SET_HERE:
@@ -49,7 +49,7 @@
 
 
 def read_answer_head(status, headers):
-    """Return the :class:`AnswerHead` of a target's answer."""
+    """Return the :class:`AnswerHead` for a target's response."""
     head = AnswerHead()
     for name, value in headers:
         if name == REQUEST_ID:
@@ -72,7 +72,7 @@
 
 
 def refusal_headers(wait):
-    """Return the headers that ask a client to come back after ``wait`` seconds."""
+    """Return the headers that ask a client to retry after ``wait`` seconds."""
     return [(RETRY_AFTER, f"{wait:.3f}".encode())]
 
 
@@ -101,7 +101,7 @@
 
 
 def _keep_alive(value):
-    """Return the seconds for which the target keeps an idle connection, or ``None``."""
+    """Return the idle timeout of the target's connection in seconds, or ``None``."""
     for part in value.split(b","):
         key, _, text = part.strip().partition(b"=")
         if key == b"timeout" and text.isdigit():
--- a/src/heathercleat/platform/names.py
+++ b/src/heathercleat/platform/names.py
@@ -1,18 +1,18 @@
-"""Names on the platform's wire: headers, calls, tables and keys."""
+"""Names of headers, paths, tables and keys that the platform defines."""
 
-#: Identifies one attempt of a client; targets echo it.
+#: Identifies one attempt of a client; targets return it in the response.
 REQUEST_ID = b"request-id"
-#: Milliseconds that the sender waits for the answer.
+#: Milliseconds until the sender stops waiting for the response.
 DEADLINE_MS = b"deadline-ms"
-#: Name of the cookie that groups requests for the same object.
+#: Cookie that identifies requests for the same object.
 AFFINITY_COOKIE = "Affinity-Key"
-#: A target's proof that the answer is its own.
+#: Present when the target itself produced the response.
 SIGNATURE = b"response-signature"
-#: The incarnation of a target that a request is meant for.
+#: The target incarnation that the request is addressed to.
 EXPECTED_INSTANCE = b"expected-instance"
-#: Running requests, waiting requests and slots of a target, with commas.
+#: Running requests, waiting requests and slots of a target, separated by commas.
 TARGET_LOAD = b"server-load"
-#: Present when a target says that it has not run the request.
+#: Present when the target has not executed the request.
 NOT_EXECUTED = b"not-executed"
 RETRY_AFTER = b"retry-after"
 
@@ -23,11 +23,11 @@
 READ_PATH = "/v1/rows-get"
 FEED_PATH = "/v1/rows-feed"
 
-#: The operators' table, which only they write.
+#: Table that is written only by operators.
 OPERATOR_TABLE = "op"
 CONFIG_KEY = "config"
 EVACUATE_PREFIX = "evacuate/"
-#: The targets' own entries.
+#: Table in which targets register themselves.
 TARGET_TABLE = "servers"
 
 SETTINGS_VARIABLE = "HEATHERCLEAT_SETTINGS"
--- a/src/heathercleat/platform/settings.py
+++ b/src/heathercleat/platform/settings.py
@@ -1,7 +1,6 @@
-"""The settings file that the platform writes for a process.
+"""Reader of the settings file that the platform writes for a process.
 
-The template in ``deploy/settings.json`` has it written as JSON; a file in the
-platform's own format, YAML, is read as well.
+The format is JSON, as in the template ``deploy/settings.json``, or YAML.
 """
 
 import json
@@ -17,10 +16,10 @@
 
 
 def load_node_settings(path=None):
-    """Read the settings of this process.
+    """Return the :class:`NodeSettings` of this process.
 
-    :param path: the file, or ``None`` for the one that the environment names.
-    :raises FindingsError: with every field that is missing or malformed.
+    :param path: the file, or ``None`` to use the environment variable.
+    :raises FindingsError: for missing or malformed fields.
     :raises HeathercleatError: when the file cannot be read or is neither JSON nor YAML.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE)
@@ -37,18 +36,18 @@
 
 
 def _parse(text):
-    """Return the document in a text of JSON or YAML.
+    """Parse JSON or YAML.
 
-    :raises ValueError: when it is neither.
+    :raises ValueError: when ``text`` is neither.
     """
     try:
         return json.loads(text)
     except ValueError:
         pass
-    # The library costs a start 0.04 s of processor time, and JSON needs none of it.
+    # Imported only for YAML, to keep the start with JSON settings short.
     import yaml
 
-    # The C loader takes a tenth of the time; it is missing in some builds.
+    # The C loader is much faster but missing in some builds.
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         return yaml.load(text, loader)
@@ -57,7 +56,11 @@
 
 
 def decode_node_settings(document, name="settings"):
-    """Return the settings in a parsed file; see :func:`load_node_settings`."""
+    """Return the :class:`NodeSettings` of a parsed file.
+
+    :param name: the file name in error messages.
+    :raises FindingsError: for missing or malformed fields.
+    """
     reader = _Reader(document if isinstance(document, dict) else {})
     ports = reader.field("internalPorts", _port_range)
     settings = NodeSettings(
@@ -73,7 +76,7 @@
         seeds=reader.field("seeds", _hosts, default=()),
         store=reader.field("platform.address", _address),
         memory=reader.field("limits.memoryMb", _bytes, default=512 * _MEGABYTE),
-        # The share of a core, and how many cores' speed that core has.
+        # cpuShare is the share of one core; cores is the relative speed of that core.
         cores=reader.field("limits.cpuShare", float, default=1.0)
         * reader.field("limits.cores", float, default=1.0),
         link_mbps=reader.field("limits.linkMbps", float, default=1000.0),
@@ -86,12 +89,12 @@
 
 
 def path_of(name):
-    """Return ``name`` if it is the path of a file, else ``None``."""
+    """Return ``name`` if it is an existing path, else ``None``."""
     return name if os.path.exists(name) else None
 
 
 class _Reader:
-    """Reads fields of a parsed file and collects what is wrong with them."""
+    """Reads fields of a parsed file and collects findings."""
 
     def __init__(self, document):
         self._document = document
@@ -136,7 +139,7 @@
 
 
 def _bounds(entries):
-    """Return the :class:`Bounds` of ``name=value`` texts; unknown ones are ignored."""
+    """Return the :class:`Bounds` of ``name=value`` entries, ignoring unknown names."""
     values = dict(entry.split("=", 1) for entry in entries if "=" in entry)
     bounds = Bounds()
     for name, field, convert in _BOUND_FIELDS:
@@ -145,7 +148,7 @@
     return bounds
 
 
-#: Name on the wire, field of :class:`Bounds`, conversion.
+#: Name in the settings file, attribute of :class:`Bounds`, and conversion.
 _BOUND_FIELDS = (
     ("grace", "stop_grace", seconds),
     ("retryBudgetRatio", "retry_ratio", float),
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's table service (HTTP/1.1 with JSON bodies)."""
+"""Client of the platform's table store, which uses HTTP/1.1 and JSON."""
 
 import json
 from base64 import b64decode, b64encode
@@ -21,18 +21,17 @@
 )
 
 MAX_ANSWER_BYTES = 4 << 20
-#: Rows asked for at once; the store returns at most 500.
+#: Number of rows per read; the maximum that the store returns.
 PAGE_ROWS = 500
 _JSON = {"content-type": "application/json"}
 
 
 class TableStore:
-    """A client with one connection, which runs one call at a time.
+    """Client with one connection, which makes one call at a time.
 
     :param address: the store's :class:`Address`.
-    :param clock: source of instants.
-    :param timeout: seconds that a call may take, waiting of a feed not included.
-    :param source_ip: the local IP number to connect from.
+    :param timeout: timeout of a call in seconds, excluding the wait for changes.
+    :param source_ip: the local IP address to connect from.
     """
 
     def __init__(self, address, clock, timeout, source_ip=None):
@@ -45,10 +44,10 @@
     async def read(self, table):
         """Return a :class:`Snapshot` of all rows of a table.
 
-        It is current as of its first page: a row of that page may have been removed
-        when the last one was read, and the changes after the first tell so.
+        The rows are read in pages. The snapshot has the version of its first page, so
+        that changes made while later pages are read show up in ``follow``.
 
-        :raises PlatformError: when the store does not answer.
+        :raises PlatformError: when the store does not respond.
         """
         rows, start, version = [], None, None
         while True:
@@ -66,9 +65,9 @@
     async def follow(self, table, after, wait):
         """Return the rows changed since version ``after`` as a :class:`Snapshot`.
 
-        :param wait: seconds to wait for a change.
-        :raises HistoryLostError: when the store no longer has that history.
-        :raises PlatformError: when the store does not answer.
+        :param wait: the longest time to wait for a change, in seconds.
+        :raises HistoryLostError: when the store no longer has the changes since then.
+        :raises PlatformError: when the store does not respond.
         """
         query = {"table": table, "after": after, "waitMs": int(wait * 1000)}
         path = f"{FEED_PATH}?{urlencode(query)}"
@@ -77,11 +76,12 @@
         return Snapshot(answer["ver"], rows, is_whole=False)
 
     async def write(self, table, key, value):
-        """Put ``value`` (bytes) at ``key``, or remove the row for ``None``.
+        """Set the value of a row, or remove the row.
 
-        The write is idempotent; after an error it may or may not have been done.
+        The write is idempotent. After an error it may have taken effect.
 
-        :raises PlatformError: when the store does not answer.
+        :param value: bytes, or ``None`` to remove the row.
+        :raises PlatformError: when the store does not respond.
         """
         row = {"table": table, "part": "", "key": key}
         body = {"expect": [], "writes": [], "remove": []}
@@ -122,7 +122,7 @@
 
 
 def _row(document):
-    # A dropped row carries a mark instead of a value.
+    # A removed row has a tombstone instead of a value.
     dropped = document.get("tombstone", False)
     value = None if dropped else b64decode(document["value"])
     return StoreRow(document["key"], value, document["ver"])
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -1,8 +1,7 @@
-"""Rows of the targets' table as types of the product.
+"""Decoding and validation of rows of the targets' table.
 
-Any writer may have written a row there. One that does not hold every field in its
-proper form names no target to use, and must not harm the rows beside it: each field is
-checked, and the error names the field and its value.
+The table accepts rows from any writer, so every field is validated. A malformed row
+raises an error that names the field and its value, and other rows are unaffected.
 """
 
 import json
@@ -12,14 +11,14 @@
 from heathercleat.platform.units import seconds
 from heathercleat.steering.process.capacity.target import TargetEntry
 
-#: State on the wire, and whether such a target takes no new requests.
+#: State of a target, and whether it is draining.
 _STATES = {"ready": False, "draining": True}
 _MOST_PORT = 65535
-#: Far above what any target is known to take (3 to 6), and what this VM could send it.
+#: Upper limit for plausible values.
 MOST_SLOTS = 10_000
-#: Counts and times of day beyond this are no such thing (2 to the power of 63).
+#: Upper limit of counters and times: 64-bit signed integers.
 MOST_COUNT = 1 << 63
-#: Characters of a value that an error shows.
+#: Maximum length of a value in error messages.
 _SHOWN = 60
 
 
@@ -27,12 +26,11 @@
     """Return the :class:`TargetEntry` of a row of the targets' table.
 
     :param row: a :class:`StoreRow` with a value.
-    :raises ValueError: when the row names no target that can be used.
+    :raises ValueError: when the row is malformed.
     """
     document = _document(row.value)
     host, port = _address(document)
-    # The software's version is no business of the product, but a row without it is not
-    # a target's own.
+    # The version is not used, but every row written by a target has one.
     _text(document, "version")
     return TargetEntry(
         id=_target_id(row.key),
@@ -60,14 +58,14 @@
 
 
 def _target_id(key):
-    """Return the id, which is sent to the target in a header."""
+    """Return the id of a target, which has to be a valid header value."""
     if not (key.isascii() and key.isprintable()) or " " in key or not key:
         raise ValueError(f"the key {_show(key)} is no id of a target")
     return key
 
 
 def _address(document):
-    """Return the IP number and the port of the address."""
+    """Return the IP address and port."""
     text = _text(document, "address")
     host, _, port = text.rpartition(":")
     try:
@@ -96,7 +94,7 @@
 
 
 def _text(document, name):
-    """Return a field that is a text and not empty."""
+    """Return a field that has to be a non-empty string."""
     value = document.get(name)
     if not isinstance(value, str) or not value:
         raise _bad(name, value, "a text")
@@ -104,7 +102,7 @@
 
 
 def _whole(document, name, least=0, most=MOST_COUNT):
-    """Return a field that is a whole number; ``True`` is none."""
+    """Return a field that has to be an integer in a range; booleans are rejected."""
     value = document.get(name)
     if type(value) is not int or not least <= value <= most:
         raise _bad(name, value, f"a whole number from {least} to {most}")
--- a/src/heathercleat/platform/units.py
+++ b/src/heathercleat/platform/units.py
@@ -1,12 +1,12 @@
-"""Texts of the platform that stand for numbers."""
+"""Parsers for durations and versions in the platform's formats."""
 
 _MILLISECONDS = "ms"
 
 
 def seconds(text):
-    """Return the seconds of a time such as ``1500ms`` or ``2.5s``.
+    """Return a duration such as ``1500ms`` or ``2.5s`` in seconds.
 
-    :raises ValueError: when the text has no such form.
+    :raises ValueError: when ``text`` is not a duration.
     """
     if text.endswith(_MILLISECONDS):
         return float(text.removesuffix(_MILLISECONDS)) / 1000
@@ -18,7 +18,7 @@
 def version_number(text):
     """Return the number of a version such as ``r12``.
 
-    :raises ValueError: when the text has no such form.
+    :raises ValueError: when ``text`` is not a version.
     """
     if not text.startswith("r"):
         raise ValueError(f'"{text}" is not a version; write it like r12')
--- a/src/heathercleat/version/__init__.py
+++ b/src/heathercleat/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the operators' text."""
+"""Parsed versions of the operators' configuration and values derived from them."""
--- a/src/heathercleat/version/blocks.py
+++ b/src/heathercleat/version/blocks.py
@@ -1,7 +1,7 @@
-"""The client-block table: which failure domain is nearest to a caller.
+"""Table of client address blocks and their nearest failure domains.
 
-Two packed arrays: the first address of each run and the index of its failure domain.
-At 2.7 million blocks they take 16 MB; a look-up is one bisection.
+Packed arrays hold the first address and the failure domain of each range, so that a
+table of millions of blocks stays small. A look-up is a binary search.
 """
 
 from array import array
@@ -12,10 +12,10 @@
 
 
 class BlockTable:
-    """IPv4 client blocks to failure domains.
+    """Maps IPv4 client addresses to failure domains.
 
     :param domains: the names of the failure domains, by index.
-    :param runs: ``(first address, domain index)`` pairs in rising order.
+    :param runs: ``(first address, domain index)`` of each address range, in order.
     """
 
     def __init__(self, domains, runs):
@@ -31,17 +31,17 @@
 
     @property
     def size_bytes(self):
-        """Return the memory taken by the packed arrays, in bytes."""
+        """Return the size of the packed arrays, in bytes."""
         return self._starts.itemsize * len(self._starts) + self._values.itemsize * len(
             self._values
         )
 
     def find(self, address):
-        """Return the failure domain for a dotted IPv4 address, or ``None``."""
+        """Return the failure domain of an IPv4 address, or ``None``."""
         return self.find_number(int(ip_address(address)))
 
     def find_number(self, number):
-        """Return the failure domain for an address given as an integer."""
+        """Return the failure domain of an integer address, or ``None``."""
         index = bisect_right(self._starts, number) - 1
         if index < 0:
             return None
@@ -49,11 +49,11 @@
         return None if value == NO_DOMAIN else self._domains[value]
 
     def replace(self, first, last, domain):
-        """Change one run of addresses in place.
+        """Assign a range of addresses to a failure domain.
 
-        :param first: the first address as an integer.
-        :param last: the last address as an integer, inclusive.
-        :param domain: the name of a known failure domain, or ``None``.
+        :param first: the first address, as an integer.
+        :param last: the last address, inclusive.
+        :param domain: one of the table's failure domains, or ``None``.
         """
         value = NO_DOMAIN if domain is None else self._domains.index(domain)
         left = bisect_right(self._starts, first) - 1
@@ -71,10 +71,11 @@
 
 
 def build_blocks(blocks, domains):
-    """Build a table from ``{CIDR: failure domain}``; the longest prefix wins.
+    """Return a table of ``{CIDR: failure domain}``; the longest prefix wins.
 
-    :param blocks: blocks of the text.
-    :param domains: all failure domains of the text.
+    IPv6 blocks are ignored.
+
+    :param domains: the names of all failure domains.
     """
     table = BlockTable(list(domains), [])
     networks = [(ip_network(block), domain) for block, domain in blocks.items()]
--- a/src/heathercleat/version/checks.py
+++ b/src/heathercleat/version/checks.py
@@ -1,6 +1,6 @@
-"""Checks of the operators' text: its shape by schema, then its meaning.
+"""Validation of the operators' configuration.
 
-Each check is a generator of faults, so that an operator sees all of them at once.
+The checks yield faults instead of raising errors, so that all are reported together.
 """
 
 from collections import Counter
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """A fault at a JSON pointer."""
+    """An invalid value, by its JSON pointer."""
 
     pointer: str
     message: str
 
 
 def schema_findings(document):
-    """Yield a fault for each value that the schema refuses."""
+    """Yield a fault for each value that violates the JSON schema."""
     for error in text_validator().iter_errors(document):
         yield Fault(_pointer(*error.absolute_path), error.message)
 
 
 def meaning_findings(document):
-    """Yield a fault for each value that is well formed but means nothing."""
+    """Yield a fault for each inconsistency in a document that fits the schema."""
     for check in _CHECKS:
         yield from check(document)
 
--- a/src/heathercleat/version/document.py
+++ b/src/heathercleat/version/document.py
@@ -1,4 +1,4 @@
-"""A version of the configuration as it is stored: the document and its head row."""
+"""Stored form of a configuration version: the document and the head row."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """The row that names the version in force; ``at`` is epoch seconds."""
+    """The row that names the version in force; ``at`` is in epoch seconds."""
 
     version: int
     object_key: str
@@ -21,34 +21,34 @@
     at: float
 
     def pack(self):
-        """Return the bytes of the row."""
+        """Return the msgpack encoding of the row."""
         fields = [self.version, self.object_key, self.edit_id, self.author, self.at]
         return msgpack.packb(fields)
 
 
 def unpack_head(data):
-    """Return the :class:`Head` of a row."""
+    """Return the :class:`Head` encoded in a row."""
     return Head(*msgpack.unpackb(data))
 
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """A configuration as operators wrote it: the text, and drains by id.
+    """A configuration: the source text and the planned drains by id.
 
-    A drain is ``[scope, name, at]`` with a fourth field ``until`` once it is cancelled.
+    A drain is ``[scope, name, at]``, with a fourth field ``until`` once cancelled.
     """
 
     source: str
     drains: dict
 
     def pack(self):
-        """Return the bytes of the object in the platform's store."""
+        """Return the msgpack encoding of the document."""
         return msgpack.packb([self.source, self.drains])
 
     def parse(self):
-        """Return the :class:`Text` with the drains.
+        """Return the :class:`Text`, including the planned drains.
 
-        :raises FindingsError: when the text is not valid.
+        :raises FindingsError: when the source is not valid.
         """
         text = parse_text(self.source)
         for id_, (scope, *fields) in self.drains.items():
@@ -57,10 +57,10 @@
 
 
 def unpack_document(data):
-    """Return the :class:`Document` of an object."""
+    """Return the :class:`Document` encoded in a stored object."""
     return Document(*msgpack.unpackb(data))
 
 
 def object_key(data):
-    """Return the name under which a document is stored: the hash of its bytes."""
+    """Return the key of a stored document, which contains the hash of its bytes."""
     return f"config/{sha256(data).hexdigest()}"
--- a/src/heathercleat/version/hashing.py
+++ b/src/heathercleat/version/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (Thaler and Ravishankar, 1998) over the names of VMs."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998)."""
 
 from functools import lru_cache
 from hashlib import blake2b
@@ -12,18 +12,18 @@
 
 
 def ranked(key, names):
-    """Return ``names`` by falling weight for ``key``."""
+    """Return ``names`` in descending order of their weight for ``key``."""
     return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
 
 
 def assign(keys, names):
-    """Divide ``keys`` over ``names``, as evenly as whole keys allow.
+    """Distribute ``keys`` evenly over ``names``.
 
-    Each key goes to the name of the largest weight that is not full yet (bounded loads
-    as in Mirrokni, Thorup and Zadimoghaddam, 2016), so whoever has the same keys and
-    names divides them alike.
+    Each key goes to the name of the largest weight that is below the load limit
+    (consistent hashing with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2016).
+    The result depends only on the keys and names.
 
-    :return: ``{key: name}``; empty when there is no name.
+    :return: ``{key: name}``; empty when there are no names.
     """
     if not names:
         return {}
--- a/src/heathercleat/version/placement.py
+++ b/src/heathercleat/version/placement.py
@@ -1,16 +1,16 @@
-"""Placement: which entry VM of a failure domain is the home of which targets.
+"""Assignment of targets to their homes, the entry VMs that admit their requests.
 
 The targets of a service in a failure domain are grouped into pools, and all targets of
-a pool share one home. A home gives a waiting request the first slot that becomes free
-in its pool, so a few slots in one pool serve with far shorter waits than the same slots
-divided over several homes. Pools are kept small enough for one VM to carry.
+a pool share one home. Requests wait in one queue per pool, which makes the wait shorter
+than in separate queues per target. The size of a pool is limited by the load that one
+VM can handle.
 """
 
 from dataclasses import dataclass
 
 from heathercleat.version.hashing import assign, ranked, weight
 
-#: Slots from which a pool is divided, in whole multiples.
+#: A service gets one pool for this many slots in a failure domain, at least one.
 POOL_SLOTS = 12
 
 
@@ -24,9 +24,9 @@
 
 
 class Placement:
-    """Homes by failure domain, for one version of the text.
+    """Homes of all targets, for one version of the configuration.
 
-    :param services: ``{name: Service}`` of the text.
+    :param services: ``{name: Service}``.
     """
 
     def __init__(self, services):
@@ -37,9 +37,9 @@
     def homes(self, failure_domain, names):
         """Return ``{target name: VM name}`` for the targets of a failure domain.
 
-        Every VM that knows the same text and names computes the same homes.
+        The result depends only on the configuration and ``names``.
 
-        :param names: the VMs that may be homes; without any there are no homes.
+        :param names: the VMs that may be homes; the result is empty without any.
         """
         names = tuple(sorted(names))
         known = self._homes.get(failure_domain)
@@ -49,18 +49,18 @@
         return known[1]
 
     def homes_of(self, service, failure_domain, names):
-        """Return the VMs that are homes of a service's targets, each once."""
+        """Return the VMs that are homes of a service's targets, without duplicates."""
         homes = self.homes(failure_domain, names)
         targets = service.targets_in(failure_domain)
         found = (homes.get(target.name) for target in targets)
         return list(dict.fromkeys(name for name in found if name is not None))
 
     def _assign(self, failure_domain, names):
-        """Yield each target and its home.
+        """Yield each target with its home.
 
-        A pool goes to the name of the largest weight that has less than an even part of
-        the slots so far (bounded loads as in Mirrokni, Thorup and Zadimoghaddam, 2016),
-        the largest pool first, so that no VM has more than that and one pool.
+        Pools are assigned in descending order of size, each to the VM of the largest
+        weight whose slots are below the average (consistent hashing with bounded loads;
+        Mirrokni, Thorup and Zadimoghaddam, 2016).
         """
         if not names:
             return
--- a/src/heathercleat/version/ramp.py
+++ b/src/heathercleat/version/ramp.py
@@ -1,10 +1,9 @@
-"""Ramps: how callers leave a failure domain that is drained, and how they return.
+"""Gradual move of callers away from a drained failure domain, and back.
 
-The callers of a drained failure domain become callers of others. If all of them moved
-at once, the others would meet more new work, on colder caches, than the shift caps of
-the services allow. They move one after the other instead: each has a position from 0 to
-1, fixed by its address, and moves when the share that has to be away passes its
-position.
+Callers of a drained failure domain are redirected to other failure domains. To stay
+within the shift caps of the services, they move one after the other: each caller has a
+position between 0 and 1, a hash of its address, and moves when the share of callers
+that have to be away exceeds its position.
 """
 
 from functools import lru_cache
@@ -16,9 +15,9 @@
 
 
 class Ramps:
-    """The lengths of ramps, for one version of the text.
+    """Ramps of all failure domains, for one version of the configuration.
 
-    :param services: ``{name: Service}`` of the text.
+    :param services: ``{name: Service}``.
     """
 
     def __init__(self, services):
@@ -26,11 +25,11 @@
         self._leads = {}
 
     def lead(self, failure_domain):
-        """Return the seconds within which the callers of a domain can move away.
+        """Return the duration of a failure domain's ramp, in seconds.
 
-        It is the longest time that any service needs to move all slots of the domain
-        with as many in each window as its shift cap allows at its other targets. A cap
-        that allows none elsewhere adds nothing: these callers cannot be served there.
+        This is the longest time that any service needs to move its slots of the domain
+        to its other targets within their shift caps. Services whose caps allow no slots
+        elsewhere are ignored, because their callers cannot be served there.
         """
         known = self._leads.get(failure_domain)
         if known is None:
@@ -39,11 +38,11 @@
         return known
 
     def avoided(self, drains, wall, caller):
-        """Return the drained failure domains that a caller does not go to now.
+        """Return the drained failure domains that a caller has moved away from.
 
-        :param drains: every planned :class:`Drain` of a failure domain.
-        :param wall: epoch seconds.
-        :param caller: the caller's IP number.
+        :param drains: each :class:`Drain` of a failure domain.
+        :param wall: the current time, in epoch seconds.
+        :param caller: the IP address of the caller.
         """
         if not drains:
             return frozenset()
@@ -56,10 +55,10 @@
 
 
 def away_share(drain, lead, wall):
-    """Return the share of a domain's callers that have to be elsewhere at ``wall``.
+    """Return the share of a domain's callers that have to be away at ``wall``.
 
-    It rises to 1 within ``lead`` seconds before the drain begins, and falls to 0 within
-    as long after it was cancelled.
+    It rises linearly to 1 over the ``lead`` seconds before the drain begins, and falls
+    to 0 at the same rate after the drain was cancelled.
     """
     if drain.until is None or wall < drain.until:
         return _risen(drain.at, lead, wall)
@@ -69,7 +68,7 @@
 
 @lru_cache(maxsize=65536)
 def position_of(caller):
-    """Return the position of a caller in every ramp, from 0 up to 1."""
+    """Return the position of a caller in all ramps, from 0 to 1."""
     return weight("ramp", caller) / _POSITIONS
 
 
--- a/src/heathercleat/version/reach.py
+++ b/src/heathercleat/version/reach.py
@@ -1,17 +1,16 @@
-"""How far away a failure domain is for a request, its dependencies included.
+"""Ranking of failure domains by latency, including that of dependencies.
 
-A target calls the targets of the services that its own service depends on. A place that
-is near the caller but far from them costs as much as one that is far from the caller,
-so both parts of the way count.
+A target calls the services that its own service depends on, so the latency of a request
+is that from the caller to the target plus that from the target to its dependencies.
 """
 
 
 class Reach:
-    """Distances for the callers of one failure domain at one instant.
+    """Ranks failure domains for callers at one instant.
 
     :param text: the :class:`Text` in force.
-    :param wall: epoch seconds, to tell which drains are in force.
-    :param avoided: failure domains that come last for these callers.
+    :param wall: the current time in epoch seconds, which decides on drains in force.
+    :param avoided: failure domains that are ranked last.
     """
 
     def __init__(self, text, wall, avoided=frozenset()):
@@ -21,7 +20,7 @@
         self._serving = {}
 
     def serving(self, service):
-        """Return the failure domains with a target of a service that is not drained."""
+        """Return the failure domains where a service has undrained targets."""
         domains = self._serving.get(service.name)
         if domains is None:
             domains = self._serving[service.name] = {
@@ -32,9 +31,10 @@
         return domains
 
     def onward(self, service, domain):
-        """Return the one-way seconds from a domain to all that a service depends on.
+        """Return the total one-way latency from a domain to a service's dependencies.
 
-        A dependency that nothing serves adds nothing: it is as far from everywhere.
+        In seconds. A dependency without targets is ignored, because it has the same
+        effect on all domains.
         """
         return sum(
             min(
@@ -45,10 +45,10 @@
         )
 
     def ordered(self, service, caller_domain):
-        """Return every failure domain, the best one for a caller's domain first.
+        """Return all failure domains in order of preference for a caller's domain.
 
-        Domains that serve come first, the shortest way with dependencies before
-        others, and of two that are as far the one nearer to the caller.
+        Domains that serve the service come first, ordered by total latency including
+        dependencies, then by latency from the caller.
         """
         serving = self.serving(service)
 
--- a/src/heathercleat/version/schema.py
+++ b/src/heathercleat/version/schema.py
@@ -1,4 +1,4 @@
-"""JSON Schema of the operators' text."""
+"""JSON Schema of the operators' configuration."""
 
 from functools import cache
 
@@ -97,7 +97,7 @@
 
 @cache
 def text_validator():
-    """Return the validator of texts; importing its library takes 70 ms."""
+    """Return the validator of configurations, importing its library on first use."""
     from jsonschema import Draft7Validator
 
     return Draft7Validator(TEXT_SCHEMA)
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -1,8 +1,8 @@
-"""The operators' text as typed records.
+"""The operators' configuration as typed records.
 
-Instants are epoch seconds. Limits of a region, a link and a shift are divided over the
-targets in whole slots, so that each target's home can keep its part with a local count
-and the parts never add up to more than the operators wrote.
+Instants are in epoch seconds. Limits of regions, links and shift caps are divided over
+the targets in whole slots, so that the home of each target can enforce its share with a
+local counter. The shares never add up to more than the configured limit.
 """
 
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 
 class Semantics(Enum):
-    """How often a request may run and whether its body can be sent again."""
+    """Delivery semantics of a request, and whether its body can be resent."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -32,7 +32,7 @@
 
 
 class DrainScope(Enum):
-    """What a drain empties."""
+    """What a drain takes out of service."""
 
     TARGET = "target"
     VM = "vm"
@@ -41,10 +41,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestKind:
-    """A kind of request that a service takes.
+    """A type of request that a service accepts.
 
-    ``timeout`` is in seconds, ``body_limit`` in bytes; ``weight`` says how much one
-    lost or late request of this kind counts.
+    ``timeout`` is in seconds and ``body_limit`` in bytes. ``weight`` is the relative
+    cost of a lost or late request of this kind.
     """
 
     name: str
@@ -56,13 +56,13 @@
     body_limit: int
 
     def matches(self, method, path):
-        """Return whether a request with this method and path is of this kind."""
+        """Return whether a request has the method and path prefix of this kind."""
         return self.method == method and path.startswith(self.path)
 
 
 @dataclass(slots=True, frozen=True)
 class ShiftCap:
-    """How far spill to a target may rise within ``window`` seconds, in slots."""
+    """Limit on the slots of spill added to a target within ``window`` seconds."""
 
     slots: int
     window: float
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """One back end of a service, with its parts of the shared limits in slots."""
+    """A back end of a service, with its shares of the limits in slots."""
 
     name: str
     service: str
@@ -84,13 +84,13 @@
 
     @property
     def limit(self):
-        """Return the slots that may be in use at once."""
+        """Return the maximum number of slots in use at once."""
         return min(self.slots, self.region_share)
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """One service of the text."""
+    """A service; durations are in seconds."""
 
     name: str
     depends_on: tuple
@@ -104,11 +104,11 @@
 
     @property
     def longest_timeout(self):
-        """Return the longest time a request may spend at a target, in seconds."""
+        """Return the longest timeout of any request kind, in seconds."""
         return max(kind.timeout for kind in self.kinds)
 
     def find_kind(self, method, path):
-        """Return the :class:`RequestKind` of a request, or ``None``."""
+        """Return the first :class:`RequestKind` that matches a request, or ``None``."""
         for kind in self.kinds:
             if kind.matches(method, path):
                 return kind
@@ -125,9 +125,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A planned drain from ``at`` on, to ``until`` if it was cancelled (epoch seconds).
+    """A planned drain from ``at`` to ``until``, in epoch seconds.
 
-    A cancelled drain is kept while callers return.
+    ``until`` is ``None`` unless the drain was cancelled. A cancelled drain is kept
+    until all callers have returned.
     """
 
     id: str
@@ -137,11 +138,11 @@
     until: float | None = None
 
     def in_force(self, now):
-        """Return whether the drain has begun and was not cancelled."""
+        """Return whether the drain has begun and is not cancelled at ``now``."""
         return self.at <= now and (self.until is None or now < self.until)
 
     def covers(self, target, now):
-        """Return whether ``target`` takes no new work at ``now`` for this drain."""
+        """Return whether the drain keeps new requests from ``target`` at ``now``."""
         if not self.in_force(now):
             return False
         if self.scope is DrainScope.TARGET:
@@ -153,7 +154,7 @@
 
 @dataclass(slots=True)
 class Text:
-    """One version of the operators' text."""
+    """A parsed version of the operators' configuration."""
 
     regions: dict
     services: dict
@@ -171,7 +172,7 @@
         return self.failure_domains.get(failure_domain)
 
     def distance(self, one, other):
-        """Return the one-way latency between failure domains in seconds."""
+        """Return the one-way latency between two failure domains, in seconds."""
         if one == other:
             return 0.0
         link = self.links.get(frozenset((one, other)))
@@ -182,16 +183,16 @@
         return self.region_latency
 
     def nearest(self, domain, others):
-        """Return failure domains in the order of their distance from ``domain``."""
+        """Return failure domains in ascending order of latency from ``domain``."""
         return sorted(others, key=lambda other: (self.distance(domain, other), other))
 
     def link_limit(self, one, other):
-        """Return the slots that may be in use across a link, or ``None``."""
+        """Return the maximum number of slots in use across a link, or ``None``."""
         link = self.links.get(frozenset((one, other)))
         return None if link is None else link.limit
 
     def link_share(self, limit, target):
-        """Return the part of a link limit that is kept at one target, in slots."""
+        """Return a target's share of a link limit, in slots."""
         slots = {
             name: other.slots
             for service in self.services.values()
@@ -206,21 +207,21 @@
         return "limit" in region
 
     def find_target(self, name):
-        """Return the :class:`Target` of a name, or ``None``."""
+        """Return the :class:`Target` with this name, or ``None``."""
         for service in self.services.values():
             if name in service.targets:
                 return service.targets[name]
         return None
 
     def draining(self, target, now):
-        """Return the drain that keeps new work from ``target``, or ``None``."""
+        """Return the drain that keeps new requests from ``target``, or ``None``."""
         for drain in self.drains.values():
             if drain.covers(target, now):
                 return drain
         return None
 
     def avoided(self, caller, now):
-        """Return the failure domains that a caller has left for a drain at ``now``."""
+        """Return the drained failure domains that a caller has moved away from."""
         drains = [
             drain
             for drain in self.drains.values()
@@ -229,7 +230,7 @@
         return self.ramps.avoided(drains, now, caller)
 
     def vm_draining(self, vm, failure_domain, now):
-        """Return the drain that takes an entry VM out of look-ups, or ``None``."""
+        """Return the drain that removes an entry VM from look-ups, or ``None``."""
         for drain in self.drains.values():
             if not drain.in_force(now):
                 continue
@@ -245,18 +246,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Link:
-    """The link between two failure domains; latency in seconds, limit in slots."""
+    """Link between two failure domains; ``latency`` in seconds, ``limit`` in slots."""
 
     latency: float | None
     limit: int | None
 
 
 def parse_text(source, name="text"):
-    """Parse and check the operators' text.
+    """Parse and validate the operators' configuration.
 
     :param source: JSON with comments.
-    :param name: the file name for error messages.
-    :raises FindingsError: with every finding, each with its line and column.
+    :param name: the file name in error messages.
+    :raises FindingsError: with all findings and their positions.
     """
     document = loads(source, name)
     faults = list(schema_findings(document)) or list(meaning_findings(document))
@@ -377,7 +378,7 @@
 
 
 def _divide(total, weights):
-    """Divide whole slots by weight, with the largest remainders rounded up."""
+    """Divide ``total`` slots in proportion to weights (largest remainder method)."""
     whole = sum(weights.values())
     if not whole:
         return dict.fromkeys(weights, 0)
--- a/src/heathercleat/version/transition.py
+++ b/src/heathercleat/version/transition.py
@@ -1,28 +1,27 @@
-"""Limits while a new version of the text spreads.
+"""Limits while a new version of the configuration propagates.
 
-Limits of a region, a link and a shift are divided over the targets, and each home keeps
-its parts by itself. While some homes follow the earlier version and others the later
-one, parts of both are in use at once and may add up to more than either version allows.
-A home therefore keeps to the smaller part of both until the new version is in force
-everywhere.
+Limits of regions, links and shift caps are divided over the targets, and each home
+enforces the shares of its targets. While some homes still use an earlier version, the
+shares of both versions could add up to more than either allows. Until the new version
+has reached all homes, each home therefore uses the smaller share of both versions.
 """
 
 from dataclasses import dataclass, replace
 
-#: Seconds within which an accepted version is in force everywhere.
+#: Time until an accepted version is in force on all VMs.
 SPREAD_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
 class EarlierText:
-    """A version that other homes may still follow until an instant of this process."""
+    """A version that other homes may use until ``until``, a monotonic instant."""
 
     text: object
     until: float
 
 
 class Transition:
-    """The text in force at this VM, beside those that others may still follow."""
+    """The version in force at this VM and those that other VMs may still use."""
 
     def __init__(self):
         self._text = None
@@ -30,33 +29,33 @@
 
     @property
     def text(self):
-        """Return the text that is followed, or ``None``."""
+        """Return the :class:`Text` in force at this VM, or ``None``."""
         return self._text
 
     def follow(self, text, now):
-        """Follow a text; the one before it counts for a while longer.
+        """Put a version in force; the previous one restricts limits until it expires.
 
-        :param now: an instant of this process.
+        :param now: a monotonic instant.
         """
         if self._text is not None:
             self._earlier.append(EarlierText(self._text, now + SPREAD_SECONDS))
         self._text = text
 
     def settle(self, now):
-        """Forget what nobody follows any more; return whether that changes limits."""
+        """Drop the expired versions; return whether there were any."""
         settled = [each for each in self._earlier if each.until <= now]
         for each in settled:
             self._earlier.remove(each)
         return bool(settled)
 
     def target(self, target):
-        """Return a target of the text with the smallest of its parts of any version."""
+        """Return a target with the smallest of its shares in all versions."""
         for earlier in self._earlier:
             target = _smaller(target, earlier.text)
         return target
 
     def links(self, target):
-        """Return ``{failure domain: slots}``: the target's parts of link limits."""
+        """Return ``{failure domain: slots}``: the target's shares of link limits."""
         parts = link_parts(self._text, target)
         for earlier in self._earlier:
             for domain, slots in link_parts(earlier.text, target).items():
@@ -65,7 +64,7 @@
 
 
 def link_parts(text, target):
-    """Return the target's part of each link limit to its failure domain, in slots."""
+    """Return the target's share of each link to its failure domain, in slots."""
     parts = {}
     for domain in text.failure_domains:
         limit = text.link_limit(domain, target.failure_domain)
@@ -75,7 +74,7 @@
 
 
 def _smaller(target, text):
-    """Return ``target`` with the smaller parts of its own and an earlier text."""
+    """Return ``target`` with the smaller of its shares in both versions."""
     known = text.find_target(target.name)
     if known is None:
         return _without_part(target, text)
@@ -91,7 +90,7 @@
 
 
 def _without_part(target, text):
-    """Return ``target`` without parts of what the text divides among others."""
+    """Return ``target`` without shares of the limits that ``text`` divides."""
     share, cap = target.region_share, target.shift_cap
     if text.region_limited(target.failure_domain):
         share = 0
