--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -116,7 +116,7 @@
 
 
 @message(9)
-class Acquire:
+class AcquireTargets:
     """Request of the VM that becomes the home of these targets."""
 
     vm: str
@@ -125,12 +125,12 @@
 
 @message(10)
 class Handover:
-    """Response to ``Acquire``, with the state of the targets at the earlier home.
+    """Response to ``AcquireTargets``, with the state of the targets at the earlier home.
 
     ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
     for each occupied slot. ``levels`` holds ``{target: [[instant, slots of spill],
     ...]}`` within the window of the shift cap. ``vouched`` holds the fields of each
-    ``Vouched`` that the sender has recorded as a monitor.
+    ``OccupancyBound`` that the sender has recorded as a monitor.
     """
 
     targets: dict
@@ -139,7 +139,7 @@
 
 
 @message(11)
-class Released:
+class SlotReleased:
     """Notice that a request which was handed over with its target has ended."""
 
     target: str
@@ -226,12 +226,12 @@
 
 
 @message(21)
-class FetchVms:
+class VmListRequest:
     """Request for the VM list of the receiver."""
 
 
 @message(22)
-class Vms:
+class VmListResponse:
     """VM list, with ``[name, host, failure domain, leaving]`` entries."""
 
     serial: int
@@ -239,7 +239,7 @@
 
 
 @message(23)
-class Cover:
+class OccupancyNotice:
     """Occupancy bounds of the sender's targets: ``{target: [instant, instant]}``.
 
     Requests admitted by the sender end by the first instant, and requests admitted by
--- a/src/heathercleat/connection/kept.py
+++ b/src/heathercleat/connection/persistent.py
@@ -5,7 +5,7 @@
 from heathercleat.connection.http import exchange
 
 
-class KeptConnection:
+class PersistentConnection:
     """Runs one exchange at a time and reconnects when necessary.
 
     :param connect: coroutine function that returns a client :class:`HttpStream`.
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -1,4 +1,4 @@
-"""Pool of HTTP connections to targets and other VMs."""
+"""ConnectionPool of HTTP connections to targets and other VMs."""
 
 from collections import deque
 
@@ -14,7 +14,7 @@
     """The connection limit of a target is reached."""
 
 
-class Pool:
+class ConnectionPool:
     """Open connections by address; reuses those whose last exchange was complete.
 
     :param source_ip: the local IP address to connect from.
@@ -47,7 +47,7 @@
             ``None`` for any time.
         :raises OSError: when the connection fails or the limit is reached.
         """
-        await self._fence().pass_through(host)
+        await self._fence().wait_if_fenced(host)
         address = (host, port)
         idle = self._idle.setdefault(address, deque())
         await self._drop_old(address, idle)
@@ -70,7 +70,7 @@
             self._open[address] -= 1
             raise
 
-    async def give_back(self, host, port, stream, keep_for=None):
+    async def checkin(self, host, port, stream, keep_for=None):
         """Return a connection to the pool, or close it if it is not reusable.
 
         :param keep_for: the idle timeout of the peer in seconds, or ``None``.
@@ -84,7 +84,7 @@
         kept = _Kept(stream, now, expires_at)
         self._idle.setdefault((host, port), deque()).append(kept)
 
-    async def keep_new(self, host, port, stream):
+    async def add_unused(self, host, port, stream):
         """Add a connection to the pool on which nothing was sent yet."""
         now = self._clock.now()
         kept = _Kept(stream, now, now + self._idle_seconds)
--- a/src/heathercleat/connection/sockets.py
+++ b/src/heathercleat/connection/socket_options.py
@@ -4,17 +4,17 @@
 
 #: Longest time without acknowledgement of sent data. Leaves time for several
 #: retransmissions between regions and is shorter than usual request timeouts.
-UNACKNOWLEDGED_MS = 900
+USER_TIMEOUT_MS = 900
 #: Idle time before the first keep-alive probe, and interval of further probes.
 KEEPALIVE_SECONDS = 1
 #: Number of unanswered probes after which the connection is closed.
 KEEPALIVE_PROBES = 2
 
 
-def watch_silence(sock):
+def enable_keepalive(sock):
     """Let the kernel close the connection when the peer stops responding."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -8,16 +8,16 @@
 from ipaddress import IPv4Address
 from math import isfinite
 
-from heathercleat.platform.units import seconds
+from heathercleat.platform.units import parse_duration
 from heathercleat.steering.process.capacity.target import TargetEntry
 
 #: State of a target, and whether it is draining.
 _STATES = {"ready": False, "draining": True}
 _MOST_PORT = 65535
 #: Upper limit for plausible values.
-MOST_SLOTS = 10_000
+MAX_SLOTS = 10_000
 #: Upper limit of counters and times: 64-bit signed integers.
-MOST_COUNT = 1 << 63
+MAX_COUNT = 1 << 63
 #: Maximum length of a value in error messages.
 _SHOWN = 60
 
@@ -38,7 +38,7 @@
         host=host,
         port=port,
         failure_domain=_text(document, "zone"),
-        slots=_whole(document, "slots", least=1, most=MOST_SLOTS),
+        slots=_whole(document, "slots", least=1, most=MAX_SLOTS),
         draining=_draining(document),
         cold_for=_cold_for(document),
         sequence=_whole(document, "sequence"),
@@ -87,7 +87,7 @@
 
 def _cold_for(document):
     text = _text(document, "coldRemaining")
-    number = seconds(text)
+    number = parse_duration(text)
     if not (isfinite(number) and number >= 0):
         raise _bad("coldRemaining", text, "a time of 0 or more")
     return number
@@ -101,7 +101,7 @@
     return value
 
 
-def _whole(document, name, least=0, most=MOST_COUNT):
+def _whole(document, name, least=0, most=MAX_COUNT):
     """Return a field that has to be an integer in a range; booleans are rejected."""
     value = document.get(name)
     if type(value) is not int or not least <= value <= most:
--- a/src/heathercleat/platform/names.py
+++ b/src/heathercleat/platform/wire_names.py
@@ -7,7 +7,7 @@
 #: Cookie that identifies requests for the same object.
 AFFINITY_COOKIE = "Affinity-Key"
 #: Present when the target itself produced the response.
-SIGNATURE = b"response-signature"
+RESPONSE_SIGNATURE = b"response-signature"
 #: The target incarnation that the request is addressed to.
 EXPECTED_INSTANCE = b"expected-instance"
 #: Running requests, waiting requests and slots of a target, separated by commas.
--- a/src/heathercleat/steering/process/bodies.py
+++ b/src/heathercleat/steering/process/body_memory.py
@@ -2,7 +2,7 @@
 
 #: Part of the process's memory that bodies may take: what is left covers as many
 #: bytes again in sockets, and 40 MB for the program.
-SHARE = 0.25
+BODY_MEMORY_SHARE = 0.25
 
 
 class BodyMemory:
@@ -14,7 +14,7 @@
     __slots__ = ("_limit", "_held")
 
     def __init__(self, memory):
-        self._limit = SHARE * memory
+        self._limit = BODY_MEMORY_SHARE * memory
         self._held = 0
 
     @property
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -5,13 +5,13 @@
 from random import sample
 
 #: VMs named for a client at most; of more, each look-up names others.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 #: Seconds for which clients may keep an answer: a VM that leaves goes on serving for
 #: longer, and a client asks rarely enough for it to cost under 1% of a core.
 LOOKUP_TTL = 2.0
 #: The same for answers of a VM that leaves or has just started: others may leave or
 #: start with it, of which it hears later than a VM that stays.
-SHORT_TTL = 0.5
+SHORT_LOOKUP_TTL_SECONDS = 0.5
 #: Seconds after the start of a process in which it has just started: a fleet that was
 #: stopped at once is back within them.
 START_SECONDS = 5.0
@@ -20,7 +20,7 @@
 ENOUGH = 2
 #: Times its even share of a region's clients that a VM is named for at most, so that
 #: the first VMs back in a failure domain do not get all of its clients.
-MOST_OVER_SHARE = 2.0
+MAX_OVER_SHARE = 2.0
 
 
 class Lookup:
@@ -61,15 +61,15 @@
         near = [each for each in named if each.region == region]
         here = [each for each in near if each.failure_domain == failure_domain]
         chosen = self._choose(here, near, self._domains[region]) or named
-        if len(chosen) > MOST_ADDRESSES:
-            chosen = sample(chosen, MOST_ADDRESSES)
+        if len(chosen) > MAX_ADDRESSES:
+            chosen = sample(chosen, MAX_ADDRESSES)
         addresses = [f"{each.ip}:{self._port}" for each in chosen]
         return Lookup(addresses, min(self._ttl(), self._longest_ttl))
 
     def _ttl(self):
         just_started = self._clock.now() < self._started_until
         stays = self._members.own.serving and not just_started
-        return LOOKUP_TTL if stays else SHORT_TTL
+        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS
 
     def _choose(self, here, near, domains):
         """Return the VMs to name, those of the client's failure domain first.
@@ -83,7 +83,7 @@
         """
         if len(here) < ENOUGH:
             return near
-        least = ceil(len(near) / (domains * MOST_OVER_SHARE))
+        least = ceil(len(near) / (domains * MAX_OVER_SHARE))
         if len(here) >= least:
             return here
         others = [each for each in near if each not in here]
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -1,6 +1,6 @@
 """When a VM that leaves gives away the targets that it keeps as the last one."""
 
-from heathercleat.version.hashing import ranked
+from heathercleat.version.hashing import rank_by_weight
 
 #: Seconds without a request of its own clients after which a VM that leaves gives the
 #: targets that it keeps to others that leave, and without any after which it ends.
@@ -22,14 +22,14 @@
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
-    :param is_short: returns whether some route's requests cannot end in time any more
+    :param is_time_short: returns whether some route's requests cannot end in time any more
         when they begin at an instant.
     """
 
-    def __init__(self, members, owners, is_short):
+    def __init__(self, members, owners, is_time_short):
         self._members = members
         self._owners = owners
-        self._is_short = is_short
+        self._is_short = is_time_short
         self._keeps_until = 0.0
         self._last_start_at = 0.0
         self._quiet_since = 0.0
@@ -39,15 +39,15 @@
         """Return whether this VM owns nothing any more."""
         return not self._owners.owned()
 
-    def begin(self, now, keeps_until, ends_at):
+    def begin(self, now, keep_alive_until, ends_at):
         """Start to leave.
 
-        :param keeps_until: instant until which clients may still come that looked this
+        :param keep_alive_until: instant until which clients may still come that looked this
             VM up.
         :param ends_at: instant at which this process ends.
         """
         self._quiet_since = now
-        self._keeps_until = keeps_until
+        self._keeps_until = keep_alive_until
         self._last_start_at = ends_at - LEAST_RUN
 
     def check(self, now, has_clients):
@@ -68,7 +68,7 @@
         near = [each for each in self._members.leaving() if each.region == own.region]
         if self._is_short(now) and any(map(self._has_more_time, near)):
             return True
-        last = ranked("last to leave", [each.vm for each in near])[0]
+        last = rank_by_weight("last to leave", [each.vm for each in near])[0]
         return self._may_go(now) and last != own.vm
 
     def _has_more_time(self, member):
--- a/src/heathercleat/steering/process/membership/beat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -4,11 +4,11 @@
 
 import msgpack
 
-from heathercleat.steering.process.membership.member import News
+from heathercleat.steering.process.membership.member import MemberUpdate
 
 #: Where the name and the stamp stand among the fields of news.
-VM_FIELD = News.__slots__.index("vm")
-STAMP_FIELD = News.__slots__.index("stamp")
+VM_FIELD = MemberUpdate.__slots__.index("vm")
+STAMP_FIELD = MemberUpdate.__slots__.index("stamp")
 
 #: Level of compression of news, most of which are names: 48 pieces shrink from 3.2 to
 #: 1.1 KB in 0.09 ms (with made-up names).
@@ -17,23 +17,23 @@
 _MOST_NEWS_BYTES = 1 << 16
 
 
-class Beat:
+class Heartbeat:
     """A heartbeat.
 
-    :param own: what the VM tells of itself, a :class:`News`.
+    :param own: what the VM tells of itself, a :class:`MemberUpdate`.
     :param interval: seconds until the next one.
     :param operator_version: version of the last change to the operators' table.
     :param target_version: version of the last change to the targets that mattered.
     :param store_answers: whether the store answers the VM's calls; not so either where
         the VM makes none.
     :param digest: see :attr:`Members.digest`.
-    :param news: the fields of each :class:`News` that is passed on.
-    :param rooms: see :meth:`RoomView.report`; ``None`` in a beat without reports.
-    :param waits: see :meth:`RoomView.report`.
-    :param losses: see :meth:`RoomView.report`.
+    :param news: the fields of each :class:`MemberUpdate` that is passed on.
+    :param rooms: see :meth:`CapacityReports.report`; ``None`` in a beat without reports.
+    :param waits: see :meth:`CapacityReports.report`.
+    :param losses: see :meth:`CapacityReports.report`.
     :param held: see :meth:`HeldSlots.report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
-    :param suspects: the fields of each :class:`SuspectNews` that is told; none to VMs
+    :param suspects: the fields of each :class:`SuspectUpdate` that is told; none to VMs
         that know the same.
     """
 
@@ -85,22 +85,22 @@
         :raises TypeError: when they are not those of a heartbeat, as ValueError.
         """
         own, *rest = fields
-        beat = cls(News(*own), *rest)
+        beat = cls(MemberUpdate(*own), *rest)
         beat.news = _unpack_news(beat.news)
         return beat
 
     def told(self, is_news=lambda vm, stamp: True):
-        """Yield each :class:`News` that is passed on.
+        """Yield each :class:`MemberUpdate` that is passed on.
 
         :param is_news: returns whether that of a VM with a stamp is wanted. Of ten
             pieces nine are known: a VM hears each from all its partners.
         :raises ValueError: when one of them has other fields.
         """
         for fields in self.news:
-            if len(fields) != len(News.__slots__):
+            if len(fields) != len(MemberUpdate.__slots__):
                 raise ValueError(f"{fields!r} is no news of a VM")
             if is_news(fields[VM_FIELD], fields[STAMP_FIELD]):
-                yield News(*fields)
+                yield MemberUpdate(*fields)
 
 
 def _pack_news(news):
--- a/src/heathercleat/steering/process/membership/composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -2,11 +2,11 @@
 
 from math import ceil
 
-from heathercleat.steering.process.membership.beat import Beat
-from heathercleat.steering.process.membership.member import news_of
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
+from heathercleat.steering.process.membership.member import make_update
 
 
-class BeatComposer:
+class HeartbeatComposer:
     """Composes heartbeats from the beliefs of this VM.
 
     :param members: the known VMs.
@@ -39,14 +39,14 @@
         self._clock = clock
 
     def compose(self, interval):
-        """Return a new :class:`Beat`, which tells of no suspects yet.
+        """Return a new :class:`Heartbeat`, which tells of no suspects yet.
 
         :param interval: seconds until the next one.
         """
         members, tables = self._members, self._tables
         members.set_store_lost(tables.store_lost)
-        return Beat(
-            news_of(members.own),
+        return Heartbeat(
+            make_update(members.own),
             interval,
             tables.operator.told,
             tables.targets.told,
@@ -74,8 +74,8 @@
         The time that is left is rounded up.
         """
         now = self._clock.now()
-        for target_id, _, count, ends_by in self._ledger.handed_over():
-            yield [target_id, count, ceil(max(0.0, ends_by - now) * 100) / 100]
+        for target_id, _, count, deadline in self._ledger.handed_over_targets():
+            yield [target_id, count, ceil(max(0.0, deadline - now) * 100) / 100]
 
     def _waits(self):
         """Yield the fields of each owned service's :class:`Waits`, in seconds."""
@@ -89,4 +89,4 @@
     def _losses(self):
         """Yield the part of their worth that clients lose, for each service."""
         for service in self._services():
-            yield [service, round(self._pressure.lost(service), 3)]
+            yield [service, round(self._pressure.rate(service), 3)]
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -4,7 +4,7 @@
 
 #: Seconds of silence after which a VM is taken as dead: seven heartbeats, so that a few
 #: lost datagrams (2.5% on a bad link) or a short stall do not count as a death.
-SILENCE = 1.1
+SILENCE_SECONDS = 1.1
 #: Heartbeats that may be lost in a row, where they come rarely.
 LOST_BEATS = 4
 
@@ -30,11 +30,11 @@
 
     :param incarnation: differs between two processes of the same VM.
     :param stamp: orders what is told of the VM; the highest one is believed.
-    :param told_live: whether the VM lives, by what is told with that stamp.
+    :param reported_alive: whether the VM lives, by what is told with that stamp.
     :param dead_at: instant at which what is told of its death is believed, or ``None``.
     :param stage: its :class:`Stage`.
     :param stops_since: instant at which this VM learned that it stops, or ``None``.
-    :param heard_at: instant of its last heartbeat to this VM.
+    :param last_heartbeat_at: instant of its last heartbeat to this VM.
     :param unreachable_until: instant until which it is left out since it fell silent
         here, or ``None``.
     :param lost_at: instant at which it was dropped from the live VMs, or ``None``.
@@ -51,11 +51,11 @@
         "region",
         "incarnation",
         "stamp",
-        "told_live",
+        "reported_alive",
         "dead_at",
         "stage",
         "stops_since",
-        "heard_at",
+        "last_heartbeat_at",
         "unreachable_until",
         "lost_at",
         "interval",
@@ -75,11 +75,11 @@
         self.region = region
         self.incarnation = 0
         self.stamp = 0
-        self.told_live = False
+        self.reported_alive = False
         self.dead_at = None
         self.stage = Stage.STARTING
         self.stops_since = None
-        self.heard_at = None
+        self.last_heartbeat_at = None
         self.unreachable_until = None
         self.lost_at = None
         self.interval = 0.0
@@ -104,7 +104,7 @@
     @property
     def patience(self):
         """Return the seconds of silence after which the VM is taken as dead."""
-        return max(SILENCE, LOST_BEATS * self.interval)
+        return max(SILENCE_SECONDS, LOST_BEATS * self.interval)
 
     def enter(self, stage, now):
         """Note what the VM does from now on."""
@@ -116,14 +116,17 @@
 
     def is_heard(self, now):
         """Return whether the VM's own heartbeats show that it lives."""
-        return self.heard_at is not None and now - self.heard_at <= self.patience
+        return (
+            self.last_heartbeat_at is not None
+            and now - self.last_heartbeat_at <= self.patience
+        )
 
     def is_unreachable(self, now):
         """Return whether the VM is left out since it fell silent here."""
         return self.unreachable_until is not None and now < self.unreachable_until
 
 
-class News:
+class MemberUpdate:
     """What is told of a VM, by itself or by one that hears or misses it."""
 
     __slots__ = (
@@ -148,16 +151,16 @@
         return [getattr(self, name) for name in self.__slots__]
 
 
-def news_of(member):
-    """Return the :class:`News` of a member, as this VM believes it."""
-    return News(
+def make_update(member):
+    """Return the :class:`MemberUpdate` of a member, as this VM believes it."""
+    return MemberUpdate(
         member.vm,
         member.ip,
         member.failure_domain,
         member.region,
         member.incarnation,
         member.stamp,
-        member.told_live,
+        member.reported_alive,
         member.stage,
         member.store_lost,
         member.strength,
--- a/src/heathercleat/steering/process/membership/rumours.py
+++ b/src/heathercleat/steering/process/membership/pending_updates.py
@@ -10,7 +10,7 @@
 MOST_AT_ONCE = 48
 
 
-class Rumours:
+class PendingUpdates:
     """The names of the VMs of which there is something new to tell."""
 
     __slots__ = ("_clock", "_since")
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -7,25 +7,25 @@
 
 from heapq import nlargest
 
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.version.hashing import weight
 
 #: VMs that carry requests up to which all of them send heartbeats to each other: 18
 #: times the usual rate is 120 datagrams a second, 1% of a core.
-MOST_IN_MESH = 18
+MAX_MESH_SIZE = 18
 #: Live VMs, those that carry no requests included, up to which the same holds.
 MOST_LIVE_IN_MESH = 120
 #: VMs that one that carries requests picks in its own region and outside of it. Each is
 #: picked by as many on average, and answers those too: 18 heartbeats for each interval.
 #: That none of 300 VMs picks a given one has a chance of 1 in 8,000; it still picks its
 #: own.
-NEAR_PICKS = 6
-FAR_PICKS = 3
+MONITORED_IN_REGION = 6
+MONITORED_OUTSIDE_REGION = 3
 #: The same for a VM that carries no requests: it only has to learn of changes. 168 of
 #: 195 VMs are such, and with nine picks each they sent the 27 others as many heartbeats
 #: as these send each other.
-IDLE_NEAR_PICKS = 3
-IDLE_FAR_PICKS = 1
+IDLE_MONITORED_IN_REGION = 3
+IDLE_MONITORED_OUTSIDE_REGION = 1
 #: VMs of a failure domain that are picked as well once a picked one has fallen silent,
 #: and the seconds for which they are: all of a domain or region that is gone are found
 #: in two waves. Without it a cut region of 15 VMs was known after 8.5 s, with it after
@@ -49,7 +49,7 @@
         self._since = {}
         self._suspected_until = {}
         self._is_mesh = True
-        self._mesh_since = NEVER
+        self._mesh_since = DISTANT_PAST
 
     @property
     def is_mesh(self):
@@ -66,11 +66,11 @@
         return not self._is_mesh or self._clock.now() < self._mesh_since + NEWS_SECONDS
 
     @property
-    def picks(self):
+    def monitored(self):
         """Return the names of the picked VMs, which are expected to answer."""
         return self._since.keys()
 
-    def picked_at(self, vm):
+    def monitored_since(self, vm):
         """Return the instant at which a VM was picked, or ``None``."""
         return self._since.get(vm)
 
@@ -91,7 +91,7 @@
         :param active: those that carry requests; may hold this VM.
         """
         others = [each for each in active if each is not self._own]
-        self._set_mesh(len(others) < MOST_IN_MESH and len(live) < MOST_LIVE_IN_MESH)
+        self._set_mesh(len(others) < MAX_MESH_SIZE and len(live) < MOST_LIVE_IN_MESH)
         now = self._clock.now()
         self._suspected_until = {
             domain: until
@@ -111,8 +111,10 @@
         near, far = [], []
         for each in others:
             (near if each.region == self._own.region else far).append(each)
-        near_picks = NEAR_PICKS if carries else IDLE_NEAR_PICKS
-        far_picks = FAR_PICKS if carries else IDLE_FAR_PICKS
+        near_picks = MONITORED_IN_REGION if carries else IDLE_MONITORED_IN_REGION
+        far_picks = (
+            MONITORED_OUTSIDE_REGION if carries else IDLE_MONITORED_OUTSIDE_REGION
+        )
         yield from nlargest(near_picks, near, key=self._weight)
         yield from nlargest(far_picks, far, key=self._weight)
         for domain in self._suspected_until:
--- a/src/heathercleat/steering/process/means.py
+++ b/src/heathercleat/steering/process/moving_average.py
@@ -1,7 +1,7 @@
 """Moving means by key."""
 
 
-def move_mean(means, key, value, weight):
+def update_moving_average(means, key, value, weight):
     """Move the mean of a key towards a value; the first value is the mean.
 
     :param means: the mean of each key, changed in place.
--- a/src/heathercleat/steering/process/record.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -8,7 +8,7 @@
 _SERVER_ERROR = 500
 
 
-class RequestRecord:
+class RequestLog:
     """Logs the ends of requests and counts them.
 
     :param metrics: the :class:`SteeringMetrics`.
@@ -26,7 +26,7 @@
     def answered(self, call, answer, now):
         """Note a request that got a target's answer."""
         seconds = now - call.arrived_at
-        result = "late" if now > call.aim_at else "in_time"
+        result = "late" if now > call.soft_deadline else "in_time"
         if answer.status >= _SERVER_ERROR:
             result = "failed_at_target"
         self._count(call.route.name, result, seconds)
--- a/src/heathercleat/steering/process/returns.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -6,7 +6,7 @@
 RETURN_SHARE = 0.3
 
 
-def return_at(call, mean, now):
+def compute_retry_at(call, mean, now):
     """Return the instant from which a refused client is welcome again.
 
     Clients that are refused together come back apart, and within the time in which
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -103,6 +103,6 @@
         """Return the TCP port for requests that another VM forwards."""
         return self.first_inner_port + 1
 
-    def inner_address(self, port):
+    def internal_address(self, port):
         """Return this VM's :class:`Address` with a port."""
         return Address(self.ip, port)
--- a/src/heathercleat/steering/process/departure.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -2,24 +2,24 @@
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import RequestError
-from heathercleat.steering.process.returns import return_at
+from heathercleat.steering.process.retry_after import compute_retry_at
 
 #: The instant of an end that does not come.
-NO_END = float("inf")
+NO_DEADLINE = float("inf")
 #: Seconds before the platform's kill at which a leaving process ends by itself.
-STOP_MARGIN = 0.35
+KILL_MARGIN_SECONDS = 0.35
 #: Seconds before the end at which the answers that are ready go first: they need a
 #: round trip at most to be sent.
-LAST_ANSWERS = 0.25
+FLUSH_SECONDS = 0.25
 #: Part of the time until the kill that each of these takes at most.
 MARGIN_SHARE = 1 / 12
 #: Seconds after the stop signal until which clients' connections are kept: those that
 #: looked the VM up before may come for so long.
-KEEP_SECONDS = 2.5
+KEEP_ALIVE_SECONDS = 2.5
 #: Seconds after which one of the VMs that stop together may serve again.
 RESTART_SECONDS = 1.0
 #: Why a request was given back.
-LEAVING = "the VM is leaving"
+LEAVING_REASON = "the VM is leaving"
 
 
 class StopEstimate:
@@ -38,7 +38,7 @@
         self.runs = runs
 
 
-class Departure:
+class Shutdown:
     """The end of this process, once it has been told to leave.
 
     A request is sent to a target only if it ends before the process does: by its
@@ -53,9 +53,9 @@
         self._runs = runs
         self._others_serve = others_serve
         self._began_at = None
-        self._keeps_until = NO_END
-        self._last_answers_at = NO_END
-        self._ends_at = NO_END
+        self._keeps_until = NO_DEADLINE
+        self._last_answers_at = NO_DEADLINE
+        self._ends_at = NO_DEADLINE
 
     @property
     def runs(self):
@@ -63,7 +63,7 @@
         return self._runs
 
     @property
-    def keeps_until(self):
+    def keep_alive_until(self):
         """Return the instant until which connections take further requests."""
         return self._keeps_until
 
@@ -73,7 +73,7 @@
         return self._ends_at
 
     @property
-    def last_answers_at(self):
+    def flush_at(self):
         """Return the instant from which ready answers wait for no others."""
         return self._last_answers_at
 
@@ -84,9 +84,9 @@
         """
         self._began_at = now
         most = MARGIN_SHARE * grace
-        self._ends_at = now + grace - min(STOP_MARGIN, most)
-        self._last_answers_at = self._ends_at - min(LAST_ANSWERS, most)
-        self._keeps_until = min(now + KEEP_SECONDS, self.last_answers_at)
+        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, most)
+        self._last_answers_at = self._ends_at - min(FLUSH_SECONDS, most)
+        self._keeps_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
 
     def elapsed(self, now):
         """Return the seconds since the stop signal."""
@@ -100,32 +100,32 @@
         """
         if self.is_too_late(call, now):
             mean = 0.0 if self._others_serve() else RESTART_SECONDS
-            retry_at = return_at(call, mean, now)
-            raise RequestError(ResultCode.NO_ROOM, LEAVING, retry_at)
+            retry_at = compute_retry_at(call, mean, now)
+            raise RequestError(ResultCode.NO_ROOM, LEAVING_REASON, retry_at)
 
     def is_too_late(self, call, now):
         """Return whether a request sent to a target now might be cut."""
-        return now >= self.send_by(call)
+        return now >= self.send_deadline(call)
 
-    def send_by(self, call):
+    def send_deadline(self, call):
         """Return the instant until which a request may be sent to a target.
 
-        :data:`NO_END` where its deadline ends it soon enough.
+        :data:`NO_DEADLINE` where its deadline ends it soon enough.
         """
-        if call.deadline <= self.last_answers_at:
-            return NO_END
+        if call.deadline <= self.flush_at:
+            return NO_DEADLINE
         if call.arrived_at >= self._keeps_until:
-            return -NO_END
-        return self.last_answers_at - self._runs.bound(call)
+            return -NO_DEADLINE
+        return self.flush_at - self._runs.bound(call)
 
-    def is_short(self, route, now):
+    def is_time_short(self, route, now):
         """Return whether little time is left for what could be finished at first.
 
         :param route: a :class:`Route`.
         """
-        needed = min(route.timeout, self._runs.longest(route.name))
-        whole = self.last_answers_at - self._began_at
-        return needed <= whole and now + needed > self.last_answers_at
+        needed = min(route.timeout, self._runs.longest_bound(route.name))
+        whole = self.flush_at - self._began_at
+        return needed <= whole and now + needed > self.flush_at
 
     def estimate(self, call, now):
         """Return the :class:`StopEstimate` of a request; ``None`` while it stays."""
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -7,8 +7,8 @@
 
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.events import Event
-from heathercleat.steering.process.store.copy import TableCopy
 from heathercleat.steering.process.store.protocol import HistoryLostError
+from heathercleat.steering.process.store.table_copy import TableCopy
 
 #: Seconds between two tries of a reader while the store does not answer: short enough
 #: for a configuration to be in force within its bound after the store's return.
@@ -150,7 +150,7 @@
         """Return what changed since a version, for another VM; all rows by default."""
         return self._copy.since(after, self._lapsing())
 
-    async def notice(self):
+    async def wake_if_behind(self):
         """Look at once at what others know, if one of them knows a newer change."""
         if self._is_behind() and not self._newer_heard.is_set():
             await self._newer_heard.set()
@@ -275,11 +275,11 @@
         was in force at other VMs too late (two of eight drawn days).
         """
         first, self._loaded = not self._copy.version, True
-        if not self._copy.take_whole(snapshot):
+        if not self._copy.replace_all(snapshot):
             return
         keys = self._apply(snapshot)
         if keys or first:
-            self._copy.note_changes(keys, snapshot.version)
+            self._copy.record_changes(keys, snapshot.version)
         if first:
             self._first_read_at = self._clock.now()
         else:
@@ -287,19 +287,19 @@
 
     def _take_changes(self, snapshot):
         """Take changed rows, as the store told them."""
-        keys = self._apply(self._copy.take_changes(snapshot))
+        keys = self._apply(self._copy.merge_changes(snapshot))
         if keys:
-            self._copy.note_changes(keys, self._copy.version)
+            self._copy.record_changes(keys, self._copy.version)
 
     def _take_relayed(self, snapshot):
         """Take what another VM told, all rows or the changed ones."""
         if not snapshot.is_whole:
-            self._apply(self._copy.take_changes(snapshot))
-        elif self._copy.take_whole(snapshot):
+            self._apply(self._copy.merge_changes(snapshot))
+        elif self._copy.replace_all(snapshot):
             self._apply(snapshot)
         self._loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.note_changes(keys, snapshot.changed)
+        self._copy.record_changes(keys, snapshot.changed)
         self._told_changed = self.changed
 
     def _note_lost(self, error, began_at, is_total):
--- a/src/heathercleat/steering/process/store/rejections.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -4,13 +4,13 @@
 
 #: Lines that are written in a window, and its seconds: a writer that repeats itself
 #: each millisecond fills no log (2 lines a second; an estimate of what a reader needs).
-MOST_LINES = 20
-WINDOW = 10.0
+MAX_LINES_PER_WINDOW = 20
+WINDOW_SECONDS = 10.0
 #: Characters of a key and of a reason that a line shows.
 _SHOWN = 200
 
 
-class Rejections:
+class RejectedRowLog:
     """Logs rejected rows, a bounded number of lines a window."""
 
     def __init__(self, journal, clock):
@@ -24,9 +24,9 @@
         """Log that the row of a key was rejected."""
         now = self._clock.now()
         if now >= self._window_until:
-            self._window_until = now + WINDOW
+            self._window_until = now + WINDOW_SECONDS
             self._lines = 0
-        if self._lines >= MOST_LINES:
+        if self._lines >= MAX_LINES_PER_WINDOW:
             self._left_out += 1
             return
         self._lines += 1
--- a/src/heathercleat/steering/process/store/copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -4,7 +4,7 @@
 
 #: Removals that are remembered, to tell other VMs what changed: a fleet whose targets
 #: are all replaced within minutes. A VM that missed more is told the whole table.
-MOST_REMOVALS = 1024
+MAX_REMOVALS = 1024
 #: Spans of versions that are remembered of which this VM saw the end only.
 MOST_GAPS = 16
 
@@ -75,7 +75,7 @@
         """Return a list of all rows."""
         return list(self._rows.values())
 
-    def take_whole(self, snapshot):
+    def replace_all(self, snapshot):
         """Take all rows of the table; return whether they were not older than these.
 
         Another VM may have been ahead of an answer of the store that was on its way.
@@ -95,7 +95,7 @@
             self._removals.pop(key, None)
         return True
 
-    def take_changes(self, snapshot):
+    def merge_changes(self, snapshot):
         """Take changed rows; return a :class:`Snapshot` of those that were news.
 
         A table that is read in pages may hold rows that are newer than its version: an
@@ -107,7 +107,7 @@
             self._version, news, snapshot.changed, snapshot.lapsing, is_whole=False
         )
 
-    def note_changes(self, keys, version):
+    def record_changes(self, keys, version):
         """Note that the rows of some keys changed in a way that mattered.
 
         :param version: the version of the last change of the table that mattered.
@@ -171,6 +171,6 @@
         self._changed_at.pop(key, None)
         self._removals.pop(key, None)
         self._removals[key] = version
-        if len(self._removals) > MOST_REMOVALS:
+        if len(self._removals) > MAX_REMOVALS:
             oldest = next(iter(self._removals))
             self._floor = max(self._floor, self._removals.pop(oldest))
--- a/src/heathercleat/steering/process/warm.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -12,7 +12,7 @@
 #: Idle connections kept to each VM, and to all of them together in a large fleet.
 IDLE_EACH = 4
 IDLE_TOTAL = 48
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class WarmConnections:
@@ -49,11 +49,11 @@
                     await group.spawn(self._open, member.ip)
 
     async def _open(self, ip):
-        deadline = self._clock.now() + CONNECT_TIMEOUT
+        deadline = self._clock.now() + CONNECT_TIMEOUT_SECONDS
         try:
             checkout = self._pool.checkout(ip, self._port, fresh=True)
             stream = await before(deadline, self._clock, checkout)
         except (OSError, TimeoutError):
             # A VM that cannot be reached falls silent, and that is logged.
             return
-        await self._pool.keep_new(ip, self._port, stream)
+        await self._pool.add_unused(ip, self._port, stream)
--- a/src/heathercleat/version/blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -11,7 +11,7 @@
 NO_DOMAIN = 0xFFFF
 
 
-class BlockTable:
+class ClientBlockTable:
     """Maps IPv4 client addresses to failure domains.
 
     :param domains: the names of the failure domains, by index.
@@ -38,9 +38,9 @@
 
     def find(self, address):
         """Return the failure domain of an IPv4 address, or ``None``."""
-        return self.find_number(int(ip_address(address)))
+        return self.find_by_number(int(ip_address(address)))
 
-    def find_number(self, number):
+    def find_by_number(self, number):
         """Return the failure domain of an integer address, or ``None``."""
         index = bisect_right(self._starts, number) - 1
         if index < 0:
@@ -70,14 +70,14 @@
         self._values[begin:end] = values
 
 
-def build_blocks(blocks, domains):
+def build_client_blocks(blocks, domains):
     """Return a table of ``{CIDR: failure domain}``; the longest prefix wins.
 
     IPv6 blocks are ignored.
 
     :param domains: the names of all failure domains.
     """
-    table = BlockTable(list(domains), [])
+    table = ClientBlockTable(list(domains), [])
     networks = [(ip_network(block), domain) for block, domain in blocks.items()]
     for network, domain in sorted(networks, key=lambda item: item[0].prefixlen):
         if network.version == 4:
--- a/src/heathercleat/version/reach.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -5,7 +5,7 @@
 """
 
 
-class Reach:
+class DomainRanking:
     """Ranks failure domains for callers at one instant.
 
     :param text: the :class:`Text` in force.
@@ -19,18 +19,18 @@
         self._avoided = avoided
         self._serving = {}
 
-    def serving(self, service):
+    def serving_domains(self, service):
         """Return the failure domains where a service has undrained targets."""
         domains = self._serving.get(service.name)
         if domains is None:
             domains = self._serving[service.name] = {
                 target.failure_domain
                 for target in service.targets.values()
-                if not self._text.draining(target, self._wall)
+                if not self._text.find_drain(target, self._wall)
             }
         return domains
 
-    def onward(self, service, domain):
+    def dependency_latency(self, service, domain):
         """Return the total one-way latency from a domain to a service's dependencies.
 
         In seconds. A dependency without targets is ignored, because it has the same
@@ -38,24 +38,27 @@
         """
         return sum(
             min(
-                (self._text.distance(domain, other) for other in self.serving(each)),
+                (
+                    self._text.distance(domain, other)
+                    for other in self.serving_domains(each)
+                ),
                 default=0.0,
             )
             for each in self._dependencies(service)
         )
 
-    def ordered(self, service, caller_domain):
+    def rank_domains(self, service, caller_domain):
         """Return all failure domains in order of preference for a caller's domain.
 
         Domains that serve the service come first, ordered by total latency including
         dependencies, then by latency from the caller.
         """
-        serving = self.serving(service)
+        serving_domains = self.serving_domains(service)
 
         def cost(domain):
             way = self._text.distance(caller_domain, domain)
-            total = way + self.onward(service, domain)
-            left = domain not in serving or domain in self._avoided
+            total = way + self.dependency_latency(service, domain)
+            left = domain not in serving_domains or domain in self._avoided
             return left, total, way, domain
 
         return sorted(self._text.failure_domains, key=cost)
--- a/src/heathercleat/version/ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -14,8 +14,8 @@
 _POSITIONS = 1 << 64
 
 
-class Ramps:
-    """Ramps of all failure domains, for one version of the configuration.
+class DrainRamps:
+    """DrainRamps of all failure domains, for one version of the configuration.
 
     :param services: ``{name: Service}``.
     """
@@ -24,7 +24,7 @@
         self._services = services
         self._leads = {}
 
-    def lead(self, failure_domain):
+    def ramp_seconds(self, failure_domain):
         """Return the duration of a failure domain's ramp, in seconds.
 
         This is the longest time that any service needs to move its slots of the domain
@@ -46,36 +46,36 @@
         """
         if not drains:
             return frozenset()
-        position = position_of(caller)
+        position = ramp_position(caller)
         return frozenset(
             drain.name
             for drain in drains
-            if away_share(drain, self.lead(drain.name), wall) > position
+            if departed_share(drain, self.ramp_seconds(drain.name), wall) > position
         )
 
 
-def away_share(drain, lead, wall):
+def departed_share(drain, ramp_seconds, wall):
     """Return the share of a domain's callers that have to be away at ``wall``.
 
-    It rises linearly to 1 over the ``lead`` seconds before the drain begins, and falls
+    It rises linearly to 1 over the ``ramp_seconds`` seconds before the drain begins, and falls
     to 0 at the same rate after the drain was cancelled.
     """
     if drain.until is None or wall < drain.until:
-        return _risen(drain.at, lead, wall)
-    left = _risen(drain.at, lead, drain.until)
-    return max(0.0, left - (wall - drain.until) / lead) if lead else 0.0
+        return _risen(drain.at, ramp_seconds, wall)
+    left = _risen(drain.at, ramp_seconds, drain.until)
+    return max(0.0, left - (wall - drain.until) / ramp_seconds) if ramp_seconds else 0.0
 
 
 @lru_cache(maxsize=65536)
-def position_of(caller):
+def ramp_position(caller):
     """Return the position of a caller in all ramps, from 0 to 1."""
     return weight("ramp", caller) / _POSITIONS
 
 
-def _risen(at, lead, wall):
+def _risen(at, ramp_seconds, wall):
     if wall >= at:
         return 1.0
-    return max(0.0, 1.0 - (at - wall) / lead) if lead else 0.0
+    return max(0.0, 1.0 - (at - wall) / ramp_seconds) if ramp_seconds else 0.0
 
 
 def _lead(service, failure_domain):
--- a/src/heathercleat/version/transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass, replace
 
 #: Time until an accepted version is in force on all VMs.
-SPREAD_SECONDS = 20.0
+PROPAGATION_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
-class EarlierText:
+class SupersededText:
     """A version that other homes may use until ``until``, a monotonic instant."""
 
     text: object
     until: float
 
 
-class Transition:
+class VersionTransition:
     """The version in force at this VM and those that other VMs may still use."""
 
     def __init__(self):
@@ -38,10 +38,10 @@
         :param now: a monotonic instant.
         """
         if self._text is not None:
-            self._earlier.append(EarlierText(self._text, now + SPREAD_SECONDS))
+            self._earlier.append(SupersededText(self._text, now + PROPAGATION_SECONDS))
         self._text = text
 
-    def settle(self, now):
+    def expire_superseded(self, now):
         """Drop the expired versions; return whether there were any."""
         settled = [each for each in self._earlier if each.until <= now]
         for each in settled:
@@ -56,14 +56,14 @@
 
     def links(self, target):
         """Return ``{failure domain: slots}``: the target's shares of link limits."""
-        parts = link_parts(self._text, target)
+        parts = link_shares(self._text, target)
         for earlier in self._earlier:
-            for domain, slots in link_parts(earlier.text, target).items():
+            for domain, slots in link_shares(earlier.text, target).items():
                 parts[domain] = min(slots, parts.get(domain, slots))
         return parts
 
 
-def link_parts(text, target):
+def link_shares(text, target):
     """Return the target's share of each link to its failure domain, in slots."""
     parts = {}
     for domain in text.failure_domains:
@@ -84,7 +84,7 @@
         window = max(cap.window, known.shift_cap.window)
         cap = replace(cap, slots=slots, window=window)
     share = target.region_share
-    if text.region_limited(known.failure_domain):
+    if text.has_region_limit(known.failure_domain):
         share = min(share, known.region_share)
     return replace(target, region_share=share, shift_cap=cap)
 
@@ -92,7 +92,7 @@
 def _without_part(target, text):
     """Return ``target`` without shares of the limits that ``text`` divides."""
     share, cap = target.region_share, target.shift_cap
-    if text.region_limited(target.failure_domain):
+    if text.has_region_limit(target.failure_domain):
         share = 0
     if cap is not None and target.service in text.services:
         cap = replace(cap, slots=0)
