--- a/src/heathercleat/_jsonc.py
+++ b/src/heathercleat/_jsonc.py
@@ -16,7 +16,7 @@
     r'"(?:\\.|[^"\\\n])*"|//[^\n]*|/\*.*?\*/|,(?=(?:\s|//[^\n]*|/\*.*?\*/)*[}\]])',
     re.DOTALL,
 )
-_VISIBLE = re.compile(r"[^\n]")
+_NON_NEWLINE = re.compile(r"[^\n]")
 
 
 def loads(source, name, code=ResultCode.TEXT_INVALID):
@@ -27,7 +27,7 @@
     :raises FindingsError: for a syntax error or a repeated name in an object.
     """
     try:
-        return json.loads(blank(source), object_pairs_hook=_unique)
+        return json.loads(blank_comments(source), object_pairs_hook=_object_from_pairs)
     except json.JSONDecodeError as error:
         finding = Finding(error.msg, "", error.lineno, error.colno, code)
         raise FindingsError(name, [finding]) from None
@@ -39,9 +39,9 @@
         raise FindingsError(name, [Finding(message, "", line, column, code)]) from None
 
 
-def blank(source):
+def blank_comments(source):
     """Return ``source`` with comments and trailing commas replaced by spaces."""
-    return _TOKEN.sub(_blank_token, source)
+    return _TOKEN.sub(_replace_with_spaces, source)
 
 
 def locate(source, pointers):
@@ -49,22 +49,22 @@
 
     A pointer that does not exist in ``source`` gets the position of its nearest parent.
     """
-    places = calculate(blank(source))
-    return {pointer: _place(places, pointer) for pointer in pointers}
+    positions = calculate(blank_comments(source))
+    return {pointer: _position(positions, pointer) for pointer in pointers}
 
 
 class _RepeatedNameError(Exception):
     """An object has two members of the same name."""
 
 
-def _blank_token(match):
+def _replace_with_spaces(match):
     token = match.group()
     if token.startswith('"'):
         return token
-    return _VISIBLE.sub(" ", token)
+    return _NON_NEWLINE.sub(" ", token)
 
 
-def _unique(pairs):
+def _object_from_pairs(pairs):
     result = dict(pairs)
     if len(result) < len(pairs):
         seen = set()
@@ -75,10 +75,10 @@
     return result
 
 
-def _place(places, pointer):
-    while pointer and pointer not in places:
+def _position(positions, pointer):
+    while pointer and pointer not in positions:
         pointer = pointer.rpartition("/")[0]
-    entry = places.get(pointer)
+    entry = positions.get(pointer)
     if entry is None:
         return 1, 1
     start = entry.key_start or entry.value_start
--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -61,7 +61,7 @@
         """Return the JSON response to a POST call with a JSON body."""
         return self._call("POST", path, json.dumps(body).encode())
 
-    def at(self, host):
+    def with_host(self, host):
         """Return a client of another VM, with the same key and port."""
         return OperatorClient(host, self._port, self._key, FOLLOW_UP_SECONDS)
 
@@ -109,7 +109,7 @@
     parser.add_argument("--json", action="store_true", help="print JSON for machines")
 
 
-def client_of(args):
+def make_client(args):
     """Return the :class:`OperatorClient` that the options select.
 
     :raises HeathercleatError: when the VM or the key is missing.
--- a/src/heathercleat/cli/_drain.py
+++ b/src/heathercleat/cli/_drain.py
@@ -4,8 +4,8 @@
 from getpass import getuser
 from secrets import token_hex
 
-from heathercleat.cli._client import add_client_options, client_of
-from heathercleat.cli._output import instant, show, table
+from heathercleat.cli._client import add_client_options, make_client
+from heathercleat.cli._output import format_instant, format_table, print_result
 from heathercleat.version.text import DrainScope
 
 
@@ -17,7 +17,7 @@
         description="Take targets, entry VMs or failure domains out of service.",
     )
     verbs = parser.add_subparsers(title="verbs", required=True, metavar="VERB")
-    plan = verbs.add_parser("plan", help="show what a drain leaves, and plan it")
+    plan = verbs.add_parser("plan", help="show the remaining slots, and plan a drain")
     plan.add_argument("id", help="a new name for the drain")
     plan.add_argument("scope", choices=[scope.value for scope in DrainScope])
     plan.add_argument("name", help="the target, entry VM or failure domain")
@@ -45,22 +45,28 @@
         "edit_id": token_hex(8),
         "author": getuser(),
     }
-    show(args, client_of(args).post("/v1/drain/plan", call), _plan_lines)
+    print_result(args, make_client(args).post("/v1/drain/plan", call), _plan_lines)
 
 
 def _plan_lines(result):
     rows = (
-        [room["service"], room["slots"], room["left"], room["least"], room["enough"]]
-        for room in result["headroom"]
+        [
+            entry["service"],
+            entry["slots"],
+            entry["left"],
+            entry["least"],
+            entry["enough"],
+        ]
+        for entry in result["headroom"]
     )
-    yield from table(["SERVICE", "SLOTS", "LEFT", "LEAST", "ENOUGH"], rows)
-    yield f"no new work from {instant(result['at'])} on"
+    yield from format_table(["SERVICE", "SLOTS", "LEFT", "LEAST", "ENOUGH"], rows)
+    yield f"no new work from {format_instant(result['at'])} on"
     if "version" in result:
         yield f"planned in version {result['version']}"
 
 
 def _list(args):
-    show(args, client_of(args).get("/v1/drains"), _list_lines)
+    print_result(args, make_client(args).get("/v1/drains"), _list_lines)
 
 
 def _list_lines(drains):
@@ -69,16 +75,18 @@
             drain["id"],
             drain["scope"],
             drain["name"],
-            instant(drain["at"]),
-            instant(drain["until"]) if drain["until"] else "",
+            format_instant(drain["at"]),
+            format_instant(drain["until"]) if drain["until"] else "",
             drain["in_force"],
         ]
         for drain in drains
     )
-    return table(["ID", "SCOPE", "NAME", "FROM", "CANCELLED", "IN FORCE"], rows)
+    return format_table(["ID", "SCOPE", "NAME", "FROM", "CANCELLED", "IN FORCE"], rows)
 
 
 def _cancel(args):
     call = {"id": args.id, "edit_id": token_hex(8), "author": getuser()}
-    result = client_of(args).post("/v1/drain/cancel", call)
-    show(args, result, lambda value: [f"cancelled in version {value['version']}"])
+    result = make_client(args).post("/v1/drain/cancel", call)
+    print_result(
+        args, result, lambda value: [f"cancelled in version {value['version']}"]
+    )
--- a/src/heathercleat/cli/_edit.py
+++ b/src/heathercleat/cli/_edit.py
@@ -6,16 +6,16 @@
 from pathlib import Path
 from secrets import token_hex
 
-from heathercleat.cli._client import add_client_options, client_of
-from heathercleat.cli._output import instant, show, table
+from heathercleat.cli._client import add_client_options, make_client
+from heathercleat.cli._output import format_instant, format_table, print_result
 from heathercleat.codes import ResultCode
 from heathercleat.errors import HeathercleatError
 from heathercleat.version.text import parse_text
 
-DIFFERENT = 1
+EXIT_DIFFERENT = 1
 
 
-def add_edits(commands):
+def add_edit_commands(commands):
     """Add ``check``, ``diff``, ``apply``, ``history`` and ``show`` to the parser."""
     check = _add(commands, "check", "check a text without sending it", _check)
     check.add_argument("text", metavar="TEXT")
@@ -30,7 +30,7 @@
         metavar="VERSION",
         help="the version that the edit was made from; needed once there is one",
     )
-    apply.add_argument("--edit-id", help="the id of an earlier try, to repeat it")
+    apply.add_argument("--edit-id", help="the id of an earlier attempt, to retry it")
     add_client_options(apply)
     history = _add(commands, "history", "list the versions", _history)
     add_client_options(history)
@@ -65,7 +65,7 @@
 def _diff(args):
     source = _read(args.text)
     parse_text(source, args.text)
-    current = client_of(args).get("/v1/text")
+    current = make_client(args).get("/v1/text")
     lines = list(
         unified_diff(
             current["text"].splitlines(),
@@ -76,15 +76,15 @@
         )
     )
     difference = {"version": current["version"], "difference": lines}
-    show(args, difference, lambda value: value["difference"])
+    print_result(args, difference, lambda value: value["difference"])
     if lines:
-        sys.exit(DIFFERENT)
+        sys.exit(EXIT_DIFFERENT)
 
 
 def _apply(args):
     source = _read(args.text)
     parse_text(source, args.text)
-    client = client_of(args)
+    client = make_client(args)
     edit_id = args.edit_id or token_hex(8)
     call = {
         "text": source,
@@ -98,21 +98,23 @@
         if error.code is ResultCode.EDIT_UNKNOWN:
             print(f"repeat with --edit-id {edit_id}", file=sys.stderr)
         raise
-    show(args, result, lambda value: [f"version {value['version']} is accepted"])
+    print_result(
+        args, result, lambda value: [f"version {value['version']} is accepted"]
+    )
 
 
 def _history(args):
-    show(args, client_of(args).get("/v1/history"), _history_lines)
+    print_result(args, make_client(args).get("/v1/history"), _history_lines)
 
 
 def _history_lines(heads):
     rows = (
-        [head["version"], instant(head["at"]), head["author"], head["edit_id"]]
+        [head["version"], format_instant(head["at"]), head["author"], head["edit_id"]]
         for head in heads
     )
-    return table(["VERSION", "AT", "AUTHOR", "EDIT"], rows)
+    return format_table(["VERSION", "AT", "AUTHOR", "EDIT"], rows)
 
 
 def _show(args):
-    result = client_of(args).get("/v1/version", version=args.version)
-    show(args, result, lambda value: [value["text"]])
+    result = make_client(args).get("/v1/version", version=args.version)
+    print_result(args, result, lambda value: [value["text"]])
--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -1,22 +1,22 @@
 """The read-only commands ``status`` and ``explain``."""
 
-from heathercleat.cli._client import add_client_options, client_of
-from heathercleat.cli._output import show, table
+from heathercleat.cli._client import add_client_options, make_client
+from heathercleat.cli._output import format_table, print_result
 from heathercleat.errors import HeathercleatError
 
 
-def add_inspections(commands):
+def add_inspect_commands(commands):
     """Add the ``status`` and ``explain`` commands to the parser."""
     status = commands.add_parser(
         "status",
-        help="what is in force where, and the headroom",
-        description="Ask every entry VM that the called one knows for its state.",
+        help="show the state of all entry VMs, and the headroom",
+        description="Show the state of every entry VM that the called one knows.",
     )
     status.set_defaults(run=_status)
     explain = commands.add_parser(
         "explain",
-        help="why a caller's request goes where it goes",
-        description="Show the look-up and every place for a service, nearest first.",
+        help="show how the requests of a caller are routed",
+        description="Show the look-up and the targets of a service, nearest first.",
     )
     explain.add_argument("service")
     explain.add_argument("--client", metavar="IP", help="the caller's IP number")
@@ -26,7 +26,7 @@
 
 
 def _status(args):
-    client = client_of(args)
+    client = make_client(args)
     first = client.get("/v1/status")
     statuses = [first]
     unreachable = []
@@ -34,7 +34,7 @@
         if entry["vm"] == first["vm"]:
             continue
         try:
-            statuses.append(client.at(entry["host"]).get("/v1/status"))
+            statuses.append(client.with_host(entry["host"]).get("/v1/status"))
         except HeathercleatError:
             unreachable.append(entry["vm"])
     result = {
@@ -42,22 +42,22 @@
         "unreachable": unreachable,
         "headroom": list(_headroom(statuses)),
     }
-    show(args, result, _status_lines)
+    print_result(args, result, _status_lines)
 
 
 def _headroom(statuses):
     """Yield slots and waiting requests per service and failure domain."""
-    sums = {}
+    totals = {}
     for status in statuses:
         for service in status["services"]:
-            place = service["service"], status["failure_domain"]
-            slots, free, waiting = sums.get(place, (0, 0, 0))
-            sums[place] = (
+            key = service["service"], status["failure_domain"]
+            slots, free, waiting = totals.get(key, (0, 0, 0))
+            totals[key] = (
                 slots + service["slots"],
                 free + service["free"],
                 waiting + service["waiting"],
             )
-    for (service, domain), (slots, free, waiting) in sorted(sums.items()):
+    for (service, domain), (slots, free, waiting) in sorted(totals.items()):
         yield {
             "service": service,
             "failure_domain": domain,
@@ -81,23 +81,25 @@
         for status in result["vms"]
     )
     headings = ["VM", "FAILURE DOMAIN", "VERSION", "ACTS", "LEAVES", "PLATFORM"]
-    yield from table([*headings, "HOME OF"], rows)
+    yield from format_table([*headings, "HOME OF"], rows)
     for name in result["unreachable"]:
         yield f"{name}: no answer"
     yield ""
-    rows = (list(room.values()) for room in result["headroom"])
-    yield from table(["SERVICE", "FAILURE DOMAIN", "SLOTS", "FREE", "WAITING"], rows)
+    rows = (list(service_headroom.values()) for service_headroom in result["headroom"])
+    yield from format_table(
+        ["SERVICE", "FAILURE DOMAIN", "SLOTS", "FREE", "WAITING"], rows
+    )
 
 
 def _explain(args):
-    answer = client_of(args).get(
+    answer = make_client(args).get(
         "/v1/explain", service=args.service, client=args.client
     )
-    show(args, answer, _explain_lines)
+    print_result(args, answer, _explain_lines)
 
 
 def _explain_lines(answer):
-    domain = answer["client_domain"] or "no block of the text"
+    domain = answer["client_domain"] or "not in any client block"
     yield f"client {answer['client']}: {domain}"
     yield "entry VMs: " + ", ".join(entry["vm"] for entry in answer["vms"])
     wait = answer["expected_wait"]
@@ -105,15 +107,15 @@
     yield f"share of callers served here: {answer['ready_share']:.2f}"
     rows = (
         [
-            place["target"],
-            place["failure_domain"],
-            place["distance"],
-            place["slots"],
-            place["free"],
-            place.get("cost"),
-            place["state"],
+            target["target"],
+            target["failure_domain"],
+            target["distance"],
+            target["slots"],
+            target["free"],
+            target.get("cost"),
+            target["state"],
         ]
-        for place in answer["places"]
+        for target in answer["places"]
     )
     headings = ["TARGET", "FAILURE DOMAIN", "ONE WAY S", "SLOTS", "FREE", "COST"]
-    yield from table([*headings, "STATE"], rows)
+    yield from format_table([*headings, "STATE"], rows)
--- a/src/heathercleat/cli/_main.py
+++ b/src/heathercleat/cli/_main.py
@@ -30,8 +30,8 @@
 
     :param argv: the arguments, or ``None`` for those of the process.
     """
-    words = sys.argv[1:] if argv is None else argv
-    args = build_parser(words[0] if words else None).parse_args(words)
+    arguments = sys.argv[1:] if argv is None else argv
+    args = build_parser(arguments[0] if arguments else None).parse_args(arguments)
     try:
         args.run(args)
     except (HeathercleatError, FindingsError) as error:
@@ -62,13 +62,13 @@
 
 def _add_operator_commands(commands):
     from heathercleat.cli._drain import add_drain
-    from heathercleat.cli._edit import add_edits
-    from heathercleat.cli._inspect import add_inspections
+    from heathercleat.cli._edit import add_edit_commands
+    from heathercleat.cli._inspect import add_inspect_commands
     from heathercleat.cli._quarantine import add_quarantine
     from heathercleat.cli._trace import add_trace
 
-    add_edits(commands)
+    add_edit_commands(commands)
     add_drain(commands)
-    add_inspections(commands)
+    add_inspect_commands(commands)
     add_quarantine(commands)
     add_trace(commands)
--- a/src/heathercleat/cli/_output.py
+++ b/src/heathercleat/cli/_output.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime
 
 
-def show(args, value, render):
+def print_result(args, value, render):
     """Print ``value`` as JSON if ``--json`` is set, else the lines of ``render``."""
     if args.json:
         print(json.dumps(value, indent=2))
@@ -13,7 +13,7 @@
         print(line)
 
 
-def table(headings, rows):
+def format_table(headings, rows):
     """Yield the lines of a table with aligned columns."""
     cells = [headings, *([_cell(value) for value in row] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(headings))]
@@ -22,7 +22,7 @@
         yield "  ".join(padded).rstrip()
 
 
-def instant(seconds):
+def format_instant(seconds):
     """Return epoch seconds as a UTC date and time."""
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
--- a/src/heathercleat/cli/_quarantine.py
+++ b/src/heathercleat/cli/_quarantine.py
@@ -4,7 +4,7 @@
 
 from curio import run
 
-from heathercleat.cli._output import instant, show, table
+from heathercleat.cli._output import format_instant, format_table, print_result
 from heathercleat.codes import ResultCode
 from heathercleat.errors import HeathercleatError
 from heathercleat.platform.settings import load_node_settings
@@ -23,16 +23,18 @@
     """Add the ``quarantine`` command to the parser."""
     parser = commands.add_parser(
         "quarantine",
-        help="requests that are refused since they end targets",
-        description="Show and lift quarantines as the platform's store keeps them.",
+        help="show and lift quarantines of requests that crash targets",
+        description="Show and lift the quarantines in the platform's store.",
     )
     actions = parser.add_subparsers(title="actions", required=True, metavar="ACTION")
-    listing = actions.add_parser("list", help="all that are in force")
+    listing = actions.add_parser("list", help="list the quarantines in force")
     listing.set_defaults(run=_list)
-    showing = actions.add_parser("show", help="one, with the targets that ended")
+    showing = actions.add_parser(
+        "show", help="show a quarantine and the targets that crashed"
+    )
     showing.set_defaults(run=_show)
     lifting = actions.add_parser(
-        "lift", help="end one, so that the request is run again"
+        "lift", help="lift a quarantine, so that the request is accepted again"
     )
     lifting.set_defaults(run=_lift)
     for each in (showing, lifting):
@@ -47,11 +49,11 @@
 def _list(args):
     now = time.time()
     quarantines = [
-        _described(fingerprint, quarantine)
+        _describe(fingerprint, quarantine)
         for fingerprint, quarantine in _read(args).items()
         if not isinstance(quarantine, QuarantineRow) or quarantine.until > now
     ]
-    show(args, quarantines, _list_lines)
+    print_result(args, quarantines, _list_lines)
 
 
 def _list_lines(quarantines):
@@ -67,43 +69,52 @@
         for each in quarantines
     )
     headings = ["FINGERPRINT", "ROUTE", "SERVICE", "ENDS", "UNTIL", "SEEN BY"]
-    yield from table(headings, rows)
+    yield from format_table(headings, rows)
 
 
 def _show(args):
     found = _find(args, _read(args))
-    show(args, _described(args.fingerprint, found), _show_lines)
+    print_result(args, _describe(args.fingerprint, found), _show_lines)
 
 
 def _show_lines(quarantine):
     for name, value in quarantine.items():
         if name != "ends" and value is not None:
             yield f"{name.replace('_', ' ')}: {value}"
-    yield from (f"ended: {life}" for life in quarantine["ends"])
+    yield from (f"ended: {incarnation}" for incarnation in quarantine["ends"])
 
 
 def _lift(args):
     _find(args, _read(args))
-    _on_store(args, lambda store: store.write(QUARANTINE_TABLE, args.fingerprint, None))
+    _call_store(
+        args, lambda store: store.write(QUARANTINE_TABLE, args.fingerprint, None)
+    )
     result = {"lifted": args.fingerprint}
-    show(args, result, lambda _: [f"{args.fingerprint}: lifted; VMs follow in seconds"])
+    print_result(
+        args,
+        result,
+        lambda _: [f"{args.fingerprint}: lifted; VMs accept it within seconds"],
+    )
 
 
-def _described(fingerprint, quarantine):
+def _describe(fingerprint, quarantine):
     """Return a quarantine, or a row that cannot be decoded, as JSON values."""
     if isinstance(quarantine, ValueError):
-        quarantine, damage = QuarantineRow(None, []), f"cannot be read: {quarantine}"
+        quarantine, decode_error = (
+            QuarantineRow(None, []),
+            f"cannot be read: {quarantine}",
+        )
     else:
-        damage = None
+        decode_error = None
     return {
         "fingerprint": fingerprint,
         "route": quarantine.route,
         "service": quarantine.service,
         "ends": quarantine.ends,
-        "since": quarantine.since and instant(quarantine.since),
-        "until": quarantine.until and instant(quarantine.until),
+        "since": quarantine.since and format_instant(quarantine.since),
+        "until": quarantine.until and format_instant(quarantine.until),
         "seen_by": quarantine.vm,
-        "damage": damage,
+        "damage": decode_error,
     }
 
 
@@ -114,8 +125,8 @@
     """
     if args.fingerprint not in quarantines:
         message = (
-            f'no quarantine of "{args.fingerprint}" in the store: it is over, lifted, '
-            "or the VM that found it could not write it yet"
+            f'no quarantine of "{args.fingerprint}" in the store: it has expired, was '
+            "lifted, or is not written yet; list those in force"
         )
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
     return quarantines[args.fingerprint]
@@ -126,18 +137,18 @@
 
     :raises PlatformError: when the store does not respond.
     """
-    snapshot = _on_store(args, lambda store: store.read(QUARANTINE_TABLE))
-    return {row.key: _unpacked(row) for row in snapshot.rows if row.value is not None}
+    snapshot = _call_store(args, lambda store: store.read(QUARANTINE_TABLE))
+    return {row.key: _unpack_row(row) for row in snapshot.rows if row.value is not None}
 
 
-def _unpacked(row):
+def _unpack_row(row):
     try:
         return QuarantineRow.unpack(row.value)
     except ValueError as error:
         return error
 
 
-def _on_store(args, make_call):
+def _call_store(args, make_call):
     """Return the result of one call to the store named in the settings."""
     settings = load_node_settings(args.settings)
 
--- a/src/heathercleat/cli/_serve.py
+++ b/src/heathercleat/cli/_serve.py
@@ -6,7 +6,7 @@
     parser = commands.add_parser(
         "serve",
         help="run an entry VM",
-        description="Run an entry VM until SIGTERM; no request is cut then.",
+        description="Run an entry VM. On SIGTERM, finish open requests and exit.",
     )
     parser.add_argument("--settings", required=True, metavar="FILE")
     parser.set_defaults(run=_serve)
--- a/src/heathercleat/cli/_steer.py
+++ b/src/heathercleat/cli/_steer.py
@@ -8,8 +8,8 @@
     parser = commands.add_parser(
         "steer",
         help="run a VM on the platform",
-        description="Steer clients' requests to the targets that the platform lists, "
-        "until SIGTERM; no request is cut then.",
+        description="Steer clients' requests to the targets that the platform lists. "
+        "On SIGTERM, finish open requests and exit.",
     )
     parser.add_argument(
         "--settings", metavar="FILE", help="the platform's settings file"
--- a/src/heathercleat/cli/_trace.py
+++ b/src/heathercleat/cli/_trace.py
@@ -9,10 +9,10 @@
 from heathercleat.events import Event
 
 #: Limits on the state changes shown before the last line of a request.
-BELIEFS_SHOWN = 12
-BELIEF_SECONDS = 10.0
+MAX_STATE_CHANGES = 12
+STATE_CHANGE_SECONDS = 10.0
 #: Events on changes of a VM's state that affect routing.
-BELIEFS = frozenset(
+STATE_CHANGE_EVENTS = frozenset(
     event.name.lower()
     for event in (
         Event.CONFIGURATION_ADOPTED,
@@ -29,7 +29,7 @@
     )
 )
 #: Events that refer to all requests with the same fingerprint.
-_SAME_REQUEST = frozenset(
+_FINGERPRINT_EVENTS = frozenset(
     event.name.lower()
     for event in (
         Event.QUARANTINE_ENDED,
@@ -44,9 +44,9 @@
     """Add the ``trace`` command to the parser."""
     parser = commands.add_parser(
         "trace",
-        help="tell from logs what became of a request",
+        help="show the log lines of a request",
         description="Print every log line on a request, over all VMs, the targets that "
-        "ended under it or another attempt of it, and the changes of belief shortly "
+        "crashed under it or another attempt of it, and the changes of state shortly "
         "before its end.",
     )
     parser.add_argument("request", help="the request's id")
@@ -54,22 +54,26 @@
         "logs", nargs="*", metavar="LOG", help="default: standard input"
     )
     parser.add_argument(
-        "--json", action="store_true", help="print log lines as they are"
+        "--json", action="store_true", help="print the log lines as JSON"
     )
     parser.set_defaults(run=_trace)
 
 
 def _trace(args):
     lines = sorted(_read_all(args.logs), key=lambda line: line["at"])
-    own = [line for line in lines if line.get("request") == args.request]
-    if not own:
+    request_lines = [line for line in lines if line.get("request") == args.request]
+    if not request_lines:
         left_out = sum(line["lines"] for line in lines if line["name"] == _LEFT_OUT)
         message = (
-            f'no line on request "{args.request}": it was answered in time, or is one '
-            f"of {left_out} lines left out under load, or its VM's log is missing"
+            f'no line on request "{args.request}": it was answered in time, is among '
+            f"{left_out} lines left out under load, or is in a log that is missing"
         )
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
-    for line in [*_ends(lines, own), *_beliefs(lines, own), *own]:
+    for line in [
+        *_fingerprint_lines(lines, request_lines),
+        *_state_changes(lines, request_lines),
+        *request_lines,
+    ]:
         print(json.dumps(line) if args.json else _render(line))
 
 
@@ -98,29 +102,37 @@
             yield line
 
 
-def _ends(lines, own):
+def _fingerprint_lines(lines, request_lines):
     """Yield lines with the request's fingerprint, up to its last line."""
-    fingerprints = {line.get("fingerprint") for line in own} - {None, ""}
+    fingerprints = {line.get("fingerprint") for line in request_lines} - {None, ""}
     for line in lines:
-        is_same = line.get("fingerprint") in fingerprints and line not in own
-        if is_same and line["name"] in _SAME_REQUEST and line["at"] <= own[-1]["at"]:
+        is_same = line.get("fingerprint") in fingerprints and line not in request_lines
+        if (
+            is_same
+            and line["name"] in _FINGERPRINT_EVENTS
+            and line["at"] <= request_lines[-1]["at"]
+        ):
             yield line
 
 
-def _beliefs(lines, own):
+def _state_changes(lines, request_lines):
     """Return the latest state changes of the VMs that handled a request."""
-    end = own[-1]["at"]
+    end = request_lines[-1]["at"]
     # Without an attempt, the state of any VM may be the cause.
-    tried = {each.split(" ", 1)[0] for line in own for each in line.get("tries", ())}
-    vms = tried | {line["vm"] for line in own if tried}
+    attempted = {
+        each.split(" ", 1)[0]
+        for line in request_lines
+        for each in line.get("tries", ())
+    }
+    vms = attempted | {line["vm"] for line in request_lines if attempted}
     found = [
         line
         for line in lines
-        if line["name"] in BELIEFS
+        if line["name"] in STATE_CHANGE_EVENTS
         and (not vms or line["vm"] in vms)
-        and end - BELIEF_SECONDS <= line["at"] <= end
+        and end - STATE_CHANGE_SECONDS <= line["at"] <= end
     ]
-    latest = nsmallest(BELIEFS_SHOWN, found, key=lambda line: end - line["at"])
+    latest = nsmallest(MAX_STATE_CHANGES, found, key=lambda line: end - line["at"])
     return sorted(latest, key=lambda line: line["at"])
 
 
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -43,12 +43,12 @@
 
 LOOKUP_PATH = "/lookup"
 #: Longest time between two requests on a connection.
-IDLE_SECONDS = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 LINGER_SECONDS = 1.0
 LINGER_BYTES = 16 * 1024 * 1024
 MAX_KEY_LENGTH = 256
 FIRST_SERVER_ERROR = 500
-ID_BYTES = 8
+REQUEST_ID_BYTES = 8
 
 
 class CallerConnection(ServerConnection):
@@ -81,11 +81,11 @@
         except BaseException:
             self._stream.abort()
             raise
-        return await self._can_go_on()
+        return await self._can_reuse_connection()
 
     async def _read_head(self):
         """Return the head of the next request, or ``None`` to close the connection."""
-        deadline = self._vm.clock.now() + IDLE_SECONDS
+        deadline = self._vm.clock.now() + IDLE_TIMEOUT_SECONDS
         try:
             event = await before(deadline, self._vm.clock, self._stream.next_event())
         except TimeoutError:
@@ -109,7 +109,7 @@
         if not self._forwarded and urlsplit(path).path == LOOKUP_PATH:
             await self._serve_lookup(path)
             return
-        call = self._to_call(head, path, headers)
+        call = self._build_call(head, path, headers)
         await self._serve_call(call)
 
     def _check_size(self, head, headers):
@@ -137,7 +137,7 @@
         body = dumps(answer).encode()
         await send_message(self._stream, Message(headers=headers, body=body))
 
-    def _to_call(self, head, path, headers):
+    def _build_call(self, head, path, headers):
         vm = self._vm
         if vm.text is None:
             message = "no configuration is known here yet"
@@ -154,7 +154,9 @@
             raise RequestError(ResultCode.UNKNOWN_KIND, message)
         deadline = self._deadline(headers, kind)
         return Call(
-            id=find(headers, REQUEST_ID) if self._forwarded else token_hex(ID_BYTES),
+            id=find(headers, REQUEST_ID)
+            if self._forwarded
+            else token_hex(REQUEST_ID_BYTES),
             service=service,
             kind=kind,
             method=method,
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -103,12 +103,12 @@
 
         :param request: the h11 events of the request; they are not sent again.
         """
-        rest, _ = self._conn.trailing_data
+        unread, _ = self._conn.trailing_data
         self._conn = self._new_connection()
         for event in request:
             self._conn.send(event)
-        if rest:
-            self._conn.receive_data(rest)
+        if unread:
+            self._conn.receive_data(unread)
 
     def next_message_stream(self):
         """Return a stream for the next pipelined message, or ``None``.
@@ -121,9 +121,9 @@
         if self._conn.our_state not in (h11.SEND_RESPONSE, h11.DONE):
             return None
         stream = HttpStream(self._sock, self._role, self._header_bytes)
-        rest, closed = self._conn.trailing_data
-        if rest:
-            stream._conn.receive_data(rest)
+        unread, closed = self._conn.trailing_data
+        if unread:
+            stream._conn.receive_data(unread)
         if closed:
             stream._conn.receive_data(b"")
         return stream
@@ -261,16 +261,16 @@
 
     :raises ValueError: when the body is larger.
     """
-    parts, size = [], 0
+    chunks, size = [], 0
     while True:
         event = await stream.next_event()
         if isinstance(event, h11.EndOfMessage):
-            return b"".join(parts)
+            return b"".join(chunks)
         if isinstance(event, h11.Data):
             size += len(event.data)
             if size > limit:
                 raise ValueError(f"the body is larger than {limit} bytes")
-            parts.append(bytes(event.data))
+            chunks.append(bytes(event.data))
         else:
             raise EOFError("the body was cut short")
 
--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -125,7 +125,7 @@
 
 @message(10)
 class Handover:
-    """Response to ``AcquireTargets``, with the state of the targets at the earlier home.
+    """Response to ``AcquireTargets``: state of the targets at the earlier home.
 
     ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
     for each occupied slot. ``levels`` holds ``{target: [[instant, slots of spill],
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -143,42 +143,42 @@
 
     async def _apply(self, query, body):
         call = loads(body)
-        base = self._base_of(call)
+        base = self._base_version(call)
         drains = (await self._document_at(base)).drains if base else {}
         return await self._edit(call, base, Document(call["text"], drains))
 
     async def _plan(self, query, body):
         call = loads(body)
         drain = to_drain(call["id"], call["scope"], call["name"], call["at"])
-        base = self._base_of(call)
+        base = self._base_version(call)
         current = await self._document_at(base)
         now = self._vm.clock.wall()
         text = current.parse()
         drain = schedule_drain(text, drain, now)
-        rooms = [
+        headroom = [
             {
-                "service": room.service,
-                "slots": room.slots,
-                "left": room.left,
-                "least": room.least,
-                "enough": room.enough,
+                "service": entry.service,
+                "slots": entry.slots,
+                "left": entry.left,
+                "least": entry.least,
+                "enough": entry.enough,
             }
-            for room in headroom_after(text, drain, now)
+            for entry in headroom_after(text, drain, now)
         ]
         if call.get("dry_run"):
-            return {"headroom": rooms, "at": drain.at}
+            return {"headroom": headroom, "at": drain.at}
         document = plan_drain(current, drain, now)
         result = await self._edit(call, base, document)
-        return {"headroom": rooms, "at": drain.at, **result}
+        return {"headroom": headroom, "at": drain.at, **result}
 
     async def _cancel(self, query, body):
         call = loads(body)
-        base = self._base_of(call)
+        base = self._base_version(call)
         now = self._vm.clock.wall()
         document = cancel_drain(await self._document_at(base), call["id"], now)
         return await self._edit(call, base, document)
 
-    def _base_of(self, call):
+    def _base_version(self, call):
         return int(call.get("base_version", self._vm.version))
 
     async def _document_at(self, version):
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -1,4 +1,4 @@
-"""ConnectionPool of HTTP connections to targets and other VMs."""
+"""Pool of HTTP connections to targets and other VMs."""
 
 from collections import deque
 
@@ -7,7 +7,7 @@
 from heathercleat.connection.http import HttpStream, open_socket
 
 #: Default for the longest time that a connection stays idle in the pool.
-IDLE_SECONDS = 15.0
+IDLE_TIMEOUT_SECONDS = 15.0
 
 
 class ConnectionLimitError(OSError):
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, clock, source_ip, fence, on_open=None, idle_seconds=IDLE_SECONDS
+        self, clock, source_ip, fence, on_open=None, idle_seconds=IDLE_TIMEOUT_SECONDS
     ):
         self._clock = clock
         self._source_ip = source_ip
@@ -50,12 +50,12 @@
         await self._fence().wait_if_fenced(host)
         address = (host, port)
         idle = self._idle.setdefault(address, deque())
-        await self._drop_old(address, idle)
+        await self._close_expired(address, idle)
         while idle and not fresh and _is_recent(idle[-1], max_age, self._clock.now()):
-            kept = idle.pop()
-            if kept.stream.is_clean():
-                return kept.stream
-            await self.discard(host, port, kept.stream)
+            idle_connection = idle.pop()
+            if idle_connection.stream.is_clean():
+                return idle_connection.stream
+            await self.discard(host, port, idle_connection.stream)
         if limit is not None and self.open_count(host, port) >= limit:
             if not idle:
                 raise ConnectionLimitError(f"{host}:{port} has {limit} connections")
@@ -79,16 +79,16 @@
             await self.discard(host, port, stream)
             return
         now = self._clock.now()
-        lasts = self._idle_seconds if keep_for is None else keep_for
-        expires_at = now + min(self._idle_seconds, lasts)
-        kept = _Kept(stream, now, expires_at)
-        self._idle.setdefault((host, port), deque()).append(kept)
+        peer_idle_seconds = self._idle_seconds if keep_for is None else keep_for
+        expires_at = now + min(self._idle_seconds, peer_idle_seconds)
+        idle_connection = _IdleConnection(stream, now, expires_at)
+        self._idle.setdefault((host, port), deque()).append(idle_connection)
 
     async def add_unused(self, host, port, stream):
         """Add a connection to the pool on which nothing was sent yet."""
         now = self._clock.now()
-        kept = _Kept(stream, now, now + self._idle_seconds)
-        self._idle.setdefault((host, port), deque()).append(kept)
+        idle_connection = _IdleConnection(stream, now, now + self._idle_seconds)
+        self._idle.setdefault((host, port), deque()).append(idle_connection)
 
     def idle_count(self, host, port):
         """Return the number of idle connections to an address."""
@@ -108,24 +108,24 @@
     async def sweep(self):
         """Close the idle connections that have expired."""
         for address, idle in list(self._idle.items()):
-            await self._drop_old(address, idle)
+            await self._close_expired(address, idle)
 
-    async def _drop_old(self, address, idle):
+    async def _close_expired(self, address, idle):
         now = self._clock.now()
         while idle and idle[0].expires_at <= now:
             await self.discard(*address, idle.popleft().stream)
 
 
-class _Kept:
-    """An idle connection; ``since`` and ``expires_at`` are monotonic instants."""
+class _IdleConnection:
+    """An idle connection; ``idle_since`` and ``expires_at`` are monotonic instants."""
 
-    __slots__ = ("stream", "since", "expires_at")
+    __slots__ = ("stream", "idle_since", "expires_at")
 
-    def __init__(self, stream, since, expires_at):
+    def __init__(self, stream, idle_since, expires_at):
         self.stream = stream
-        self.since = since
+        self.idle_since = idle_since
         self.expires_at = expires_at
 
 
-def _is_recent(kept, max_age, now):
-    return max_age is None or now - kept.since <= max_age
+def _is_recent(idle_connection, max_age, now):
+    return max_age is None or now - idle_connection.idle_since <= max_age
--- a/src/heathercleat/connection/server.py
+++ b/src/heathercleat/connection/server.py
@@ -48,7 +48,7 @@
         """Serve one request; return whether the connection can be reused."""
         raise NotImplementedError
 
-    async def _can_go_on(self):
+    async def _can_reuse_connection(self):
         """Return whether the connection can be reused after the current request."""
         if not self._stream.is_request_complete:
             async with ignore_after(self._linger_seconds):
--- a/src/heathercleat/platform/decode.py
+++ b/src/heathercleat/platform/decode.py
@@ -15,7 +15,7 @@
 
 #: Defaults of a route without its own values.
 DEFAULT_TIMEOUT = "60s"
-DEFAULT_LATENCY_AIM = "1s"
+DEFAULT_LATENCY_OBJECTIVE = "1s"
 
 
 def decode_operator_rows(rows):
@@ -41,9 +41,11 @@
     """
     try:
         document = json.loads(value)
-        services = {each["name"]: _service(each) for each in document["services"]}
+        services = {
+            each["name"]: _decode_service(each) for each in document["services"]
+        }
         routes = [
-            _route(host["host"], path)
+            _decode_route(host["host"], path)
             for host in document["hosts"]
             for path in host["paths"]
         ]
@@ -51,19 +53,19 @@
             version=parse_version(document["version"]),
             routes=routes,
             services=services,
-            limits=_limits(document["limits"]),
+            limits=_decode_limits(document["limits"]),
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"not a configuration: {error!r}") from None
 
 
-def _service(document):
+def _decode_service(document):
     # Requests per second that a target can handle while its cache is cold.
     cold_requests_per_second = float(document.get("coldPerS", 0)) or None
     return Service(document["name"], cold_requests_per_second)
 
 
-def _route(host, document):
+def _decode_route(host, document):
     return Route(
         name=document["name"],
         host=host,
@@ -71,25 +73,25 @@
         kind=RequestKind(document["kind"]),
         timeout=parse_duration(document.get("timeout", DEFAULT_TIMEOUT)),
         latency_objective=parse_duration(
-            document.get("targetLatency", DEFAULT_LATENCY_AIM)
+            document.get("targetLatency", DEFAULT_LATENCY_OBJECTIVE)
         ),
         priority=int(document.get("priority", 0)),
         max_attempts=int(document.get("maxAttempts", 1)),
         sticky=bool(document.get("sessionAffinity", False)),
         regions=frozenset(document.get("allowedRegions") or ()),
-        shares=tuple(_shares(document)),
+        shares=tuple(_decode_shares(document)),
     )
 
 
-def _shares(document):
+def _decode_shares(document):
     if document.get("trafficSplit"):
-        for part in document["trafficSplit"]:
-            yield ServiceShare(part["service"], float(part["weight"]))
+        for entry in document["trafficSplit"]:
+            yield ServiceShare(entry["service"], float(entry["weight"]))
     else:
         yield ServiceShare(document["service"], 1.0)
 
 
-def _limits(document):
+def _decode_limits(document):
     return Limits(
         header_bytes=int(document["maxHeaderBytes"]),
         body_bytes=int(document["maxBodyBytes"]),
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -14,23 +14,25 @@
 from heathercleat.steering.request.call import ClientHead
 
 #: Time that a client waits for the response if its request has no deadline.
-DEFAULT_WAIT = 30.0
+DEFAULT_WAIT_SECONDS = 30.0
 #: Statuses that tell a client that its request has not been executed.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _MISDIRECTED = 421
-_SET_HERE = (DEADLINE_MS, EXPECTED_INSTANCE)
+_OVERWRITTEN_HEADERS = (DEADLINE_MS, EXPECTED_INSTANCE)
 
 
 def parse_client_head(headers):
     """Return the :class:`ClientHead` for the headers of a client's request."""
-    request_id, wait, affinity = None, DEFAULT_WAIT, None
+    request_id, wait, affinity = None, DEFAULT_WAIT_SECONDS, None
     for name, value in headers:
         if name == REQUEST_ID:
             request_id = value.decode("latin-1")
         elif name == DEADLINE_MS:
-            wait = _milliseconds(value)
+            wait = _parse_milliseconds(value)
         elif name == b"cookie":
-            affinity = _cookie(value.decode("latin-1"), AFFINITY_COOKIE) or affinity
+            affinity = (
+                _find_cookie(value.decode("latin-1"), AFFINITY_COOKIE) or affinity
+            )
     return ClientHead(request_id, wait, affinity)
 
 
@@ -42,7 +44,7 @@
     :param target_id: the only incarnation that may execute the request.
     """
     for name, value in headers:
-        if name not in _SET_HERE:
+        if name not in _OVERWRITTEN_HEADERS:
             yield name, value
     yield DEADLINE_MS, str(max(1, int(remaining * 1000))).encode()
     yield EXPECTED_INSTANCE, target_id.encode()
@@ -61,9 +63,9 @@
         elif name == b"content-encoding":
             head.encoded = True
         elif name == TARGET_LOAD:
-            head.running, head.waiting = _load(value)
+            head.running, head.waiting = _parse_load(value)
         elif name == b"keep-alive":
-            head.keep_for = _keep_alive(value)
+            head.keep_for = _parse_keep_alive_timeout(value)
     if status == _MISDIRECTED:
         head.not_run = True
         head.replaced = True
@@ -76,14 +78,14 @@
     return [(RETRY_AFTER, f"{wait:.3f}".encode())]
 
 
-def _milliseconds(value):
+def _parse_milliseconds(value):
     try:
         return int(value) / 1000
     except ValueError:
-        return DEFAULT_WAIT
+        return DEFAULT_WAIT_SECONDS
 
 
-def _cookie(value, name):
+def _find_cookie(value, name):
     for part in value.split(";"):
         key, _, text = part.strip().partition("=")
         if key == name:
@@ -91,7 +93,7 @@
     return None
 
 
-def _load(value):
+def _parse_load(value):
     """Return ``(running, waiting)``, or ``(None, None)`` when it is malformed."""
     try:
         running, waiting, _ = value.split(b",")
@@ -100,7 +102,7 @@
         return None, None
 
 
-def _keep_alive(value):
+def _parse_keep_alive_timeout(value):
     """Return the idle timeout of the target's connection in seconds, or ``None``."""
     for part in value.split(b","):
         key, _, text = part.strip().partition(b"=")
--- a/src/heathercleat/platform/settings.py
+++ b/src/heathercleat/platform/settings.py
@@ -62,33 +62,35 @@
     :raises FindingsError: for missing or malformed fields.
     """
     reader = _Reader(document if isinstance(document, dict) else {})
-    ports = reader.field("internalPorts", _port_range)
+    ports = reader.read("internalPorts", _parse_port_range)
     settings = NodeSettings(
-        vm=reader.field("node", str),
-        ip=reader.field("ip", str),
-        failure_domain=reader.field("zone", str),
-        region=reader.field("region", str),
-        regions=reader.field("zones", dict),
-        front=reader.field("listen.front", _address),
-        ready=reader.field("listen.ready", _address),
-        directory=reader.field("listen.directory", _address),
+        vm=reader.read("node", str),
+        ip=reader.read("ip", str),
+        failure_domain=reader.read("zone", str),
+        region=reader.read("region", str),
+        regions=reader.read("zones", dict),
+        front=reader.read("listen.front", _parse_address),
+        ready=reader.read("listen.ready", _parse_address),
+        directory=reader.read("listen.directory", _parse_address),
         first_inner_port=ports[0] if ports else None,
-        seeds=reader.field("seeds", _hosts, default=()),
-        store=reader.field("platform.address", _address),
-        memory=reader.field("limits.memoryMb", _bytes, default=512 * _MEGABYTE),
+        seeds=reader.read("seeds", _parse_hosts, default=()),
+        store=reader.read("platform.address", _parse_address),
+        memory=reader.read(
+            "limits.memoryMb", _megabytes_to_bytes, default=512 * _MEGABYTE
+        ),
         # cpuShare is the share of one core; cores is the relative speed of that core.
-        cores=reader.field("limits.cpuShare", float, default=1.0)
-        * reader.field("limits.cores", float, default=1.0),
-        link_mbps=reader.field("limits.linkMbps", float, default=1000.0),
-        bounds=reader.field("bounds", _bounds, default=Bounds()),
-        path=path_of(name),
+        cores=reader.read("limits.cpuShare", float, default=1.0)
+        * reader.read("limits.cores", float, default=1.0),
+        link_mbps=reader.read("limits.linkMbps", float, default=1000.0),
+        bounds=reader.read("bounds", _parse_bounds, default=Bounds()),
+        path=existing_path(name),
     )
     if reader.findings:
         raise FindingsError(str(name), reader.findings)
     return settings
 
 
-def path_of(name):
+def existing_path(name):
     """Return ``name`` if it is an existing path, else ``None``."""
     return name if os.path.exists(name) else None
 
@@ -100,45 +102,45 @@
         self._document = document
         self.findings = []
 
-    def field(self, path, convert, default=None):
+    def read(self, path, convert, default=None):
         value = self._document
         for part in path.split("."):
             value = value.get(part) if isinstance(value, dict) else None
         if value is None:
             if default is None:
-                self._report(path, "missing")
+                self._add_finding(path, "missing")
             return default
         try:
             return convert(value)
         except (TypeError, ValueError) as error:
-            self._report(path, f"{value!r}: {error}")
+            self._add_finding(path, f"{value!r}: {error}")
             return default
 
-    def _report(self, path, problem):
+    def _add_finding(self, path, problem):
         pointer = "/" + path.replace(".", "/")
         code = ResultCode.SETTINGS_INVALID
         self.findings.append(Finding(problem, pointer, 0, 0, code))
 
 
-def _address(text):
+def _parse_address(text):
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
 
 
-def _hosts(addresses):
-    return tuple(_address(each).host for each in addresses)
+def _parse_hosts(addresses):
+    return tuple(_parse_address(each).host for each in addresses)
 
 
-def _port_range(ports):
+def _parse_port_range(ports):
     first, last = ports
     return int(first), int(last)
 
 
-def _bytes(megabytes):
+def _megabytes_to_bytes(megabytes):
     return int(megabytes) * _MEGABYTE
 
 
-def _bounds(entries):
+def _parse_bounds(entries):
     """Return the :class:`Bounds` of ``name=value`` entries, ignoring unknown names."""
     values = dict(entry.split("=", 1) for entry in entries if "=" in entry)
     bounds = Bounds()
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -55,7 +55,7 @@
             if start is not None:
                 query["from"] = start
             answer = await self._call("GET", f"{READ_PATH}?{urlencode(query)}")
-            page = [_row(each) for each in answer["rows"]]
+            page = [_decode_row(each) for each in answer["rows"]]
             rows.extend(page)
             version = answer["ver"] if version is None else version
             if not answer.get("truncated") or not page:
@@ -72,7 +72,7 @@
         query = {"table": table, "after": after, "waitMs": int(wait * 1000)}
         path = f"{FEED_PATH}?{urlencode(query)}"
         answer = await self._call("GET", path, wait=wait)
-        rows = [_row(each) for each in answer["rows"]]
+        rows = [_decode_row(each) for each in answer["rows"]]
         return Snapshot(answer["ver"], rows, is_whole=False)
 
     async def write(self, table, key, value):
@@ -121,8 +121,8 @@
         return stream
 
 
-def _row(document):
+def _decode_row(document):
     # A removed row has a tombstone instead of a value.
-    dropped = document.get("tombstone", False)
-    value = None if dropped else b64decode(document["value"])
+    is_removed = document.get("tombstone", False)
+    value = None if is_removed else b64decode(document["value"])
     return StoreRow(document["key"], value, document["ver"])
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -13,13 +13,13 @@
 
 #: State of a target, and whether it is draining.
 _STATES = {"ready": False, "draining": True}
-_MOST_PORT = 65535
+_MAX_PORT = 65535
 #: Upper limit for plausible values.
 MAX_SLOTS = 10_000
 #: Upper limit of counters and times: 64-bit signed integers.
 MAX_COUNT = 1 << 63
 #: Maximum length of a value in error messages.
-_SHOWN = 60
+_MAX_SHOWN_LENGTH = 60
 
 
 def decode_target(row):
@@ -28,90 +28,92 @@
     :param row: a :class:`StoreRow` with a value.
     :raises ValueError: when the row is malformed.
     """
-    document = _document(row.value)
-    host, port = _address(document)
+    document = _parse_object(row.value)
+    host, port = _parse_address(document)
     # The version is not used, but every row written by a target has one.
-    _text(document, "version")
+    _string(document, "version")
     return TargetEntry(
         id=_target_id(row.key),
-        service=_text(document, "service"),
+        service=_string(document, "service"),
         host=host,
         port=port,
-        failure_domain=_text(document, "zone"),
-        slots=_whole(document, "slots", least=1, most=MAX_SLOTS),
-        draining=_draining(document),
-        cold_for=_cold_for(document),
-        sequence=_whole(document, "sequence"),
-        started_ms=_whole(document, "born") if "born" in document else None,
+        failure_domain=_string(document, "zone"),
+        slots=_integer(document, "slots", minimum=1, maximum=MAX_SLOTS),
+        draining=_is_draining(document),
+        cold_for=_cold_seconds(document),
+        sequence=_integer(document, "sequence"),
+        started_ms=_integer(document, "born") if "born" in document else None,
         version=row.version,
     )
 
 
-def _document(value):
+def _parse_object(value):
     try:
         document = json.loads(value)
     except RecursionError:
         raise ValueError("the value is nested too deeply") from None
     if not isinstance(document, dict):
-        raise ValueError(f"the value is {_show(document)}; it has to be a map")
+        raise ValueError(f"the value is {_abbreviate(document)}; it has to be a map")
     return document
 
 
 def _target_id(key):
     """Return the id of a target, which has to be a valid header value."""
     if not (key.isascii() and key.isprintable()) or " " in key or not key:
-        raise ValueError(f"the key {_show(key)} is no id of a target")
+        raise ValueError(f"the key {_abbreviate(key)} is no id of a target")
     return key
 
 
-def _address(document):
+def _parse_address(document):
     """Return the IP address and port."""
-    text = _text(document, "address")
+    text = _string(document, "address")
     host, _, port = text.rpartition(":")
     try:
         IPv4Address(host)
         number = int(port)
     except ValueError:
         number = 0
-    if not (port.isdecimal() and 1 <= number <= _MOST_PORT):
-        raise _bad("address", text, "an IPv4 number and a port")
+    if not (port.isdecimal() and 1 <= number <= _MAX_PORT):
+        raise _invalid_field("address", text, "an IPv4 number and a port")
     return host, number
 
 
-def _draining(document):
-    state = _text(document, "state")
+def _is_draining(document):
+    state = _string(document, "state")
     if state not in _STATES:
-        raise _bad("state", state, f"one of {', '.join(_STATES)}")
+        raise _invalid_field("state", state, f"one of {', '.join(_STATES)}")
     return _STATES[state]
 
 
-def _cold_for(document):
-    text = _text(document, "coldRemaining")
+def _cold_seconds(document):
+    text = _string(document, "coldRemaining")
     number = parse_duration(text)
     if not (isfinite(number) and number >= 0):
-        raise _bad("coldRemaining", text, "a time of 0 or more")
+        raise _invalid_field("coldRemaining", text, "a time of 0 or more")
     return number
 
 
-def _text(document, name):
+def _string(document, name):
     """Return a field that has to be a non-empty string."""
     value = document.get(name)
     if not isinstance(value, str) or not value:
-        raise _bad(name, value, "a text")
+        raise _invalid_field(name, value, "a text")
     return value
 
 
-def _whole(document, name, least=0, most=MAX_COUNT):
+def _integer(document, name, minimum=0, maximum=MAX_COUNT):
     """Return a field that has to be an integer in a range; booleans are rejected."""
     value = document.get(name)
-    if type(value) is not int or not least <= value <= most:
-        raise _bad(name, value, f"a whole number from {least} to {most}")
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise _invalid_field(name, value, f"a whole number from {minimum} to {maximum}")
     return value
 
 
-def _bad(name, value, wanted):
-    return ValueError(f'the field "{name}" is {_show(value)}; it has to be {wanted}')
+def _invalid_field(name, value, expected):
+    return ValueError(
+        f'the field "{name}" is {_abbreviate(value)}; it has to be {expected}'
+    )
 
 
-def _show(value):
-    return "missing or null" if value is None else repr(value)[:_SHOWN]
+def _abbreviate(value):
+    return "missing or null" if value is None else repr(value)[:_MAX_SHOWN_LENGTH]
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -56,14 +56,18 @@
         :param domain: one of the table's failure domains, or ``None``.
         """
         value = NO_DOMAIN if domain is None else self._domains.index(domain)
-        left = bisect_right(self._starts, first) - 1
-        right = bisect_right(self._starts, last) - 1
-        after = NO_DOMAIN if right < 0 else self._values[right]
-        begin = left if left >= 0 and self._starts[left] == first else left + 1
-        end = right + 1
+        first_index = bisect_right(self._starts, first) - 1
+        last_index = bisect_right(self._starts, last) - 1
+        after = NO_DOMAIN if last_index < 0 else self._values[last_index]
+        begin = (
+            first_index
+            if first_index >= 0 and self._starts[first_index] == first
+            else first_index + 1
+        )
+        end = last_index + 1
         starts, values = array("I", [first]), array("H", [value])
-        follows = end < len(self._starts) and self._starts[end] == last + 1
-        if last < 0xFFFFFFFF and not follows:
+        has_adjacent_range = end < len(self._starts) and self._starts[end] == last + 1
+        if last < 0xFFFFFFFF and not has_adjacent_range:
             starts.append(last + 1)
             values.append(after)
         self._starts[begin:end] = starts
--- a/src/heathercleat/version/domain_ranking.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -17,13 +17,13 @@
         self._text = text
         self._wall = wall
         self._avoided = avoided
-        self._serving = {}
+        self._serving_domains = {}
 
     def serving_domains(self, service):
         """Return the failure domains where a service has undrained targets."""
-        domains = self._serving.get(service.name)
+        domains = self._serving_domains.get(service.name)
         if domains is None:
-            domains = self._serving[service.name] = {
+            domains = self._serving_domains[service.name] = {
                 target.failure_domain
                 for target in service.targets.values()
                 if not self._text.find_drain(target, self._wall)
@@ -55,13 +55,13 @@
         """
         serving_domains = self.serving_domains(service)
 
-        def cost(domain):
-            way = self._text.distance(caller_domain, domain)
-            total = way + self.dependency_latency(service, domain)
-            left = domain not in serving_domains or domain in self._avoided
-            return left, total, way, domain
+        def sort_key(domain):
+            latency = self._text.distance(caller_domain, domain)
+            total = latency + self.dependency_latency(service, domain)
+            is_last_choice = domain not in serving_domains or domain in self._avoided
+            return is_last_choice, total, latency, domain
 
-        return sorted(self._text.failure_domains, key=cost)
+        return sorted(self._text.failure_domains, key=sort_key)
 
     def _dependencies(self, service):
         return [self._text.services[name] for name in service.depends_on]
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -15,14 +15,14 @@
 
 
 class DrainRamps:
-    """DrainRamps of all failure domains, for one version of the configuration.
+    """Ramps of all failure domains, for one version of the configuration.
 
     :param services: ``{name: Service}``.
     """
 
     def __init__(self, services):
         self._services = services
-        self._leads = {}
+        self._ramp_seconds = {}
 
     def ramp_seconds(self, failure_domain):
         """Return the duration of a failure domain's ramp, in seconds.
@@ -31,11 +31,14 @@
         to its other targets within their shift caps. Services whose caps allow no slots
         elsewhere are ignored, because their callers cannot be served there.
         """
-        known = self._leads.get(failure_domain)
-        if known is None:
-            leads = (_lead(each, failure_domain) for each in self._services.values())
-            known = self._leads[failure_domain] = max(leads, default=0.0)
-        return known
+        cached = self._ramp_seconds.get(failure_domain)
+        if cached is None:
+            durations = (
+                _service_ramp_seconds(each, failure_domain)
+                for each in self._services.values()
+            )
+            cached = self._ramp_seconds[failure_domain] = max(durations, default=0.0)
+        return cached
 
     def avoided(self, drains, wall, caller):
         """Return the drained failure domains that a caller has moved away from.
@@ -57,13 +60,17 @@
 def departed_share(drain, ramp_seconds, wall):
     """Return the share of a domain's callers that have to be away at ``wall``.
 
-    It rises linearly to 1 over the ``ramp_seconds`` seconds before the drain begins, and falls
+    It rises linearly to 1 over the ``ramp_seconds`` before the drain begins, and falls
     to 0 at the same rate after the drain was cancelled.
     """
     if drain.until is None or wall < drain.until:
-        return _risen(drain.at, ramp_seconds, wall)
-    left = _risen(drain.at, ramp_seconds, drain.until)
-    return max(0.0, left - (wall - drain.until) / ramp_seconds) if ramp_seconds else 0.0
+        return _rising_share(drain.at, ramp_seconds, wall)
+    share_at_cancellation = _rising_share(drain.at, ramp_seconds, drain.until)
+    return (
+        max(0.0, share_at_cancellation - (wall - drain.until) / ramp_seconds)
+        if ramp_seconds
+        else 0.0
+    )
 
 
 @lru_cache(maxsize=65536)
@@ -72,13 +79,13 @@
     return weight("ramp", caller) / _POSITIONS
 
 
-def _risen(at, ramp_seconds, wall):
+def _rising_share(at, ramp_seconds, wall):
     if wall >= at:
         return 1.0
     return max(0.0, 1.0 - (at - wall) / ramp_seconds) if ramp_seconds else 0.0
 
 
-def _lead(service, failure_domain):
+def _service_ramp_seconds(service, failure_domain):
     slots, allowed, window = 0, 0, 0.0
     for target in service.targets.values():
         if target.shift_cap is None:
--- a/src/heathercleat/version/placement.py
+++ b/src/heathercleat/version/placement.py
@@ -42,11 +42,11 @@
         :param names: the VMs that may be homes; the result is empty without any.
         """
         names = tuple(sorted(names))
-        known = self._homes.get(failure_domain)
-        if known is None or known[0] != names:
+        cached = self._homes.get(failure_domain)
+        if cached is None or cached[0] != names:
             homes = dict(self._assign(failure_domain, names))
-            known = self._homes[failure_domain] = names, homes
-        return known[1]
+            cached = self._homes[failure_domain] = names, homes
+        return cached[1]
 
     def homes_of(self, service, failure_domain, names):
         """Return the VMs that are homes of a service's targets, without duplicates."""
@@ -65,13 +65,15 @@
         if not names:
             return
         pools = self._pools_in(failure_domain)
-        even = sum(pool.slots for pool in pools) / len(names)
+        mean_slots = sum(pool.slots for pool in pools) / len(names)
         loads = dict.fromkeys(names, 0)
         for pool in pools:
-            fitting = (
-                name for name in rank_by_weight(pool.name, names) if loads[name] < even
+            available = (
+                name
+                for name in rank_by_weight(pool.name, names)
+                if loads[name] < mean_slots
             )
-            home = next(fitting, names[0])
+            home = next(available, names[0])
             loads[home] += pool.slots
             yield from ((target, home) for target in pool.targets)
 
@@ -81,20 +83,24 @@
             pools = [
                 pool
                 for service in self._services.values()
-                for pool in _divide(service, service.targets_in(failure_domain))
+                for pool in _split_into_pools(
+                    service, service.targets_in(failure_domain)
+                )
             ]
             pools.sort(key=lambda pool: (-pool.slots, weight("order", pool.name)))
             self._pools[failure_domain] = pools
         return pools
 
 
-def _divide(service, targets):
+def _split_into_pools(service, targets):
     """Yield the pools of a service's targets in one failure domain."""
     slots = {target.name: target.slots for target in targets}
     count = max(1, sum(slots.values()) // MIN_POOL_SLOTS)
     pools = {f"{service.name}/{number}": [] for number in range(count)}
     for target, pool in assign_evenly(list(slots), list(pools)).items():
         pools[pool].append(target)
-    for name, members in pools.items():
-        if members:
-            yield TargetPool(name, tuple(members), sum(slots[each] for each in members))
+    for name, target_names in pools.items():
+        if target_names:
+            yield TargetPool(
+                name, tuple(target_names), sum(slots[each] for each in target_names)
+            )
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -199,7 +199,7 @@
             for name, other in service.targets.items()
             if other.failure_domain == target.failure_domain
         }
-        return _divide(limit, slots).get(target.name, 0)
+        return _divide_slots(limit, slots).get(target.name, 0)
 
     def has_region_limit(self, failure_domain):
         """Return whether the region of a failure domain has a limit."""
@@ -262,14 +262,14 @@
     document = loads(source, name)
     faults = list(find_schema_faults(document)) or list(find_semantic_faults(document))
     if faults:
-        raise FindingsError(name, _with_places(source, faults))
+        raise FindingsError(name, _locate_faults(source, faults))
     return _build(document)
 
 
-def _with_places(source, faults):
-    places = locate(source, [fault.pointer for fault in faults])
+def _locate_faults(source, faults):
+    positions = locate(source, [fault.pointer for fault in faults])
     findings = [
-        Finding(fault.message, fault.pointer, *places[fault.pointer])
+        Finding(fault.message, fault.pointer, *positions[fault.pointer])
         for fault in faults
     ]
     return sorted(findings, key=lambda finding: (finding.line, finding.column))
@@ -340,7 +340,7 @@
 
 def _targets(service, entry, region_shares):
     shift = entry.get("shift_cap")
-    shares = _divide(
+    shares = _divide_slots(
         shift["slots"] if shift else 0,
         {name: target["slots"] for name, target in entry["targets"].items()},
     )
@@ -373,23 +373,26 @@
             for name, target in service["targets"].items()
             if target["failure_domain"] in entry["failure_domains"]
         }
-        shares.update(_divide(entry["limit"], slots))
+        shares.update(_divide_slots(entry["limit"], slots))
     return shares
 
 
-def _divide(total, weights):
+def _divide_slots(total, weights):
     """Divide ``total`` slots in proportion to weights (largest remainder method)."""
-    whole = sum(weights.values())
-    if not whole:
+    total_weight = sum(weights.values())
+    if not total_weight:
         return dict.fromkeys(weights, 0)
-    shares = {name: total * part // whole for name, part in weights.items()}
-    left = total - sum(shares.values())
-    order = sorted(
+    shares = {
+        name: total * target_slots // total_weight
+        for name, target_slots in weights.items()
+    }
+    unassigned = total - sum(shares.values())
+    by_remainder = sorted(
         weights,
-        key=lambda name: (total * weights[name] % whole, weight("share", name)),
+        key=lambda name: (total * weights[name] % total_weight, weight("share", name)),
         reverse=True,
     )
-    for name in order[:left]:
+    for name in by_remainder[:unassigned]:
         shares[name] += 1
     return shares
 
--- a/src/heathercleat/version/validation.py
+++ b/src/heathercleat/version/validation.py
@@ -48,7 +48,7 @@
     for domain, count in Counter(_domains(document)).items():
         if count > 1:
             yield Fault(
-                "/regions", f'failure domain "{domain}" stands in {count} regions'
+                "/regions", f'failure domain "{domain}" is in {count} regions; keep one'
             )
 
 
@@ -69,14 +69,18 @@
                 f'target "{name}" has no slots; give one or more, or plan a drain',
             )
         if names[name] > 1:
-            yield Fault(pointer, f'target name "{name}" stands {names[name]} times')
+            yield Fault(
+                pointer, f'target name "{name}" is used {names[name]} times; rename one'
+            )
         if addresses[address] > 1:
             yield Fault(
                 f"{pointer}/address",
                 f'address "{address}" belongs to {addresses[address]} targets',
             )
         if not _is_address(address):
-            yield Fault(f"{pointer}/address", f'"{address}" is not an IP and port')
+            yield Fault(
+                f"{pointer}/address", f'"{address}" is not an IP address and port'
+            )
 
 
 def _is_address(address):
@@ -120,7 +124,7 @@
                 method = earlier[0]
                 if method == kind["method"] and kind["path"].startswith(path):
                     yield Fault(
-                        f"{pointer}/path", f'"{path}" above takes every such request'
+                        f"{pointer}/path", f'"{path}" above matches all these requests'
                     )
             seen[kind["method"], kind["path"]] = kind["path"]
 
@@ -130,22 +134,22 @@
         cap = service.get("shift_cap")
         pointer = _pointer("services", name, "shift_cap")
         if cap and not cap["window_s"]:
-            yield Fault(f"{pointer}/window_s", "a window of 0 s caps nothing")
+            yield Fault(f"{pointer}/window_s", "a window of 0 s has no effect")
         slots = sum(target["slots"] for target in service["targets"].values())
         if cap and cap["slots"] > slots:
             yield Fault(
                 f"{pointer}/slots",
-                f"a cap of {cap['slots']} slots is above all {slots} of the service",
+                f"a cap of {cap['slots']} slots exceeds the {slots} of the service",
             )
 
 
 def _check_links(document):
     domains = set(_domains(document))
     for index, link in enumerate(document.get("links", ())):
-        for place, domain in enumerate(link["between"]):
+        for position, domain in enumerate(link["between"]):
             if domain not in domains:
                 yield Fault(
-                    _pointer("links", index, "between", place),
+                    _pointer("links", index, "between", position),
                     f'unknown failure domain "{domain}"; list it under regions',
                 )
 
--- a/src/heathercleat/version/version_transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -25,7 +25,7 @@
 
     def __init__(self):
         self._text = None
-        self._earlier = []
+        self._superseded = []
 
     @property
     def text(self):
@@ -38,58 +38,60 @@
         :param now: a monotonic instant.
         """
         if self._text is not None:
-            self._earlier.append(SupersededText(self._text, now + PROPAGATION_SECONDS))
+            self._superseded.append(
+                SupersededText(self._text, now + PROPAGATION_SECONDS)
+            )
         self._text = text
 
     def expire_superseded(self, now):
         """Drop the expired versions; return whether there were any."""
-        settled = [each for each in self._earlier if each.until <= now]
-        for each in settled:
-            self._earlier.remove(each)
-        return bool(settled)
+        expired = [each for each in self._superseded if each.until <= now]
+        for each in expired:
+            self._superseded.remove(each)
+        return bool(expired)
 
     def target(self, target):
         """Return a target with the smallest of its shares in all versions."""
-        for earlier in self._earlier:
-            target = _smaller(target, earlier.text)
+        for superseded in self._superseded:
+            target = _with_smaller_shares(target, superseded.text)
         return target
 
     def links(self, target):
         """Return ``{failure domain: slots}``: the target's shares of link limits."""
-        parts = link_shares(self._text, target)
-        for earlier in self._earlier:
-            for domain, slots in link_shares(earlier.text, target).items():
-                parts[domain] = min(slots, parts.get(domain, slots))
-        return parts
+        shares = link_shares(self._text, target)
+        for superseded in self._superseded:
+            for domain, slots in link_shares(superseded.text, target).items():
+                shares[domain] = min(slots, shares.get(domain, slots))
+        return shares
 
 
 def link_shares(text, target):
     """Return the target's share of each link to its failure domain, in slots."""
-    parts = {}
+    shares = {}
     for domain in text.failure_domains:
         limit = text.link_limit(domain, target.failure_domain)
         if limit is not None and domain != target.failure_domain:
-            parts[domain] = text.link_share(limit, target)
-    return parts
+            shares[domain] = text.link_share(limit, target)
+    return shares
 
 
-def _smaller(target, text):
+def _with_smaller_shares(target, text):
     """Return ``target`` with the smaller of its shares in both versions."""
-    known = text.find_target(target.name)
-    if known is None:
-        return _without_part(target, text)
+    previous = text.find_target(target.name)
+    if previous is None:
+        return _without_shares(target, text)
     cap = target.shift_cap
-    if cap is not None and known.shift_cap is not None:
-        slots = min(cap.slots, known.shift_cap.slots)
-        window = max(cap.window, known.shift_cap.window)
+    if cap is not None and previous.shift_cap is not None:
+        slots = min(cap.slots, previous.shift_cap.slots)
+        window = max(cap.window, previous.shift_cap.window)
         cap = replace(cap, slots=slots, window=window)
     share = target.region_share
-    if text.has_region_limit(known.failure_domain):
-        share = min(share, known.region_share)
+    if text.has_region_limit(previous.failure_domain):
+        share = min(share, previous.region_share)
     return replace(target, region_share=share, shift_cap=cap)
 
 
-def _without_part(target, text):
+def _without_shares(target, text):
     """Return ``target`` without shares of the limits that ``text`` divides."""
     share, cap = target.region_share, target.shift_cap
     if text.has_region_limit(target.failure_domain):
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -7,7 +7,7 @@
 import pytest
 
 from heathercleat.cli import main
-from heathercleat.cli._quarantine import _described, _list_lines, _unpacked
+from heathercleat.cli._quarantine import _describe, _list_lines, _unpack_row
 from heathercleat.steering.process.quarantine.rows import QuarantineRow
 from heathercleat.steering.process.store.protocol import StoreRow
 from tests.platform_samples import SETTINGS
@@ -63,8 +63,8 @@
 
 
 def test_row_that_cannot_be_read_is_listed_as_such():
-    damaged = _unpacked(StoreRow("f", b"\xc1", 1))
-    lines = list(_list_lines([_described("f", damaged)]))
+    damaged = _unpack_row(StoreRow("f", b"\xc1", 1))
+    lines = list(_list_lines([_describe("f", damaged)]))
     assert "cannot be read" in lines[1]
 
 
