--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -10,9 +10,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from standins.load import MAX_ANSWER_BYTES, Load
 
@@ -58,7 +58,7 @@
             stream = await connect(host, port, deadline, self._clock)
             try:
                 asking = exchange(stream, Message(path="/load"), MAX_ANSWER_BYTES)
-                answer = await before(deadline, self._clock, asking)
+                answer = await with_deadline(deadline, self._clock, asking)
             finally:
                 await stream.close()
         except (TimeoutError, *CONNECTION_ERRORS):
--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -11,9 +11,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from heathercleat.connection.operator import operator_token
 from heathercleat.errors import HeathercleatError
@@ -89,7 +89,7 @@
         stream = await connect(self._host, self._port, deadline, self._clock)
         try:
             exchanged = exchange(stream, message, MAX_ANSWER_BYTES)
-            return await before(deadline, self._clock, exchanged)
+            return await with_deadline(deadline, self._clock, exchanged)
         finally:
             await stream.close()
 
--- a/src/heathercleat/cli/_quarantine.py
+++ b/src/heathercleat/cli/_quarantine.py
@@ -100,12 +100,9 @@
 def _describe(fingerprint, quarantine):
     """Return a quarantine, or a row that cannot be decoded, as JSON values."""
     if isinstance(quarantine, ValueError):
-        quarantine, decode_error = (
-            QuarantineRow(None, []),
-            f"cannot be read: {quarantine}",
-        )
+        quarantine, error = QuarantineRow(None, []), f"cannot be read: {quarantine}"
     else:
-        decode_error = None
+        error = None
     return {
         "fingerprint": fingerprint,
         "route": quarantine.route,
@@ -114,7 +111,7 @@
         "since": quarantine.since and format_instant(quarantine.since),
         "until": quarantine.until and format_instant(quarantine.until),
         "seen_by": quarantine.vm,
-        "damage": decode_error,
+        "damage": error,
     }
 
 
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -12,9 +12,9 @@
     MAX_HEADER_BYTES,
     HttpStream,
     Message,
-    before,
     read_body,
     send_message,
+    with_deadline,
 )
 from heathercleat.connection.server import ServerConnection, head_error
 from heathercleat.errors import CallerDisconnectedError, RequestError
@@ -87,7 +87,9 @@
         """Return the head of the next request, or ``None`` to close the connection."""
         deadline = self._vm.clock.now() + IDLE_TIMEOUT_SECONDS
         try:
-            event = await before(deadline, self._vm.clock, self._stream.next_event())
+            event = await with_deadline(
+                deadline, self._vm.clock, self._stream.next_event()
+            )
         except TimeoutError:
             if self._stream.has_partial_head:
                 message = "the request head took too long"
@@ -227,7 +229,7 @@
         self._check_length(call)
         try:
             reading = read_body(self._stream, call.kind.body_limit)
-            return await before(call.deadline, self._vm.clock, reading)
+            return await with_deadline(call.deadline, self._vm.clock, reading)
         except ValueError as error:
             raise RequestError(ResultCode.BODY_TOO_LARGE, str(error)) from None
         except TimeoutError:
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -205,7 +205,7 @@
     :raises TimeoutError: at the deadline.
     :raises OSError: when the connection fails.
     """
-    sock = await before(deadline, clock, open_socket(host, port, source_ip))
+    sock = await with_deadline(deadline, clock, open_socket(host, port, source_ip))
     return HttpStream(sock, h11.CLIENT)
 
 
@@ -222,7 +222,7 @@
     return sock
 
 
-async def before(deadline, clock, coroutine):
+async def with_deadline(deadline, clock, coroutine):
     """Await ``coroutine`` until ``deadline``.
 
     :param deadline: an instant of ``clock.now()``.
--- a/src/heathercleat/platform/settings.py
+++ b/src/heathercleat/platform/settings.py
@@ -62,27 +62,27 @@
     :raises FindingsError: for missing or malformed fields.
     """
     reader = _Reader(document if isinstance(document, dict) else {})
-    ports = reader.read("internalPorts", _parse_port_range)
+    ports = reader.read_field("internalPorts", _parse_port_range)
     settings = NodeSettings(
-        vm=reader.read("node", str),
-        ip=reader.read("ip", str),
-        failure_domain=reader.read("zone", str),
-        region=reader.read("region", str),
-        regions=reader.read("zones", dict),
-        front=reader.read("listen.front", _parse_address),
-        ready=reader.read("listen.ready", _parse_address),
-        directory=reader.read("listen.directory", _parse_address),
+        vm=reader.read_field("node", str),
+        ip=reader.read_field("ip", str),
+        failure_domain=reader.read_field("zone", str),
+        region=reader.read_field("region", str),
+        regions=reader.read_field("zones", dict),
+        front=reader.read_field("listen.front", _parse_address),
+        ready=reader.read_field("listen.ready", _parse_address),
+        directory=reader.read_field("listen.directory", _parse_address),
         first_inner_port=ports[0] if ports else None,
-        seeds=reader.read("seeds", _parse_hosts, default=()),
-        store=reader.read("platform.address", _parse_address),
-        memory=reader.read(
+        seeds=reader.read_field("seeds", _parse_hosts, default=()),
+        store=reader.read_field("platform.address", _parse_address),
+        memory=reader.read_field(
             "limits.memoryMb", _megabytes_to_bytes, default=512 * _MEGABYTE
         ),
         # cpuShare is the share of one core; cores is the relative speed of that core.
-        cores=reader.read("limits.cpuShare", float, default=1.0)
-        * reader.read("limits.cores", float, default=1.0),
-        link_mbps=reader.read("limits.linkMbps", float, default=1000.0),
-        bounds=reader.read("bounds", _parse_bounds, default=Bounds()),
+        cores=reader.read_field("limits.cpuShare", float, default=1.0)
+        * reader.read_field("limits.cores", float, default=1.0),
+        link_mbps=reader.read_field("limits.linkMbps", float, default=1000.0),
+        bounds=reader.read_field("bounds", _parse_bounds, default=Bounds()),
         path=existing_path(name),
     )
     if reader.findings:
@@ -102,7 +102,7 @@
         self._document = document
         self.findings = []
 
-    def read(self, path, convert, default=None):
+    def read_field(self, path, convert, default=None):
         value = self._document
         for part in path.split("."):
             value = value.get(part) if isinstance(value, dict) else None
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -7,8 +7,8 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
+    with_deadline,
 )
 from heathercleat.connection.persistent import PersistentConnection
 from heathercleat.connection.socket_options import enable_keepalive
@@ -99,7 +99,7 @@
         deadline = self._clock.now() + self._timeout + wait
         message = Message(method=method, path=path, body=body, headers=_JSON)
         try:
-            answer = await before(
+            answer = await with_deadline(
                 deadline, self._clock, self._connection.exchange(message)
             )
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -14,9 +14,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from heathercleat.events import Event
 
@@ -237,7 +237,9 @@
         health = self.of(target.name)
         try:
             deadline = self._clock.now() + PROBE_TIMEOUT
-            answer = await before(deadline, self._clock, self._ask(target, deadline))
+            answer = await with_deadline(
+                deadline, self._clock, self._ask(target, deadline)
+            )
             state = msgpack.unpackb(answer.body)["state"]
         except (TimeoutError, ValueError, KeyError, TypeError, *CONNECTION_ERRORS):
             health.silent_probes += 1
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -155,14 +155,15 @@
         if text is self._transition.text and not settled:
             return
         if text is not self._transition.text:
-            self._transition.follow(text, now)
+            self._transition.adopt(text, now)
         for name in list(self._ledger.targets):
             target = text.find_target(name)
             if target is None:
                 self._ledger.hand_over(name, None)
             else:
                 self._ledger.update(
-                    self._transition.target(target), self._transition.links(target)
+                    self._transition.restrict_target(target),
+                    self._transition.restrict_links(target),
                 )
 
     def desired(self):
@@ -261,9 +262,9 @@
             until += CLOCK_SKEW + CANCEL_GRACE
             holds = [Hold(until) for _ in range(target.slots)]
         self._ledger.adopt(
-            self._transition.target(target),
+            self._transition.restrict_target(target),
             holds,
-            self._transition.links(target),
+            self._transition.restrict_links(target),
             levels,
         )
         self._vm.journal.write(
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -14,8 +14,8 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
+    with_deadline,
 )
 from heathercleat.connection.persistent import PersistentConnection
 from heathercleat.errors import PlatformError
@@ -178,7 +178,7 @@
         deadline = self._clock.now() + self._timeout
         message = Message(method=method, path=path, body=body, headers=MSGPACK)
         try:
-            answer = await before(deadline, self._clock, self._exchange(message))
+            answer = await with_deadline(deadline, self._clock, self._exchange(message))
         except (TimeoutError, *CONNECTION_ERRORS) as error:
             raise PlatformError(f"{method} {path}: {error!r}") from None
         if answer.status not in (200, 404, 409):
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -20,7 +20,7 @@
     Member,
     MemberState,
 )
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Seconds of silence after which a monitor no longer has to acknowledge.
 SILENT_AFTER = 3.0
@@ -349,7 +349,7 @@
         digest = blake2b("\n".join(lines).encode(), digest_size=8).digest()
         self._digest = int.from_bytes(digest, "big")
         names = [member.vm for member in running]
-        self._ring = sorted(names, key=lambda name: weight("ring", name))
+        self._ring = sorted(names, key=lambda name: rendezvous_weight("ring", name))
 
 
 _EVENTS = {
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -2,7 +2,7 @@
 
 from curio import Lock
 
-from heathercleat.connection.http import before, open_socket
+from heathercleat.connection.http import open_socket, with_deadline
 from heathercleat.connection.messages import Accepted, Challenge, Hello, Refused
 from heathercleat.connection.peer import MessageStream, sign
 from heathercleat.errors import PeerError
@@ -58,7 +58,7 @@
             raise PeerError(f"{self._host} did not answer a moment ago")
         deadline = self._clock.now() + timeout
         try:
-            answer = await before(deadline, self._clock, self._call(item))
+            answer = await with_deadline(deadline, self._clock, self._call(item))
         except (OSError, EOFError, ValueError) as error:
             self._refused = isinstance(error, ConnectionRefusedError)
             self._retry_at = self._clock.now() + BACKOFF
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -3,7 +3,7 @@
 from hashlib import sha256
 
 from heathercleat.codes import ResultCode, Run
-from heathercleat.connection.http import before
+from heathercleat.connection.http import with_deadline
 from heathercleat.connection.messages import CloseOut
 from heathercleat.errors import PeerError, PlatformError, RequestError
 from heathercleat.events import Event
@@ -72,7 +72,7 @@
         return
     try:
         claim = vm.claims.claim(call.ticket, call.key)
-        row = await before(call.deadline, vm.clock, claim)
+        row = await with_deadline(call.deadline, vm.clock, claim)
     except (PlatformError, TimeoutError) as error:
         vm.journal.write(Event.CLAIM_FAILED, request=call.id, reason=str(error))
         message = "the claim could not be written, so the request was not run"
@@ -88,7 +88,7 @@
     """Answer a repeat with the outcome of the first run."""
     if entry.state is EntryState.RUNNING:
         try:
-            await before(call.deadline, vm.clock, entry.finished.wait())
+            await with_deadline(call.deadline, vm.clock, entry.finished.wait())
         except TimeoutError:
             raise RequestError(
                 ResultCode.STILL_RUNNING, "the first run has not ended"
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -73,7 +73,7 @@
 
     They are drained, or cannot serve all their callers yet.
     """
-    drained = vm.text.avoided(client, vm.clock.wall())
+    drained = vm.text.avoided_domains(client, vm.clock.wall())
     if vm.readiness.share(service) >= 1:
         return drained
     return drained | vm.readiness.avoided(service, ramp_position(client))
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -4,7 +4,7 @@
 from curio import disable_cancellation, spawn
 
 from heathercleat.codes import ResultCode, Run
-from heathercleat.connection.http import CONNECTION_ERRORS, before
+from heathercleat.connection.http import CONNECTION_ERRORS, with_deadline
 from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.capacity.admission import LeasedPermit
@@ -116,7 +116,7 @@
     await _cover(vm, call, permit)
     try:
         exchange = _exchange(vm, call, permit, attempt, deliver)
-        return await before(call.deadline, vm.clock, exchange)
+        return await with_deadline(call.deadline, vm.clock, exchange)
     except (AttemptFailedError, TimeoutError) as failure:
         error = failure
         if isinstance(failure, TimeoutError):
--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -6,7 +6,7 @@
 from curio import sleep
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.http import before, read_body
+from heathercleat.connection.http import read_body, with_deadline
 from heathercleat.errors import RequestError
 from heathercleat.platform.headers import parse_client_head
 from heathercleat.request.headers import check_framing, end_to_end, find
@@ -101,7 +101,7 @@
         self._hold(turn, int(find(headers, "content-length") or 0))
         try:
             reading = read_body(turn.stream, limit)
-            body = await before(deadline, self._clock, reading)
+            body = await with_deadline(deadline, self._clock, reading)
             # A body in chunks tells its length only now.
             self._hold(turn, len(body) - turn.held)
             return body
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -7,8 +7,8 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     HttpStream,
-    before,
     read_body,
+    with_deadline,
 )
 from heathercleat.connection.server import head_error
 from heathercleat.errors import CallerDisconnectedError, RequestError
@@ -155,7 +155,9 @@
         self._reading = True
         head_until = self._clock.now() + self._node.limits.header_timeout
         try:
-            event = await before(head_until, self._clock, self._stream.next_event())
+            event = await with_deadline(
+                head_until, self._clock, self._stream.next_event()
+            )
         except TimeoutError:
             message = "the request head took too long"
             await self._refuse_head(RequestError(ResultCode.SLOW_SENDER, message))
@@ -172,7 +174,7 @@
             idle_until = self._clock.now() + self._node.limits.idle_timeout
             try:
                 waiting = self._stream.wait_closed()
-                return not await before(idle_until, self._clock, waiting)
+                return not await with_deadline(idle_until, self._clock, waiting)
             except TimeoutError:
                 if not self._pipeline.is_busy:
                     return False
--- a/src/heathercleat/steering/process/capacity/crash_detector.py
+++ b/src/heathercleat/steering/process/capacity/crash_detector.py
@@ -2,7 +2,7 @@
 
 from curio import sleep
 
-from heathercleat.connection.http import before
+from heathercleat.connection.http import with_deadline
 
 #: Seconds in which a target has to accept a connection: a lost opening packet is sent
 #: again after one second, and by then another target has answered.
@@ -57,7 +57,7 @@
         """
         deadline = self._clock.now() + CONNECT_TIMEOUT_SECONDS
         opening = self._pool.checkout(entry.host, entry.port, fresh=True)
-        stream = await before(deadline, self._clock, opening)
+        stream = await with_deadline(deadline, self._clock, opening)
         await sleep(SOCKET_CLOSE_SECONDS)
         if not stream.is_clean():
             await self._pool.discard(entry.host, entry.port, stream)
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from heathercleat.steering.process.capacity.slots import reaches_idle_share
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Seconds for which the sums over a region's targets are kept: a tenth of the interval
 #: of the heartbeats that they are made of.
@@ -216,4 +216,4 @@
 
 def _weight_for(affinity):
     """Return a key for the order of candidates for an object."""
-    return lambda candidate: weight(affinity, candidate.entry.id)
+    return lambda candidate: rendezvous_weight(affinity, candidate.entry.id)
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -4,7 +4,7 @@
 from heathercleat.steering.process.membership.member import Member, Stage, make_update
 from heathercleat.steering.process.membership.pending_updates import PendingUpdates
 from heathercleat.steering.process.membership.topology import Topology
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Seconds without a check after which this process itself was paused; it checks at each
 #: heartbeat that it sends, every 0.9 s at the most.
@@ -72,7 +72,7 @@
             self._digest = 0
             for member in self._members.values():
                 if member.reported_alive:
-                    self._digest ^= weight(member.vm, member.stamp)
+                    self._digest ^= rendezvous_weight(member.vm, member.stamp)
         return self._digest
 
     @property
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -8,7 +8,7 @@
 from heapq import nlargest
 
 from heathercleat.process.clock import DISTANT_PAST
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: VMs that carry requests up to which all of them send heartbeats to each other: 18
 #: times the usual rate is 120 datagrams a second, 1% of a core.
@@ -123,4 +123,4 @@
 
     def _weight(self, member):
         """Return the weight of a pair of VMs, the same for both of them."""
-        return weight(*sorted((self._own.vm, member.vm)))
+        return rendezvous_weight(*sorted((self._own.vm, member.vm)))
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -4,7 +4,12 @@
 
 from curio import sleep
 
-from heathercleat.connection.http import CONNECTION_ERRORS, Message, before, exchange
+from heathercleat.connection.http import (
+    CONNECTION_ERRORS,
+    Message,
+    exchange,
+    with_deadline,
+)
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.events import Event
 from heathercleat.platform.decode import decode_operator_rows
@@ -279,7 +284,9 @@
         asked_at = self._clock.now()
         fetching = self._fetch(nearest.ip, table, version)
         try:
-            snapshot = await before(asked_at + RELAY_TIMEOUT, self._clock, fetching)
+            snapshot = await with_deadline(
+                asked_at + RELAY_TIMEOUT, self._clock, fetching
+            )
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
             raise PeerError(f"{nearest.vm}: {error!r}") from None
         snapshot.age(self._clock.now() - asked_at)
--- a/src/heathercleat/steering/process/warm_connections.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -6,7 +6,7 @@
 
 from curio import TaskGroup, sleep
 
-from heathercleat.connection.http import before
+from heathercleat.connection.http import with_deadline
 
 INTERVAL = 0.25
 #: Idle connections kept to each VM, and to all of them together in a large fleet.
@@ -52,7 +52,7 @@
         deadline = self._clock.now() + CONNECT_TIMEOUT_SECONDS
         try:
             checkout = self._pool.checkout(ip, self._port, fresh=True)
-            stream = await before(deadline, self._clock, checkout)
+            stream = await with_deadline(deadline, self._clock, checkout)
         except (OSError, TimeoutError):
             # A VM that cannot be reached falls silent, and that is logged.
             return
--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -11,7 +11,7 @@
 """
 
 from heathercleat.steering.request.wait_policy import SPREAD
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Part of the aim that a round trip may take where the time of a known object is not
 #: told yet. The mean would not do: it is that of objects being learned at first, so
@@ -67,7 +67,7 @@
         affinity = choice.call.affinity
         return max(
             affinity_targets,
-            key=lambda each: weight(affinity, each.candidate.entry.id),
+            key=lambda each: rendezvous_weight(affinity, each.candidate.entry.id),
             default=None,
         )
 
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -3,7 +3,7 @@
 import h11
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
+from heathercleat.connection.http import CONNECTION_ERRORS, read_body, with_deadline
 from heathercleat.errors import RequestError
 from heathercleat.platform.headers import parse_response_head, target_request_headers
 from heathercleat.request.headers import check_framing, end_to_end
@@ -54,7 +54,7 @@
         """Return the :class:`AttemptResult`; errors of the target are results."""
         target = self._entry.id
         try:
-            await before(self._call.deadline, self._clock, self._exchange())
+            await with_deadline(self._call.deadline, self._clock, self._exchange())
             return self._judge()
         except TimeoutError:
             end = AttemptOutcome.TIMED_OUT if self._sent else AttemptOutcome.NOT_SENT
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -3,7 +3,7 @@
 import h11
 import msgpack
 
-from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
+from heathercleat.connection.http import CONNECTION_ERRORS, read_body, with_deadline
 from heathercleat.steering.request.attempt_result import (
     CLIENT_LEFT,
     Answer,
@@ -160,7 +160,7 @@
         connect_by = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS + 2 * trip)
         try:
             checkout = self._pool.checkout(ip, self._port)
-            stream = await before(connect_by, self._clock, checkout)
+            stream = await with_deadline(connect_by, self._clock, checkout)
         except (OSError, TimeoutError) as error:
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=f"VM {ip}: {error!r}")
         if call.left:
@@ -182,7 +182,7 @@
         deadline = call.deadline + ANSWER_MARGIN
         try:
             sending = self._send(stream, call, order)
-            result = await before(deadline, self._clock, sending)
+            result = await with_deadline(deadline, self._clock, sending)
             whole = True
             return result
         except TimeoutError:
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -1,6 +1,6 @@
 """One try at a request at a target that this VM owns."""
 
-from heathercleat.connection.http import before
+from heathercleat.connection.http import with_deadline
 from heathercleat.events import Event
 from heathercleat.steering.process.capacity.crash_detector import (
     CONNECT_TIMEOUT_SECONDS,
@@ -166,7 +166,7 @@
         max_age = None if call.route.kind.idempotent else UNSAFE_IDLE_AGE
         checkout = self._pool.checkout(entry.host, entry.port, max_age=max_age)
         deadline = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS)
-        return await before(deadline, self._clock, checkout)
+        return await with_deadline(deadline, self._clock, checkout)
 
     async def _put_back(self, entry, stream, head):
         if head is None:
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -9,7 +9,7 @@
 from functools import lru_cache
 from math import ceil
 
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 _POSITIONS = 1 << 64
 
@@ -40,7 +40,7 @@
             cached = self._ramp_seconds[failure_domain] = max(durations, default=0.0)
         return cached
 
-    def avoided(self, drains, wall, caller):
+    def avoided_domains(self, drains, wall, caller):
         """Return the drained failure domains that a caller has moved away from.
 
         :param drains: each :class:`Drain` of a failure domain.
@@ -76,7 +76,7 @@
 @lru_cache(maxsize=65536)
 def ramp_position(caller):
     """Return the position of a caller in all ramps, from 0 to 1."""
-    return weight("ramp", caller) / _POSITIONS
+    return rendezvous_weight("ramp", caller) / _POSITIONS
 
 
 def _rising_share(at, ramp_seconds, wall):
--- a/src/heathercleat/version/hashing.py
+++ b/src/heathercleat/version/hashing.py
@@ -5,7 +5,7 @@
 
 
 @lru_cache(maxsize=65536)
-def weight(key, name):
+def rendezvous_weight(key, name):
     """Return the 64-bit rendezvous weight of ``name`` for ``key``."""
     digest = blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
@@ -13,7 +13,9 @@
 
 def rank_by_weight(key, names):
     """Return ``names`` in descending order of their weight for ``key``."""
-    return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
+    return sorted(
+        names, key=lambda name: (rendezvous_weight(key, name), name), reverse=True
+    )
 
 
 def assign_evenly(keys, names):
@@ -30,7 +32,7 @@
     limit = -(-len(keys) // len(names))
     loads = dict.fromkeys(names, 0)
     homes = {}
-    for key in sorted(keys, key=lambda key: (weight("order", key), key)):
+    for key in sorted(keys, key=lambda key: (rendezvous_weight("order", key), key)):
         name = next(name for name in rank_by_weight(key, names) if loads[name] < limit)
         loads[name] += 1
         homes[key] = name
--- a/src/heathercleat/version/placement.py
+++ b/src/heathercleat/version/placement.py
@@ -8,7 +8,11 @@
 
 from dataclasses import dataclass
 
-from heathercleat.version.hashing import assign_evenly, rank_by_weight, weight
+from heathercleat.version.hashing import (
+    assign_evenly,
+    rank_by_weight,
+    rendezvous_weight,
+)
 
 #: A service gets one pool for this many slots in a failure domain, at least one.
 MIN_POOL_SLOTS = 12
@@ -87,7 +91,9 @@
                     service, service.targets_in(failure_domain)
                 )
             ]
-            pools.sort(key=lambda pool: (-pool.slots, weight("order", pool.name)))
+            pools.sort(
+                key=lambda pool: (-pool.slots, rendezvous_weight("order", pool.name))
+            )
             self._pools[failure_domain] = pools
         return pools
 
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -11,7 +11,7 @@
 from heathercleat._jsonc import loads, locate
 from heathercleat.errors import Finding, FindingsError
 from heathercleat.version.drain_ramp import DrainRamps
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 from heathercleat.version.placement import Placement
 from heathercleat.version.validation import find_schema_faults, find_semantic_faults
 
@@ -220,14 +220,14 @@
                 return drain
         return None
 
-    def avoided(self, caller, now):
+    def avoided_domains(self, caller, now):
         """Return the drained failure domains that a caller has moved away from."""
         drains = [
             drain
             for drain in self.drains.values()
             if drain.scope is DrainScope.FAILURE_DOMAIN
         ]
-        return self.ramps.avoided(drains, now, caller)
+        return self.ramps.avoided_domains(drains, now, caller)
 
     def find_vm_drain(self, vm, failure_domain, now):
         """Return the drain that removes an entry VM from look-ups, or ``None``."""
@@ -389,7 +389,10 @@
     unassigned = total - sum(shares.values())
     by_remainder = sorted(
         weights,
-        key=lambda name: (total * weights[name] % total_weight, weight("share", name)),
+        key=lambda name: (
+            total * weights[name] % total_weight,
+            rendezvous_weight("share", name),
+        ),
         reverse=True,
     )
     for name in by_remainder[:unassigned]:
--- a/src/heathercleat/version/version_transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -32,7 +32,7 @@
         """Return the :class:`Text` in force at this VM, or ``None``."""
         return self._text
 
-    def follow(self, text, now):
+    def adopt(self, text, now):
         """Put a version in force; the previous one restricts limits until it expires.
 
         :param now: a monotonic instant.
@@ -50,13 +50,13 @@
             self._superseded.remove(each)
         return bool(expired)
 
-    def target(self, target):
+    def restrict_target(self, target):
         """Return a target with the smallest of its shares in all versions."""
         for superseded in self._superseded:
             target = _with_smaller_shares(target, superseded.text)
         return target
 
-    def links(self, target):
+    def restrict_links(self, target):
         """Return ``{failure domain: slots}``: the target's shares of link limits."""
         shares = link_shares(self._text, target)
         for superseded in self._superseded:
--- a/standins/lab/load.py
+++ b/standins/lab/load.py
@@ -8,9 +8,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from heathercleat.process.clock import SystemClock
 from standins.steering_fleet import FRONT_PORT, READY_PORT
@@ -144,7 +144,7 @@
         stream = await connect(host, port, deadline, self._clock)
         try:
             asking = exchange(stream, message, MAX_ANSWER_BYTES)
-            return await before(deadline, self._clock, asking)
+            return await with_deadline(deadline, self._clock, asking)
         finally:
             await stream.close()
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -12,9 +12,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from heathercleat.process.clock import SystemClock
 from standins.fleet import PORTS
@@ -173,7 +173,7 @@
                 stream = await connect(host, port, deadline, self._clock)
                 try:
                     asking = exchange(stream, Message(path=query), MAX_ANSWER_BYTES)
-                    answer = await before(deadline, self._clock, asking)
+                    answer = await with_deadline(deadline, self._clock, asking)
                 finally:
                     await stream.close()
                 if answer.status == 200:
@@ -203,7 +203,7 @@
         reusable = False
         try:
             exchanging = exchange(stream, message, MAX_ANSWER_BYTES)
-            answer = await before(deadline, self._clock, exchanging)
+            answer = await with_deadline(deadline, self._clock, exchanging)
             reusable = stream.next_cycle() and len(idle) < MAX_IDLE
             return answer
         finally:
--- a/standins/stops/clients.py
+++ b/standins/stops/clients.py
@@ -4,7 +4,7 @@
 
 from curio import TaskGroup, run, sleep
 
-from heathercleat.connection.http import CONNECTION_ERRORS, before
+from heathercleat.connection.http import CONNECTION_ERRORS, with_deadline
 from heathercleat.process.clock import SystemClock
 from standins.stops.ahead import USUAL_RETURN, AheadClient
 from standins.stops.connection import PATIENCE, open_connection
@@ -162,12 +162,12 @@
         until = request.deadline + PATIENCE
         try:
             sending = connection.send(attempt, path, request.item)
-            await before(until, self._clock, sending)
+            await with_deadline(until, self._clock, sending)
         except (TimeoutError, *CONNECTION_ERRORS):
             # An answer may have come before the whole request was sent.
             pass
         try:
-            await before(until, self._clock, connection.read_answer())
+            await with_deadline(until, self._clock, connection.read_answer())
         except TimeoutError:
             connection.give_up(left=True)
         except CONNECTION_ERRORS:
--- a/standins/stops/connection.py
+++ b/standins/stops/connection.py
@@ -5,7 +5,7 @@
 import h11
 from curio import sleep
 
-from heathercleat.connection.http import CONNECTION_ERRORS, before, open_socket
+from heathercleat.connection.http import CONNECTION_ERRORS, open_socket, with_deadline
 from standins.steering_fleet import FRONT_PORT
 from standins.stops.records import Opened
 
@@ -112,10 +112,12 @@
         """
         if self._sent:
             until = self._sent[0].attempt.deadline + PATIENCE
-            return await before(until, self._clock, self.read_answer())
+            return await with_deadline(until, self._clock, self.read_answer())
         until = self._clock.now() + IDLE_SECONDS
         try:
-            data = await before(until, self._clock, self._sock.recv(RECEIVE_BYTES))
+            data = await with_deadline(
+                until, self._clock, self._sock.recv(RECEIVE_BYTES)
+            )
         except TimeoutError:
             return None
         if not data:
@@ -174,7 +176,7 @@
     deadline = clock.now() + CONNECT_SECONDS
     connecting = open_socket(vm.host, FRONT_PORT)
     try:
-        sock = await before(deadline, clock, connecting)
+        sock = await with_deadline(deadline, clock, connecting)
     except (TimeoutError, *CONNECTION_ERRORS):
         return None
     note = Opened(vm.name, clock.now())
--- a/standins/stops/directory.py
+++ b/standins/stops/directory.py
@@ -5,9 +5,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    before,
     connect,
     exchange,
+    with_deadline,
 )
 from standins.steering_fleet import READY_PORT
 
@@ -65,7 +65,7 @@
         stream = await connect(vm.host, READY_PORT, deadline, self._clock)
         try:
             asking = exchange(stream, Message(path=self._path), MAX_ANSWER_BYTES)
-            return await before(deadline, self._clock, asking)
+            return await with_deadline(deadline, self._clock, asking)
         finally:
             await stream.close()
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -116,7 +116,7 @@
     text.drains["d1"] = make_drain()
     callers = [f"10.0.{number // 250}.{number % 250}" for number in range(1000)]
     away = [
-        {caller for caller in callers if text.avoided(caller, wall)}
+        {caller for caller in callers if text.avoided_domains(caller, wall)}
         for wall in (95, 97, 99, 100)
     ]
     assert away[0] < away[1] < away[2] < away[3] == set(callers)
--- a/tests/test_transition.py
+++ b/tests/test_transition.py
@@ -34,18 +34,20 @@
 
 def targets_of(transition):
     targets = transition.text.services["lookup"].targets
-    return {name: transition.target(target) for name, target in targets.items()}
+    return {
+        name: transition.restrict_target(target) for name, target in targets.items()
+    }
 
 
 def links_of(transition):
     targets = transition.text.services["lookup"].targets
-    return {name: transition.links(target) for name, target in targets.items()}
+    return {name: transition.restrict_links(target) for name, target in targets.items()}
 
 
 def follow(*texts):
     transition = VersionTransition()
     for text in texts:
-        transition.follow(text, NOW)
+        transition.adopt(text, NOW)
     return transition
 
 
