--- a/src/heathercleat/cli/_main.py
+++ b/src/heathercleat/cli/_main.py
@@ -1,4 +1,4 @@
-"""The parser of the command line, and the one place where errors are shown."""
+"""Entry point, argument parser and error output of the command line."""
 
 import sys
 from argparse import ArgumentParser, RawDescriptionHelpFormatter
@@ -21,17 +21,17 @@
 4 outcome unknown, 5 refused because of another edit or too little headroom.
 """
 
-#: The commands that start a VM's process; their own modules import what they need.
+#: Commands that run a VM; their modules import the dependencies when they run.
 _VM_COMMANDS = ("serve", "steer")
 
 
 def main(argv=None):
-    """Run one command and exit with the status of its result code.
+    """Run a command; after an error, exit with the status of its result code.
 
     :param argv: the arguments, or ``None`` for those of the process.
     """
-    words = sys.argv[1:] if argv is None else argv
-    args = build_parser(words[0] if words else None).parse_args(words)
+    arguments = sys.argv[1:] if argv is None else argv
+    args = build_parser(arguments[0] if arguments else None).parse_args(arguments)
     try:
         args.run(args)
     except (HeathercleatError, FindingsError) as error:
@@ -40,12 +40,11 @@
 
 
 def build_parser(command=None):
-    """Return the parser with every command, or with those that start a VM alone.
+    """Return the argument parser.
 
-    :param command: the command that will be parsed, if it is known. The commands for
-        operators import what a VM never uses: with them, and the libraries for YAML and
-        metrics, a start took 0.40 s of processor time, and 0.23 s without (best of
-        eight starts on a busy machine).
+    :param command: the command to be parsed, or ``None`` if unknown. The parser for a
+        command that runs a VM lacks the operators' commands, whose imports would slow
+        down the start.
     """
     parser = ArgumentParser(
         prog="heathercleat",
@@ -63,13 +62,13 @@
 
 def _add_operator_commands(commands):
     from heathercleat.cli._drain import add_drain
-    from heathercleat.cli._edit import add_edits
-    from heathercleat.cli._inspect import add_inspections
+    from heathercleat.cli._edit import add_edit_commands
+    from heathercleat.cli._inspect import add_inspect_commands
     from heathercleat.cli._quarantine import add_quarantine
     from heathercleat.cli._trace import add_trace
 
-    add_edits(commands)
+    add_edit_commands(commands)
     add_drain(commands)
-    add_inspections(commands)
+    add_inspect_commands(commands)
     add_quarantine(commands)
     add_trace(commands)
--- a/src/heathercleat/cli/_serve.py
+++ b/src/heathercleat/cli/_serve.py
@@ -2,18 +2,18 @@
 
 
 def add_serve(commands):
-    """Add the command to the parser."""
+    """Add the ``serve`` command to the parser."""
     parser = commands.add_parser(
         "serve",
         help="run an entry VM",
-        description="Run an entry VM until SIGTERM; no request is cut then.",
+        description="Run an entry VM. On SIGTERM, finish open requests and exit.",
     )
     parser.add_argument("--settings", required=True, metavar="FILE")
     parser.set_defaults(run=_serve)
 
 
 def _serve(args):
-    # Other commands need none of this.
+    # Imported here to keep the start of other commands short.
     from curio import run
 
     from heathercleat.process.logs import LogWriter
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -12,9 +12,9 @@
     MAX_HEADER_BYTES,
     HttpStream,
     Message,
-    before,
     read_body,
     send_message,
+    with_deadline,
 )
 from heathercleat.connection.server import ServerConnection, head_error
 from heathercleat.errors import CallerDisconnectedError, RequestError
@@ -38,24 +38,24 @@
 )
 from heathercleat.request.lookup import answer_lookup
 from heathercleat.request.proxying import proxy_request
-from heathercleat.request.ticket import read_ticket
+from heathercleat.request.ticket import read as read_ticket
 from heathercleat.version.text import Semantics
 
 LOOKUP_PATH = "/lookup"
-#: Seconds for which a connection may be idle between requests.
-IDLE_SECONDS = 30.0
+#: Longest time between two requests on a connection.
+IDLE_TIMEOUT_SECONDS = 30.0
 LINGER_SECONDS = 1.0
 LINGER_BYTES = 16 * 1024 * 1024
 MAX_KEY_LENGTH = 256
 FIRST_SERVER_ERROR = 500
-ID_BYTES = 8
+REQUEST_ID_BYTES = 8
 
 
 class CallerConnection(ServerConnection):
     """One connection of a caller, or of a VM that forwards requests.
 
-    :param vm: the process that serves it.
-    :param forwarded: whether requests come from other VMs, under leases.
+    :param vm: the :class:`EntryVM`.
+    :param forwarded: whether the requests are forwarded by other VMs under leases.
     """
 
     def __init__(self, vm, sock, address, forwarded=False):
@@ -65,7 +65,7 @@
         self._forwarded = forwarded
 
     async def _serve_next(self):
-        """Serve one request; return whether the connection can take another."""
+        """Serve one request; return whether the connection can be reused."""
         head = await self._read_head()
         if head is None:
             return False
@@ -81,13 +81,15 @@
         except BaseException:
             self._stream.abort()
             raise
-        return await self._can_go_on()
+        return await self._can_reuse_connection()
 
     async def _read_head(self):
-        """Return the head of the next request, or ``None`` to close."""
-        deadline = self._vm.clock.now() + IDLE_SECONDS
+        """Return the head of the next request, or ``None`` to close the connection."""
+        deadline = self._vm.clock.now() + IDLE_TIMEOUT_SECONDS
         try:
-            event = await before(deadline, self._vm.clock, self._stream.next_event())
+            event = await with_deadline(
+                deadline, self._vm.clock, self._stream.next_event()
+            )
         except TimeoutError:
             if self._stream.has_partial_head:
                 message = "the request head took too long"
@@ -99,7 +101,7 @@
         return event if isinstance(event, h11.Request) else None
 
     async def _serve(self, head):
-        # A list is iterated much faster than the library's header sequence.
+        # Iterating over a list is faster than over h11's header sequence.
         headers = list(head.headers)
         self._check_size(head, headers)
         check_framing(headers, ResultCode.BAD_REQUEST)
@@ -109,11 +111,11 @@
         if not self._forwarded and urlsplit(path).path == LOOKUP_PATH:
             await self._serve_lookup(path)
             return
-        call = self._to_call(head, path, headers)
+        call = self._build_call(head, path, headers)
         await self._serve_call(call)
 
     def _check_size(self, head, headers):
-        # h11 limits only heads that arrive in more than one piece.
+        # h11 enforces its limit only on heads that arrive in more than one piece.
         fields = sum(len(name) + len(value) for name, value in headers)
         if len(head.target) + fields > MAX_HEADER_BYTES:
             message = f"the request head is larger than {MAX_HEADER_BYTES} bytes"
@@ -137,7 +139,7 @@
         body = dumps(answer).encode()
         await send_message(self._stream, Message(headers=headers, body=body))
 
-    def _to_call(self, head, path, headers):
+    def _build_call(self, head, path, headers):
         vm = self._vm
         if vm.text is None:
             message = "no configuration is known here yet"
@@ -156,7 +158,7 @@
         return Call(
             id=find(headers, REQUEST_ID_HEADER)
             if self._forwarded
-            else token_hex(ID_BYTES),
+            else token_hex(REQUEST_ID_BYTES),
             service=service,
             kind=kind,
             method=method,
@@ -227,7 +229,7 @@
         self._check_length(call)
         try:
             reading = read_body(self._stream, call.kind.body_limit)
-            return await before(call.deadline, self._vm.clock, reading)
+            return await with_deadline(call.deadline, self._vm.clock, reading)
         except ValueError as error:
             raise RequestError(ResultCode.BODY_TOO_LARGE, str(error)) from None
         except TimeoutError:
@@ -237,7 +239,7 @@
             raise RequestError(ResultCode.BAD_REQUEST, str(error)) from None
 
     async def _send_outcome(self, call, outcome):
-        # A server error does not say how far the target got.
+        # After a server error it is unknown whether the target ran the request.
         failed = outcome.status >= FIRST_SERVER_ERROR
         run = Run.UNKNOWN if failed else Run.RUN
         headers = [
@@ -255,7 +257,7 @@
         )
 
     async def _refuse(self, error):
-        """Send the final answer for an error, or cut an answer that has begun."""
+        """Send an error response, or abort a response that has already begun."""
         if not self._stream.can_respond:
             self._stream.abort()
             return
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets and to other VMs."""
+"""Pool of HTTP connections to targets and other VMs."""
 
 from collections import deque
 
@@ -6,25 +6,25 @@
 
 from heathercleat.connection.http import HttpStream, open_socket
 
-#: Seconds for which an idle connection is kept.
-IDLE_SECONDS = 15.0
+#: Default for the longest time that a connection stays idle in the pool.
+IDLE_TIMEOUT_SECONDS = 15.0
 
 
 class ConnectionLimitError(OSError):
-    """A target already has as many connections as it takes."""
+    """The connection limit of a target is reached."""
 
 
 class ConnectionPool:
-    """Connections by address; one is only kept when nothing on it is uncertain.
+    """Open connections by address; reuses those whose last exchange was complete.
 
-    :param source_ip: the local IP number to connect from.
+    :param source_ip: the local IP address to connect from.
     :param fence: returns the :class:`Fence` in force.
     :param on_open: called with each new socket, or ``None``.
-    :param idle_seconds: for how long an idle connection is kept.
+    :param idle_seconds: the longest time that a connection stays idle.
     """
 
     def __init__(
-        self, clock, source_ip, fence, on_open=None, idle_seconds=IDLE_SECONDS
+        self, clock, source_ip, fence, on_open=None, idle_seconds=IDLE_TIMEOUT_SECONDS
     ):
         self._clock = clock
         self._source_ip = source_ip
@@ -35,28 +35,27 @@
         self._open = {}
 
     def open_count(self, host, port):
-        """Return the number of connections to an address, idle ones included."""
+        """Return the number of connections to an address, including idle ones."""
         return self._open.get((host, port), 0)
 
     async def checkout(self, host, port, limit=None, fresh=False, max_age=None):
-        """Return a clean connection.
+        """Return an idle or new connection as an :class:`HttpStream`.
 
-        :param limit: the most connections to this address.
-        :param fresh: open a new one, for a request that must not meet a connection
-            that the other side is just closing.
-        :param max_age: seconds for which a kept connection may have been idle, or
+        :param limit: the maximum number of connections to this address, or ``None``.
+        :param fresh: open a new connection, to avoid one that the peer is closing.
+        :param max_age: the longest idle time of a reused connection, in seconds, or
             ``None`` for any time.
-        :raises OSError: when no connection can be made.
+        :raises OSError: when the connection fails or the limit is reached.
         """
         await self._fence().wait_if_fenced(host)
         address = (host, port)
         idle = self._idle.setdefault(address, deque())
-        await self._drop_old(address, idle)
+        await self._close_expired(address, idle)
         while idle and not fresh and _is_recent(idle[-1], max_age, self._clock.now()):
-            kept = idle.pop()
-            if kept.stream.is_clean():
-                return kept.stream
-            await self.discard(host, port, kept.stream)
+            idle_connection = idle.pop()
+            if idle_connection.stream.is_clean():
+                return idle_connection.stream
+            await self.discard(host, port, idle_connection.stream)
         if limit is not None and self.open_count(host, port) >= limit:
             if not idle:
                 raise ConnectionLimitError(f"{host}:{port} has {limit} connections")
@@ -72,31 +71,31 @@
             raise
 
     async def checkin(self, host, port, stream, keep_for=None):
-        """Keep a connection for later if its last exchange was whole.
+        """Return a connection to the pool, or close it if it is not reusable.
 
-        :param keep_for: seconds for which the other side keeps it, if that is known.
+        :param keep_for: the idle timeout of the peer in seconds, or ``None``.
         """
         if not stream.next_cycle() or not stream.is_clean():
             await self.discard(host, port, stream)
             return
         now = self._clock.now()
-        lasts = self._idle_seconds if keep_for is None else keep_for
-        expires_at = now + min(self._idle_seconds, lasts)
-        kept = _Kept(stream, now, expires_at)
-        self._idle.setdefault((host, port), deque()).append(kept)
+        peer_idle_seconds = self._idle_seconds if keep_for is None else keep_for
+        expires_at = now + min(self._idle_seconds, peer_idle_seconds)
+        idle_connection = _IdleConnection(stream, now, expires_at)
+        self._idle.setdefault((host, port), deque()).append(idle_connection)
 
     async def add_unused(self, host, port, stream):
-        """Keep a connection on which nothing was sent yet."""
+        """Add a connection to the pool on which nothing was sent yet."""
         now = self._clock.now()
-        kept = _Kept(stream, now, now + self._idle_seconds)
-        self._idle.setdefault((host, port), deque()).append(kept)
+        idle_connection = _IdleConnection(stream, now, now + self._idle_seconds)
+        self._idle.setdefault((host, port), deque()).append(idle_connection)
 
     def idle_count(self, host, port):
         """Return the number of idle connections to an address."""
         return len(self._idle.get((host, port), ()))
 
     async def discard(self, host, port, stream):
-        """Close a connection for good."""
+        """Close a connection."""
         self._open[host, port] -= 1
         await stream.close()
 
@@ -107,26 +106,26 @@
                 await self.discard(host, port, idle.pop().stream)
 
     async def sweep(self):
-        """Close the idle connections whose time is over."""
+        """Close the idle connections that have expired."""
         for address, idle in list(self._idle.items()):
-            await self._drop_old(address, idle)
+            await self._close_expired(address, idle)
 
-    async def _drop_old(self, address, idle):
+    async def _close_expired(self, address, idle):
         now = self._clock.now()
         while idle and idle[0].expires_at <= now:
             await self.discard(*address, idle.popleft().stream)
 
 
-class _Kept:
-    """An idle connection, since when and until when it is kept."""
+class _IdleConnection:
+    """An idle connection; ``idle_since`` and ``expires_at`` are monotonic instants."""
 
-    __slots__ = ("stream", "since", "expires_at")
+    __slots__ = ("stream", "idle_since", "expires_at")
 
-    def __init__(self, stream, since, expires_at):
+    def __init__(self, stream, idle_since, expires_at):
         self.stream = stream
-        self.since = since
+        self.idle_since = idle_since
         self.expires_at = expires_at
 
 
-def _is_recent(kept, max_age, now):
-    return max_age is None or now - kept.since <= max_age
+def _is_recent(idle_connection, max_age, now):
+    return max_age is None or now - idle_connection.idle_since <= max_age
--- a/src/heathercleat/platform/settings.py
+++ b/src/heathercleat/platform/settings.py
@@ -1,7 +1,6 @@
-"""The settings file that the platform writes for a process.
+"""Reader of the settings file that the platform writes for a process.
 
-The template in ``deploy/settings.json`` has it written as JSON; a file in the
-platform's own format, YAML, is read as well.
+The format is JSON, as in the template ``deploy/settings.json``, or YAML.
 """
 
 import json
@@ -17,10 +16,10 @@
 
 
 def load_node_settings(path=None):
-    """Read the settings of this process.
+    """Return the :class:`NodeSettings` of this process.
 
-    :param path: the file, or ``None`` for the one that the environment names.
-    :raises FindingsError: with every field that is missing or malformed.
+    :param path: the file, or ``None`` to use the environment variable.
+    :raises FindingsError: for missing or malformed fields.
     :raises HeathercleatError: when the file cannot be read or is neither JSON nor YAML.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE)
@@ -37,18 +36,18 @@
 
 
 def _parse(text):
-    """Return the document in a text of JSON or YAML.
+    """Parse JSON or YAML.
 
-    :raises ValueError: when it is neither.
+    :raises ValueError: when ``text`` is neither.
     """
     try:
         return json.loads(text)
     except ValueError:
         pass
-    # The library costs a start 0.04 s of processor time, and JSON needs none of it.
+    # Imported only for YAML, to keep the start with JSON settings short.
     import yaml
 
-    # The C loader takes a tenth of the time; it is missing in some builds.
+    # The C loader is much faster but missing in some builds.
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         return yaml.load(text, loader)
@@ -57,86 +56,92 @@
 
 
 def decode_node_settings(document, name="settings"):
-    """Return the settings in a parsed file; see :func:`load_node_settings`."""
+    """Return the :class:`NodeSettings` of a parsed file.
+
+    :param name: the file name in error messages.
+    :raises FindingsError: for missing or malformed fields.
+    """
     reader = _Reader(document if isinstance(document, dict) else {})
-    ports = reader.field("internalPorts", _port_range)
+    ports = reader.read_field("internalPorts", _parse_port_range)
     settings = NodeSettings(
-        vm=reader.field("node", str),
-        ip=reader.field("ip", str),
-        failure_domain=reader.field("zone", str),
-        region=reader.field("region", str),
-        regions=reader.field("zones", dict),
-        front=reader.field("listen.front", _address),
-        ready=reader.field("listen.ready", _address),
-        directory=reader.field("listen.directory", _address),
+        vm=reader.read_field("node", str),
+        ip=reader.read_field("ip", str),
+        failure_domain=reader.read_field("zone", str),
+        region=reader.read_field("region", str),
+        regions=reader.read_field("zones", dict),
+        front=reader.read_field("listen.front", _parse_address),
+        ready=reader.read_field("listen.ready", _parse_address),
+        directory=reader.read_field("listen.directory", _parse_address),
         first_inner_port=ports[0] if ports else None,
-        seeds=reader.field("seeds", _hosts, default=()),
-        store=reader.field("platform.address", _address),
-        memory=reader.field("limits.memoryMb", _bytes, default=512 * _MEGABYTE),
-        # The share of a core, and how many cores' speed that core has.
-        cores=reader.field("limits.cpuShare", float, default=1.0)
-        * reader.field("limits.cores", float, default=1.0),
-        link_mbps=reader.field("limits.linkMbps", float, default=1000.0),
-        bounds=reader.field("bounds", _bounds, default=Bounds()),
-        path=path_of(name),
+        seeds=reader.read_field("seeds", _parse_hosts, default=()),
+        store=reader.read_field("platform.address", _parse_address),
+        memory=reader.read_field(
+            "limits.memoryMb", _megabytes_to_bytes, default=512 * _MEGABYTE
+        ),
+        # cpuShare is the share of one core; cores is the relative speed of that core.
+        cores=reader.read_field("limits.cpuShare", float, default=1.0)
+        * reader.read_field("limits.cores", float, default=1.0),
+        link_mbps=reader.read_field("limits.linkMbps", float, default=1000.0),
+        bounds=reader.read_field("bounds", _parse_bounds, default=Bounds()),
+        path=existing_path(name),
     )
     if reader.findings:
         raise FindingsError(str(name), reader.findings)
     return settings
 
 
-def path_of(name):
-    """Return ``name`` if it is the path of a file, else ``None``."""
+def existing_path(name):
+    """Return ``name`` if it is an existing path, else ``None``."""
     return name if os.path.exists(name) else None
 
 
 class _Reader:
-    """Reads fields of a parsed file and collects what is wrong with them."""
+    """Reads fields of a parsed file and collects findings."""
 
     def __init__(self, document):
         self._document = document
         self.findings = []
 
-    def field(self, path, convert, default=None):
+    def read_field(self, path, convert, default=None):
         value = self._document
         for part in path.split("."):
             value = value.get(part) if isinstance(value, dict) else None
         if value is None:
             if default is None:
-                self._report(path, "missing")
+                self._add_finding(path, "missing")
             return default
         try:
             return convert(value)
         except (TypeError, ValueError) as error:
-            self._report(path, f"{value!r}: {error}")
+            self._add_finding(path, f"{value!r}: {error}")
             return default
 
-    def _report(self, path, problem):
+    def _add_finding(self, path, problem):
         pointer = "/" + path.replace(".", "/")
         code = ResultCode.SETTINGS_INVALID
         self.findings.append(Finding(problem, pointer, 0, 0, code))
 
 
-def _address(text):
+def _parse_address(text):
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
 
 
-def _hosts(addresses):
-    return tuple(_address(each).host for each in addresses)
+def _parse_hosts(addresses):
+    return tuple(_parse_address(each).host for each in addresses)
 
 
-def _port_range(ports):
+def _parse_port_range(ports):
     first, last = ports
     return int(first), int(last)
 
 
-def _bytes(megabytes):
+def _megabytes_to_bytes(megabytes):
     return int(megabytes) * _MEGABYTE
 
 
-def _bounds(entries):
-    """Return the :class:`Bounds` of ``name=value`` texts; unknown ones are ignored."""
+def _parse_bounds(entries):
+    """Return the :class:`Bounds` of ``name=value`` entries, ignoring unknown names."""
     values = dict(entry.split("=", 1) for entry in entries if "=" in entry)
     bounds = Bounds()
     for name, field, convert in _BOUND_FIELDS:
@@ -145,7 +150,7 @@
     return bounds
 
 
-#: Name on the wire, field of :class:`Bounds`, conversion.
+#: Name in the settings file, attribute of :class:`Bounds`, and conversion.
 _BOUND_FIELDS = (
     ("grace", "stop_grace", parse_duration),
     ("retryBudgetRatio", "retry_ratio", float),
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -1,8 +1,7 @@
-"""Rows of the targets' table as types of the product.
+"""Decoding and validation of rows of the targets' table.
 
-Any writer may have written a row there. One that does not hold every field in its
-proper form names no target to use, and must not harm the rows beside it: each field is
-checked, and the error names the field and its value.
+The table accepts rows from any writer, so every field is validated. A malformed row
+raises an error that names the field and its value, and other rows are unaffected.
 """
 
 import json
@@ -12,108 +11,109 @@
 from heathercleat.platform.units import parse_duration
 from heathercleat.steering.process.capacity.target import TargetEntry
 
-#: State on the wire, and whether such a target takes no new requests.
+#: State of a target, and whether it is draining.
 _STATES = {"ready": False, "draining": True}
-_MOST_PORT = 65535
-#: Far above what any target is known to take (3 to 6), and what this VM could send it.
+_MAX_PORT = 65535
+#: Upper limit for plausible values.
 MAX_SLOTS = 10_000
-#: Counts and times of day beyond this are no such thing (2 to the power of 63).
+#: Upper limit of counters and times: 64-bit signed integers.
 MAX_COUNT = 1 << 63
-#: Characters of a value that an error shows.
-_SHOWN = 60
+#: Maximum length of a value in error messages.
+_MAX_SHOWN_LENGTH = 60
 
 
 def decode_target(row):
     """Return the :class:`TargetEntry` of a row of the targets' table.
 
     :param row: a :class:`StoreRow` with a value.
-    :raises ValueError: when the row names no target that can be used.
+    :raises ValueError: when the row is malformed.
     """
-    document = _document(row.value)
-    host, port = _address(document)
-    # The software's version is no business of the product, but a row without it is not
-    # a target's own.
-    _text(document, "version")
+    document = _parse_object(row.value)
+    host, port = _parse_address(document)
+    # The version is not used, but every row written by a target has one.
+    _string(document, "version")
     return TargetEntry(
         id=_target_id(row.key),
-        service=_text(document, "service"),
+        service=_string(document, "service"),
         host=host,
         port=port,
-        failure_domain=_text(document, "zone"),
-        slots=_whole(document, "slots", least=1, most=MAX_SLOTS),
-        draining=_draining(document),
-        cold_for=_cold_for(document),
-        sequence=_whole(document, "sequence"),
-        started_ms=_whole(document, "born") if "born" in document else None,
+        failure_domain=_string(document, "zone"),
+        slots=_integer(document, "slots", minimum=1, maximum=MAX_SLOTS),
+        draining=_is_draining(document),
+        cold_for=_cold_seconds(document),
+        sequence=_integer(document, "sequence"),
+        started_ms=_integer(document, "born") if "born" in document else None,
         version=row.version,
     )
 
 
-def _document(value):
+def _parse_object(value):
     try:
         document = json.loads(value)
     except RecursionError:
         raise ValueError("the value is nested too deeply") from None
     if not isinstance(document, dict):
-        raise ValueError(f"the value is {_show(document)}; it has to be a map")
+        raise ValueError(f"the value is {_abbreviate(document)}; it has to be a map")
     return document
 
 
 def _target_id(key):
-    """Return the id, which is sent to the target in a header."""
+    """Return the id of a target, which has to be a valid header value."""
     if not (key.isascii() and key.isprintable()) or " " in key or not key:
-        raise ValueError(f"the key {_show(key)} is no id of a target")
+        raise ValueError(f"the key {_abbreviate(key)} is no id of a target")
     return key
 
 
-def _address(document):
-    """Return the IP number and the port of the address."""
-    text = _text(document, "address")
+def _parse_address(document):
+    """Return the IP address and port."""
+    text = _string(document, "address")
     host, _, port = text.rpartition(":")
     try:
         IPv4Address(host)
         number = int(port)
     except ValueError:
         number = 0
-    if not (port.isdecimal() and 1 <= number <= _MOST_PORT):
-        raise _bad("address", text, "an IPv4 number and a port")
+    if not (port.isdecimal() and 1 <= number <= _MAX_PORT):
+        raise _invalid_field("address", text, "an IPv4 number and a port")
     return host, number
 
 
-def _draining(document):
-    state = _text(document, "state")
+def _is_draining(document):
+    state = _string(document, "state")
     if state not in _STATES:
-        raise _bad("state", state, f"one of {', '.join(_STATES)}")
+        raise _invalid_field("state", state, f"one of {', '.join(_STATES)}")
     return _STATES[state]
 
 
-def _cold_for(document):
-    text = _text(document, "coldRemaining")
+def _cold_seconds(document):
+    text = _string(document, "coldRemaining")
     number = parse_duration(text)
     if not (isfinite(number) and number >= 0):
-        raise _bad("coldRemaining", text, "a time of 0 or more")
+        raise _invalid_field("coldRemaining", text, "a time of 0 or more")
     return number
 
 
-def _text(document, name):
-    """Return a field that is a text and not empty."""
+def _string(document, name):
+    """Return a field that has to be a non-empty string."""
     value = document.get(name)
     if not isinstance(value, str) or not value:
-        raise _bad(name, value, "a text")
+        raise _invalid_field(name, value, "a text")
     return value
 
 
-def _whole(document, name, least=0, most=MAX_COUNT):
-    """Return a field that is a whole number; ``True`` is none."""
+def _integer(document, name, minimum=0, maximum=MAX_COUNT):
+    """Return a field that has to be an integer in a range; booleans are rejected."""
     value = document.get(name)
-    if type(value) is not int or not least <= value <= most:
-        raise _bad(name, value, f"a whole number from {least} to {most}")
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise _invalid_field(name, value, f"a whole number from {minimum} to {maximum}")
     return value
 
 
-def _bad(name, value, wanted):
-    return ValueError(f'the field "{name}" is {_show(value)}; it has to be {wanted}')
+def _invalid_field(name, value, expected):
+    return ValueError(
+        f'the field "{name}" is {_abbreviate(value)}; it has to be {expected}'
+    )
 
 
-def _show(value):
-    return "missing or null" if value is None else repr(value)[:_SHOWN]
+def _abbreviate(value):
+    return "missing or null" if value is None else repr(value)[:_MAX_SHOWN_LENGTH]
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -19,7 +19,7 @@
     Member,
     MemberState,
 )
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Seconds without a message from a monitor after which its acknowledgement is no longer
 #: required.
@@ -364,7 +364,7 @@
         digest = blake2b("\n".join(lines).encode(), digest_size=8).digest()
         self._digest = int.from_bytes(digest, "big")
         names = [member.vm for member in running]
-        self._ring = sorted(names, key=lambda name: weight("ring", name))
+        self._ring = sorted(names, key=lambda name: rendezvous_weight("ring", name))
 
 
 _EVENTS = {
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -76,7 +76,7 @@
 
     These are drained or not ready for all their callers.
     """
-    drained = vm.text.avoided(client, vm.clock.wall())
+    drained = vm.text.avoided_domains(client, vm.clock.wall())
     if vm.readiness.share(service) >= 1:
         return drained
     return drained | vm.readiness.avoided(service, ramp_position(client))
--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -6,7 +6,7 @@
 from curio import sleep
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.http import before, read_body
+from heathercleat.connection.http import with_deadline, read_body
 from heathercleat.errors import RequestError
 from heathercleat.platform.headers import parse_client_head
 from heathercleat.request.headers import check_framing, end_to_end, find
@@ -99,7 +99,7 @@
         self._hold(turn, int(find(headers, "content-length") or 0))
         try:
             reading = read_body(turn.stream, limit)
-            body = await before(deadline, self._clock, reading)
+            body = await with_deadline(deadline, self._clock, reading)
             # The length of a chunked body is only known now.
             self._hold(turn, len(body) - turn.held)
             return body
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from heathercleat.steering.process.capacity.slots import reaches_idle_share
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Seconds for which the summary of a region is cached; well below the heartbeat
 #: interval.
@@ -212,4 +212,4 @@
 
 def _weight_for(affinity):
     """Return a sort key for the candidates of an affinity key."""
-    return lambda candidate: weight(affinity, candidate.entry.id)
+    return lambda candidate: rendezvous_weight(affinity, candidate.entry.id)
--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -6,7 +6,7 @@
 """
 
 from heathercleat.steering.request.wait_policy import SPREAD
-from heathercleat.version.hashing import weight
+from heathercleat.version.hashing import rendezvous_weight
 
 #: Share of the latency objective that a round trip may take while the response time for
 #: cached objects is unknown. The mean would exclude other regions at first, since it
@@ -61,7 +61,7 @@
         affinity = choice.call.affinity
         return max(
             affinity_targets,
-            key=lambda each: weight(affinity, each.candidate.entry.id),
+            key=lambda each: rendezvous_weight(affinity, each.candidate.entry.id),
             default=None,
         )
 
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -1,7 +1,7 @@
-"""The client-block table: which failure domain is nearest to a caller.
+"""Table of client address blocks and their nearest failure domains.
 
-Two packed arrays: the first address of each run and the index of its failure domain.
-At 2.7 million blocks they take 16 MB; a look-up is one bisection.
+Packed arrays hold the first address and the failure domain of each range, so that a
+table of millions of blocks stays small. A look-up is a binary search.
 """
 
 from array import array
@@ -12,10 +12,10 @@
 
 
 class ClientBlockTable:
-    """IPv4 client blocks to failure domains.
+    """Maps IPv4 client addresses to failure domains.
 
     :param domains: the names of the failure domains, by index.
-    :param runs: ``(first address, domain index)`` pairs in rising order.
+    :param runs: ``(first address, domain index)`` of each address range, in order.
     """
 
     def __init__(self, domains, runs):
@@ -31,17 +31,17 @@
 
     @property
     def size_bytes(self):
-        """Return the memory taken by the packed arrays, in bytes."""
+        """Return the size of the packed arrays, in bytes."""
         return self._starts.itemsize * len(self._starts) + self._values.itemsize * len(
             self._values
         )
 
     def find(self, address):
-        """Return the failure domain for a dotted IPv4 address, or ``None``."""
+        """Return the failure domain of an IPv4 address, or ``None``."""
         return self.find_by_number(int(ip_address(address)))
 
     def find_by_number(self, number):
-        """Return the failure domain for an address given as an integer."""
+        """Return the failure domain of an integer address, or ``None``."""
         index = bisect_right(self._starts, number) - 1
         if index < 0:
             return None
@@ -49,21 +49,25 @@
         return None if value == NO_DOMAIN else self._domains[value]
 
     def replace(self, first, last, domain):
-        """Change one run of addresses in place.
+        """Assign a range of addresses to a failure domain.
 
-        :param first: the first address as an integer.
-        :param last: the last address as an integer, inclusive.
-        :param domain: the name of a known failure domain, or ``None``.
+        :param first: the first address, as an integer.
+        :param last: the last address, inclusive.
+        :param domain: one of the table's failure domains, or ``None``.
         """
         value = NO_DOMAIN if domain is None else self._domains.index(domain)
-        left = bisect_right(self._starts, first) - 1
-        right = bisect_right(self._starts, last) - 1
-        after = NO_DOMAIN if right < 0 else self._values[right]
-        begin = left if left >= 0 and self._starts[left] == first else left + 1
-        end = right + 1
+        first_index = bisect_right(self._starts, first) - 1
+        last_index = bisect_right(self._starts, last) - 1
+        after = NO_DOMAIN if last_index < 0 else self._values[last_index]
+        begin = (
+            first_index
+            if first_index >= 0 and self._starts[first_index] == first
+            else first_index + 1
+        )
+        end = last_index + 1
         starts, values = array("I", [first]), array("H", [value])
-        follows = end < len(self._starts) and self._starts[end] == last + 1
-        if last < 0xFFFFFFFF and not follows:
+        has_adjacent_range = end < len(self._starts) and self._starts[end] == last + 1
+        if last < 0xFFFFFFFF and not has_adjacent_range:
             starts.append(last + 1)
             values.append(after)
         self._starts[begin:end] = starts
@@ -71,10 +75,11 @@
 
 
 def build_client_blocks(blocks, domains):
-    """Build a table from ``{CIDR: failure domain}``; the longest prefix wins.
+    """Return a table of ``{CIDR: failure domain}``; the longest prefix wins.
+
+    IPv6 blocks are ignored.
 
-    :param blocks: blocks of the text.
-    :param domains: all failure domains of the text.
+    :param domains: the names of all failure domains.
     """
     table = ClientBlockTable(list(domains), [])
     networks = [(ip_network(block), domain) for block, domain in blocks.items()]
--- a/src/heathercleat/version/version_transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -1,97 +1,98 @@
-"""Limits while a new version of the text spreads.
+"""Limits while a new version of the configuration propagates.
 
-Limits of a region, a link and a shift are divided over the targets, and each home keeps
-its parts by itself. While some homes follow the earlier version and others the later
-one, parts of both are in use at once and may add up to more than either version allows.
-A home therefore keeps to the smaller part of both until the new version is in force
-everywhere.
+Limits of regions, links and shift caps are divided over the targets, and each home
+enforces the shares of its targets. While some homes still use an earlier version, the
+shares of both versions could add up to more than either allows. Until the new version
+has reached all homes, each home therefore uses the smaller share of both versions.
 """
 
 from dataclasses import dataclass, replace
 
-#: Seconds within which an accepted version is in force everywhere.
+#: Time until an accepted version is in force on all VMs.
 PROPAGATION_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
 class SupersededText:
-    """A version that other homes may still follow until an instant of this process."""
+    """A version that other homes may use until ``until``, a monotonic instant."""
 
     text: object
     until: float
 
 
 class VersionTransition:
-    """The text in force at this VM, beside those that others may still follow."""
+    """The version in force at this VM and those that other VMs may still use."""
 
     def __init__(self):
         self._text = None
-        self._earlier = []
+        self._superseded = []
 
     @property
     def text(self):
-        """Return the text that is followed, or ``None``."""
+        """Return the :class:`Text` in force at this VM, or ``None``."""
         return self._text
 
-    def follow(self, text, now):
-        """Follow a text; the one before it counts for a while longer.
+    def adopt(self, text, now):
+        """Put a version in force; the previous one restricts limits until it expires.
 
-        :param now: an instant of this process.
+        :param now: a monotonic instant.
         """
         if self._text is not None:
-            self._earlier.append(SupersededText(self._text, now + PROPAGATION_SECONDS))
+            self._superseded.append(
+                SupersededText(self._text, now + PROPAGATION_SECONDS)
+            )
         self._text = text
 
     def expire_superseded(self, now):
-        """Forget what nobody follows any more; return whether that changes limits."""
-        settled = [each for each in self._earlier if each.until <= now]
-        for each in settled:
-            self._earlier.remove(each)
-        return bool(settled)
-
-    def target(self, target):
-        """Return a target of the text with the smallest of its parts of any version."""
-        for earlier in self._earlier:
-            target = _smaller(target, earlier.text)
+        """Drop the expired versions; return whether there were any."""
+        expired = [each for each in self._superseded if each.until <= now]
+        for each in expired:
+            self._superseded.remove(each)
+        return bool(expired)
+
+    def restrict_target(self, target):
+        """Return a target with the smallest of its shares in all versions."""
+        for superseded in self._superseded:
+            target = _with_smaller_shares(target, superseded.text)
         return target
 
-    def links(self, target):
-        """Return ``{failure domain: slots}``: the target's parts of link limits."""
-        parts = link_shares(self._text, target)
-        for earlier in self._earlier:
-            for domain, slots in link_shares(earlier.text, target).items():
-                parts[domain] = min(slots, parts.get(domain, slots))
-        return parts
+    def restrict_links(self, target):
+        """Return ``{failure domain: slots}``: the target's shares of link limits."""
+        shares = link_shares(self._text, target)
+        for superseded in self._superseded:
+            for domain, slots in link_shares(superseded.text, target).items():
+                shares[domain] = min(slots, shares.get(domain, slots))
+        return shares
 
 
 def link_shares(text, target):
-    """Return the target's part of each link limit to its failure domain, in slots."""
-    parts = {}
+    """Return the target's share of each link to its failure domain, in slots."""
+    shares = {}
     for domain in text.failure_domains:
         limit = text.link_limit(domain, target.failure_domain)
         if limit is not None and domain != target.failure_domain:
-            parts[domain] = text.link_share(limit, target)
-    return parts
+            shares[domain] = text.link_share(limit, target)
+    return shares
 
 
-def _smaller(target, text):
-    """Return ``target`` with the smaller parts of its own and an earlier text."""
-    known = text.find_target(target.name)
-    if known is None:
-        return _without_part(target, text)
+def _with_smaller_shares(target, text):
+    """Return ``target`` with the smaller of its shares in both versions."""
+    previous = text.find_target(target.name)
+    if previous is None:
+        return _without_shares(target, text)
     cap = target.shift_cap
-    if cap is not None and known.shift_cap is not None:
-        slots = min(cap.slots, known.shift_cap.slots)
-        window = max(cap.window, known.shift_cap.window)
+    if cap is not None and previous.shift_cap is not None:
+        slots = min(cap.slots, previous.shift_cap.slots)
+        window = max(cap.window, previous.shift_cap.window)
         cap = replace(cap, slots=slots, window=window)
     share = target.region_share
-    if text.has_region_limit(known.failure_domain):
-        share = min(share, known.region_share)
+    if text.has_region_limit(previous.failure_domain):
+        share = min(share, previous.region_share)
     return replace(target, region_share=share, shift_cap=cap)
 
 
-def _without_part(target, text):
-    """Return ``target`` without parts of what the text divides among others."""
+def _without_shares(target, text):
+    """Return ``target`` without shares of the limits that ``text`` divides."""
     share, cap = target.region_share, target.shift_cap
     if text.has_region_limit(target.failure_domain):
         share = 0
