--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -6,7 +6,7 @@
 from curio import sleep
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.http import with_deadline, read_body
+from heathercleat.connection.http import read_body, with_deadline
 from heathercleat.errors import RequestError
 from heathercleat.platform.headers import parse_client_head
 from heathercleat.request.headers import check_framing, end_to_end, find
