--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -114,7 +114,7 @@
 
         def change(table=table):
             first = random.randrange(1 << 31)
-            table.replace(first, first + 255, "fd-1")
+            table.assign_range(first, first + 255, "fd-1")
 
         slopes.add("block table: delta", "us", size, timed(change, 100) * 1e6)
 
--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -24,15 +24,15 @@
 CALL_SECONDS = 20.0
 #: Timeout for calls to further VMs that a command makes.
 FOLLOW_UP_SECONDS = 2.0
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
 class RemoteError(HeathercleatError):
     """An error response of an entry VM."""
 
-    def __init__(self, answer):
+    def __init__(self, response):
         super().__init__(
-            ResultCode.from_number(answer["code"]), "\n".join(answer["messages"])
+            ResultCode.from_number(response["code"]), "\n".join(response["messages"])
         )
 
 
@@ -71,7 +71,7 @@
             method=method, path=path, headers={"authorization": token}, body=body
         )
         try:
-            answer = run(self._exchange, message)
+            response = run(self._exchange, message)
         except (TimeoutError, *CONNECTION_ERRORS) as error:
             # Only a refused connection rules out that an edit took effect.
             code = ResultCode.EDIT_UNKNOWN if body else ResultCode.VM_UNREACHABLE
@@ -79,8 +79,8 @@
                 code = ResultCode.VM_UNREACHABLE
             text = f"{self._host}:{self._port} did not answer {method} {path}: {error}"
             raise HeathercleatError(code, text) from None
-        result = json.loads(answer.body)
-        if answer.status != ResultCode.OK.status:
+        result = json.loads(response.body)
+        if response.status != ResultCode.OK.status:
             raise RemoteError(result)
         return result
 
@@ -88,7 +88,7 @@
         deadline = self._clock.now() + self._timeout
         stream = await connect(self._host, self._port, deadline, self._clock)
         try:
-            exchanged = exchange(stream, message, MAX_ANSWER_BYTES)
+            exchanged = exchange(stream, message, MAX_RESPONSE_BYTES)
             return await with_deadline(deadline, self._clock, exchanged)
         finally:
             await stream.close()
--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -92,19 +92,19 @@
 
 
 def _explain(args):
-    answer = make_client(args).get(
+    explanation = make_client(args).get(
         "/v1/explain", service=args.service, client=args.client
     )
-    print_result(args, answer, _explain_lines)
+    print_result(args, explanation, _explain_lines)
 
 
-def _explain_lines(answer):
-    domain = answer["client_domain"] or "not in any client block"
-    yield f"client {answer['client']}: {domain}"
-    yield "entry VMs: " + ", ".join(entry["vm"] for entry in answer["vms"])
-    wait = answer["expected_wait"]
+def _explain_lines(explanation):
+    domain = explanation["client_domain"] or "not in any client block"
+    yield f"client {explanation['client']}: {domain}"
+    yield "entry VMs: " + ", ".join(entry["vm"] for entry in explanation["vms"])
+    wait = explanation["expected_wait"]
     yield f"expected wait here: {'no room' if wait is None else f'{wait:.4f} s'}"
-    yield f"share of callers served here: {answer['ready_share']:.2f}"
+    yield f"share of callers served here: {explanation['ready_share']:.2f}"
     rows = (
         [
             target["target"],
@@ -115,7 +115,7 @@
             target.get("cost"),
             target["state"],
         ]
-        for target in answer["places"]
+        for target in explanation["places"]
     )
     headings = ["TARGET", "FAILURE DOMAIN", "ONE WAY S", "SLOTS", "FREE", "COST"]
     yield from format_table([*headings, "STATE"], rows)
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -13,7 +13,7 @@
     HttpStream,
     Message,
     read_body,
-    send_message,
+    send_response,
     with_deadline,
 )
 from heathercleat.connection.server import ServerConnection, head_error
@@ -128,16 +128,16 @@
         }
         if self._vm.text is not None:
             await self._vm.readiness.wait_first_round()
-        answer = answer_lookup(self._vm, query, self._caller)
-        self._vm.metrics.count_lookup(answer["service"])
-        max_age = max(0, int(answer["expires_at"] - self._vm.clock.wall()))
+        response = answer_lookup(self._vm, query, self._caller)
+        self._vm.metrics.count_lookup(response["service"])
+        max_age = max(0, int(response["expires_at"] - self._vm.clock.wall()))
         headers = {
             "content-type": "application/json",
             "cache-control": f"max-age={max_age}",
             **self._close_header(),
         }
-        body = dumps(answer).encode()
-        await send_message(self._stream, Message(headers=headers, body=body))
+        body = dumps(response).encode()
+        await send_response(self._stream, Message(headers=headers, body=body))
 
     def _build_call(self, head, path, headers):
         vm = self._vm
@@ -284,7 +284,7 @@
         message = Message(
             status=code.status, headers=headers, body=dumps(body).encode()
         )
-        await send_message(self._stream, message)
+        await send_response(self._stream, message)
 
     def _close_header(self):
         return {"connection": "close"} if self._vm.leaving else {}
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -18,13 +18,13 @@
 
     :param sock: a connected curio socket.
     :param role: ``h11.SERVER`` or ``h11.CLIENT``.
-    :param header_bytes: the maximum size of a message head.
+    :param max_header_bytes: the maximum size of a message head.
     """
 
-    def __init__(self, sock, role, header_bytes=MAX_HEADER_BYTES):
+    def __init__(self, sock, role, max_header_bytes=MAX_HEADER_BYTES):
         self._sock = sock
         self._role = role
-        self._header_bytes = header_bytes
+        self._max_header_bytes = max_header_bytes
         self._conn = self._new_connection()
         self._bytes_sent = 0
         self._body_started = False
@@ -120,7 +120,7 @@
             return None
         if self._conn.our_state not in (h11.SEND_RESPONSE, h11.DONE):
             return None
-        stream = HttpStream(self._sock, self._role, self._header_bytes)
+        stream = HttpStream(self._sock, self._role, self._max_header_bytes)
         unread, closed = self._conn.trailing_data
         if unread:
             stream._conn.receive_data(unread)
@@ -136,7 +136,9 @@
             pass
 
     def _new_connection(self):
-        return h11.Connection(self._role, max_incomplete_event_size=self._header_bytes)
+        return h11.Connection(
+            self._role, max_incomplete_event_size=self._max_header_bytes
+        )
 
     def next_cycle(self):
         """Prepare for the next message; return whether the connection is reusable."""
@@ -238,7 +240,7 @@
         raise TimeoutError("the deadline has passed") from None
 
 
-async def read_message(stream, limit):
+async def read_request(stream, limit):
     """Return the next request as a :class:`Message`, or ``None`` at end of file.
 
     :param limit: the maximum size of the body, in bytes.
@@ -297,7 +299,7 @@
     )
 
 
-async def send_message(stream, message):
+async def send_response(stream, message):
     """Send a complete response."""
     headers = {**message.headers, "content-length": str(len(message.body))}
     await stream.send(
@@ -307,20 +309,20 @@
     )
 
 
-async def serve_messages(stream, handle, limit):
+async def serve_requests(stream, handle, limit):
     """Serve requests on one connection until it closes.
 
     :param handle: a coroutine function from request to response :class:`Message`.
     :param limit: the maximum size of a request body, in bytes.
     """
     try:
-        while (message := await read_message(stream, limit)) is not None:
-            await send_message(stream, await handle(message))
+        while (message := await read_request(stream, limit)) is not None:
+            await send_response(stream, await handle(message))
             if not stream.next_cycle():
                 return
     except ValueError as error:
         if stream.can_respond:
-            await send_message(stream, Message(status=413, body=str(error).encode()))
+            await send_response(stream, Message(status=413, body=str(error).encode()))
     except CONNECTION_ERRORS:
         return
 
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -9,7 +9,7 @@
 import h11
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.http import HttpStream, Message, serve_messages
+from heathercleat.connection.http import HttpStream, Message, serve_requests
 from heathercleat.connection.peer import sign, verify
 from heathercleat.errors import FindingsError, HeathercleatError
 from heathercleat.process.configuration.editing import (
@@ -30,12 +30,12 @@
 JSON = {"content-type": "application/json"}
 
 
-def operator_token(key, method, path, body, wall):
+def operator_token(key, method, path, body, wall_time):
     """Return the value of the Authorization header of an operator's call.
 
-    :param wall: the current time, in epoch seconds.
+    :param wall_time: the current time, in epoch seconds.
     """
-    expires_at = int(wall + TOKEN_SECONDS)
+    expires_at = int(wall_time + TOKEN_SECONDS)
     signature = sign(key, b"operator", method, path, body, expires_at).hex()
     return f"Heathercleat {expires_at}:{signature}"
 
@@ -60,7 +60,7 @@
     async def serve(self, sock, address):
         """Serve calls on one connection."""
         stream = HttpStream(sock, h11.SERVER)
-        await serve_messages(stream, self.handle, MAX_TEXT_BYTES)
+        await serve_requests(stream, self.handle, MAX_TEXT_BYTES)
 
     async def handle(self, message):
         """Return the response to one call.
@@ -90,13 +90,13 @@
         scheme, _, token = message.headers.get("authorization", "").partition(" ")
         expires_at, _, signature = token.partition(":")
         try:
-            given = bytes.fromhex(signature)
-            fresh = int(expires_at) > self._vm.clock.wall()
+            signature_bytes = bytes.fromhex(signature)
+            is_fresh = int(expires_at) > self._vm.clock.wall()
         except ValueError:
-            given, fresh = b"", False
+            signature_bytes, is_fresh = b"", False
         parts = (b"operator", message.method, message.path, message.body, expires_at)
-        valid = verify(self._vm.settings.keys, given, *parts)
-        if scheme != "Heathercleat" or not fresh or not valid:
+        is_valid = verify(self._vm.settings.keys, signature_bytes, *parts)
+        if scheme != "Heathercleat" or not is_fresh or not is_valid:
             text = "the call has no valid key; use one of the VM's settings"
             raise HeathercleatError(ResultCode.BAD_REQUEST, text)
 
--- a/src/heathercleat/connection/peer.py
+++ b/src/heathercleat/connection/peer.py
@@ -67,13 +67,13 @@
         """
         try:
             await self.send(item)
-            answer = await self.receive()
+            response = await self.receive()
         except CancelledError:
             await self.close()
             raise
-        if answer is None:
+        if response is None:
             raise EOFError("the peer closed the connection")
-        return answer
+        return response
 
     async def close(self):
         """Close the connection."""
--- a/src/heathercleat/connection/persistent.py
+++ b/src/heathercleat/connection/persistent.py
@@ -33,14 +33,14 @@
                 stream = await self._connect()
             reusable = False
             try:
-                answer = await exchange(stream, message, self._limit)
+                response = await exchange(stream, message, self._limit)
                 reusable = stream.next_cycle()
             finally:
                 if reusable:
                     self._stream = stream
                 else:
                     await stream.close()
-            return answer
+            return response
 
     async def close(self):
         """Close the connection, if it is open."""
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -20,7 +20,7 @@
     StoreRow,
 )
 
-MAX_ANSWER_BYTES = 4 << 20
+MAX_RESPONSE_BYTES = 4 << 20
 #: Number of rows per read; the maximum that the store returns.
 PAGE_ROWS = 500
 _JSON = {"content-type": "application/json"}
@@ -39,7 +39,7 @@
         self._clock = clock
         self._timeout = timeout
         self._source_ip = source_ip
-        self._connection = PersistentConnection(self._connect, MAX_ANSWER_BYTES)
+        self._connection = PersistentConnection(self._connect, MAX_RESPONSE_BYTES)
 
     async def read(self, table):
         """Return a :class:`Snapshot` of all rows of a table.
@@ -54,11 +54,11 @@
             query = {"table": table, "part": "", "limit": PAGE_ROWS}
             if start is not None:
                 query["from"] = start
-            answer = await self._call("GET", f"{READ_PATH}?{urlencode(query)}")
-            page = [_decode_row(each) for each in answer["rows"]]
+            response = await self._call("GET", f"{READ_PATH}?{urlencode(query)}")
+            page = [_decode_row(each) for each in response["rows"]]
             rows.extend(page)
-            version = answer["ver"] if version is None else version
-            if not answer.get("truncated") or not page:
+            version = response["ver"] if version is None else version
+            if not response.get("truncated") or not page:
                 return Snapshot(version, rows)
             start = page[-1].key + "\0"
 
@@ -71,9 +71,9 @@
         """
         query = {"table": table, "after": after, "waitMs": int(wait * 1000)}
         path = f"{FEED_PATH}?{urlencode(query)}"
-        answer = await self._call("GET", path, wait=wait)
-        rows = [_decode_row(each) for each in answer["rows"]]
-        return Snapshot(answer["ver"], rows, is_whole=False)
+        response = await self._call("GET", path, wait=wait)
+        rows = [_decode_row(each) for each in response["rows"]]
+        return Snapshot(response["ver"], rows, is_whole=False)
 
     async def write(self, table, key, value):
         """Set the value of a row, or remove the row.
@@ -99,17 +99,17 @@
         deadline = self._clock.now() + self._timeout + wait
         message = Message(method=method, path=path, body=body, headers=_JSON)
         try:
-            answer = await with_deadline(
+            response = await with_deadline(
                 deadline, self._clock, self._connection.exchange(message)
             )
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
             raise PlatformError(f"{method} {path}: {error!r}") from None
-        if answer.status == 410:
+        if response.status == 410:
             raise HistoryLostError(f"{path}: the history is gone")
-        if answer.status != 200:
-            raise PlatformError(f"{method} {path}: status {answer.status}")
+        if response.status != 200:
+            raise PlatformError(f"{method} {path}: status {response.status}")
         try:
-            return json.loads(answer.body)
+            return json.loads(response.body)
         except ValueError as error:
             raise PlatformError(f"{method} {path}: {error}") from None
 
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -3,7 +3,7 @@
 import h11
 from curio import tcp_server
 
-from heathercleat.connection.http import HttpStream, Message, serve_messages
+from heathercleat.connection.http import HttpStream, Message, serve_requests
 from heathercleat.events import Event
 from heathercleat.platform.endpoints import handle_platform_request
 from heathercleat.steering.connection.client import ClientConnection
@@ -120,13 +120,13 @@
                 message, lambda: self._node.ready, self._directory.lookup
             )
 
-        await serve_messages(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
+        await serve_requests(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
 
     async def _serve_metrics(self, sock, address):
         async def handle(message):
             return Message(body=self._metrics.render())
 
-        await serve_messages(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
+        await serve_requests(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
 
 
 async def _listen(address, serve):
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -48,7 +48,7 @@
         value = self._values[index]
         return None if value == NO_DOMAIN else self._domains[value]
 
-    def replace(self, first, last, domain):
+    def assign_range(self, first, last, domain):
         """Assign a range of addresses to a failure domain.
 
         :param first: the first address, as an integer.
@@ -86,5 +86,5 @@
     for network, domain in sorted(networks, key=lambda item: item[0].prefixlen):
         if network.version == 4:
             first = int(network.network_address)
-            table.replace(first, int(network.broadcast_address), domain)
+            table.assign_range(first, int(network.broadcast_address), domain)
     return table
--- a/src/heathercleat/version/domain_ranking.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -13,9 +13,9 @@
     :param avoided: failure domains that are ranked last.
     """
 
-    def __init__(self, text, wall, avoided=frozenset()):
+    def __init__(self, text, wall_time, avoided=frozenset()):
         self._text = text
-        self._wall = wall
+        self._wall_time = wall_time
         self._avoided = avoided
         self._serving_domains = {}
 
@@ -26,7 +26,7 @@
             domains = self._serving_domains[service.name] = {
                 target.failure_domain
                 for target in service.targets.values()
-                if not self._text.find_drain(target, self._wall)
+                if not self._text.find_drain(target, self._wall_time)
             }
         return domains
 
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -40,7 +40,7 @@
             cached = self._ramp_seconds[failure_domain] = max(durations, default=0.0)
         return cached
 
-    def avoided_domains(self, drains, wall, caller):
+    def avoided_domains(self, drains, wall_time, caller):
         """Return the drained failure domains that a caller has moved away from.
 
         :param drains: each :class:`Drain` of a failure domain.
@@ -53,21 +53,22 @@
         return frozenset(
             drain.name
             for drain in drains
-            if departed_share(drain, self.ramp_seconds(drain.name), wall) > position
+            if departed_share(drain, self.ramp_seconds(drain.name), wall_time)
+            > position
         )
 
 
-def departed_share(drain, ramp_seconds, wall):
-    """Return the share of a domain's callers that have to be away at ``wall``.
+def departed_share(drain, ramp_seconds, wall_time):
+    """Return the share of a domain's callers that have to be away at ``wall_time``.
 
     It rises linearly to 1 over the ``ramp_seconds`` before the drain begins, and falls
     to 0 at the same rate after the drain was cancelled.
     """
-    if drain.until is None or wall < drain.until:
-        return _rising_share(drain.at, ramp_seconds, wall)
+    if drain.until is None or wall_time < drain.until:
+        return _rising_share(drain.at, ramp_seconds, wall_time)
     share_at_cancellation = _rising_share(drain.at, ramp_seconds, drain.until)
     return (
-        max(0.0, share_at_cancellation - (wall - drain.until) / ramp_seconds)
+        max(0.0, share_at_cancellation - (wall_time - drain.until) / ramp_seconds)
         if ramp_seconds
         else 0.0
     )
@@ -79,10 +80,10 @@
     return rendezvous_weight("ramp", caller) / _POSITIONS
 
 
-def _rising_share(at, ramp_seconds, wall):
-    if wall >= at:
+def _rising_share(at, ramp_seconds, wall_time):
+    if wall_time >= at:
         return 1.0
-    return max(0.0, 1.0 - (at - wall) / ramp_seconds) if ramp_seconds else 0.0
+    return max(0.0, 1.0 - (at - wall_time) / ramp_seconds) if ramp_seconds else 0.0
 
 
 def _service_ramp_seconds(service, failure_domain):
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -22,7 +22,7 @@
 import h11
 from curio import TaskGroup, open_connection, run, sleep, tcp_server
 
-from heathercleat.connection.http import HttpStream, Message, serve_messages
+from heathercleat.connection.http import HttpStream, Message, serve_requests
 
 CHUNK_BYTES = 1 << 16
 #: Seconds between two looks at a direction that is cut.
@@ -141,7 +141,7 @@
     async def serve(self, sock, address):
         """Answer requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
-        await serve_messages(stream, self._answer, MAX_SWITCH_BYTES)
+        await serve_requests(stream, self._answer, MAX_SWITCH_BYTES)
 
     async def _answer(self, message):
         if message.path == "/switch":
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -15,7 +15,7 @@
 import msgpack
 from curio import run, sleep, tcp_server
 
-from heathercleat.connection.http import HttpStream, Message, serve_messages
+from heathercleat.connection.http import HttpStream, Message, serve_requests
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
@@ -45,7 +45,7 @@
         async def handle(message):
             return await self._handle(stream, message)
 
-        await serve_messages(stream, handle, MAX_BODY_BYTES)
+        await serve_requests(stream, handle, MAX_BODY_BYTES)
 
     async def _handle(self, stream, message):
         url = urlsplit(message.path)
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -16,7 +16,7 @@
 import h11
 from curio import run, sleep, tcp_server
 
-from heathercleat.connection.http import HttpStream, Message, serve_messages
+from heathercleat.connection.http import HttpStream, Message, serve_requests
 from heathercleat.platform.wire_names import (
     FEED_PATH,
     OPERATOR_TABLE,
@@ -55,7 +55,7 @@
         async def handle(message):
             return await self._handle(stream, address[0], message)
 
-        await serve_messages(stream, handle, MAX_BODY_BYTES)
+        await serve_requests(stream, handle, MAX_BODY_BYTES)
 
     async def _handle(self, stream, caller, message):
         url = urlsplit(message.path)
--- a/standins/target.py
+++ b/standins/target.py
@@ -23,7 +23,7 @@
     HttpStream,
     Message,
     read_body,
-    send_message,
+    send_response,
 )
 
 DEADLINE_HEADER = b"heathercleat-deadline"
@@ -88,7 +88,7 @@
             return False
         if path in ("/switch", "/record", "/health", "/load"):
             body = await read_body(stream, MAX_SWITCH_BYTES)
-            await send_message(stream, self._control(path, body))
+            await send_response(stream, self._control(path, body))
         else:
             await self._serve_request(stream, event, headers)
         return stream.next_cycle()
@@ -102,7 +102,7 @@
             refusal = self._refusal(headers)
             if refusal is not None:
                 lingering = False
-                await send_message(stream, refusal)
+                await send_response(stream, refusal)
                 return
             self._record(event, headers, digest)
             gone = await self._work(stream)
@@ -161,7 +161,7 @@
 
     async def _answer(self, stream, event, size, digest):
         if self._switches["fail"]:
-            await send_message(stream, Message(status=500, body=b"failed"))
+            await send_response(stream, Message(status=500, body=b"failed"))
             return
         body = f"{self._name} {event.method.decode()} {size} {digest}\n".encode()
         if self._switches["cut"]:
@@ -170,7 +170,7 @@
             await stream.send(h11.Data(data=body))
             stream.abort()
             return
-        await send_message(stream, Message(body=body, headers={"target": self._name}))
+        await send_response(stream, Message(body=body, headers={"target": self._name}))
 
     def _control(self, path, body):
         if path == "/switch":
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -293,8 +293,8 @@
     Mutation(
         "DRAIN-removed-between-pages",
         "src/heathercleat/platform/store.py",
-        'version = answer["ver"] if version is None else version',
-        'version = answer["ver"]',
+        'version = response["ver"] if version is None else version',
+        'version = response["ver"]',
         "tests/test_table_store.py",
         "-k",
         "between_two_pages",
