--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -97,10 +97,10 @@
 def add_client_options(parser):
     """Add the options that select the VM to call, and ``--json``."""
     group = parser.add_argument_group("which entry VM to call")
+    group.add_argument("--settings", metavar="FILE", help="the VM's settings file")
     group.add_argument(
-        "--settings", metavar="FILE", help="take address, port and key from here"
+        "--vm", metavar="IP[:PORT]", help="override the VM of the settings"
     )
-    group.add_argument("--vm", metavar="IP[:PORT]", help="another VM than the file's")
     group.add_argument(
         "--key-file",
         metavar="FILE",
--- a/src/heathercleat/cli/_drain.py
+++ b/src/heathercleat/cli/_drain.py
@@ -28,7 +28,7 @@
     plan.set_defaults(run=_plan)
     listing = verbs.add_parser("list", help="list planned drains")
     listing.set_defaults(run=_list)
-    cancel = verbs.add_parser("cancel", help="end a drain")
+    cancel = verbs.add_parser("cancel", help="cancel a drain")
     cancel.add_argument("id")
     cancel.set_defaults(run=_cancel)
     for verb in (plan, listing, cancel):
--- a/src/heathercleat/platform/endpoints.py
+++ b/src/heathercleat/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints that the platform calls: readiness and look-ups of clients."""
+"""HTTP endpoints for the readiness checks of the platform and client look-ups."""
 
 import json
 from urllib.parse import parse_qs, urlsplit
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -15,14 +15,14 @@
     """Maps IPv4 client addresses to failure domains.
 
     :param domains: the names of the failure domains, by index.
-    :param runs: ``(first address, domain index)`` of each address range, in order.
+    :param ranges: ``(first address, domain index)`` of each address range, in order.
     """
 
-    def __init__(self, domains, runs):
+    def __init__(self, domains, ranges):
         self._domains = domains
         self._starts = array("I")
         self._values = array("H")
-        for start, value in runs:
+        for start, value in ranges:
             self._starts.append(start)
             self._values.append(value)
 
--- a/src/heathercleat/version/domain_ranking.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -9,7 +9,7 @@
     """Ranks failure domains for callers at one instant.
 
     :param text: the :class:`Text` in force.
-    :param wall: the current time in epoch seconds, which decides on drains in force.
+    :param wall_time: epoch seconds, which determine the drains in force.
     :param avoided: failure domains that are ranked last.
     """
 
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -44,7 +44,7 @@
         """Return the drained failure domains that a caller has moved away from.
 
         :param drains: each :class:`Drain` of a failure domain.
-        :param wall: the current time, in epoch seconds.
+        :param wall_time: the current time, in epoch seconds.
         :param caller: the IP address of the caller.
         """
         if not drains:
--- a/src/heathercleat/version/hashing.py
+++ b/src/heathercleat/version/hashing.py
@@ -29,11 +29,13 @@
     """
     if not names:
         return {}
-    limit = -(-len(keys) // len(names))
+    max_load = -(-len(keys) // len(names))
     loads = dict.fromkeys(names, 0)
-    homes = {}
+    assignment = {}
     for key in sorted(keys, key=lambda key: (rendezvous_weight("order", key), key)):
-        name = next(name for name in rank_by_weight(key, names) if loads[name] < limit)
+        name = next(
+            name for name in rank_by_weight(key, names) if loads[name] < max_load
+        )
         loads[name] += 1
-        homes[key] = name
-    return homes
+        assignment[key] = name
+    return assignment
