--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -15,14 +15,14 @@
     """Maps IPv4 client addresses to failure domains.
 
     :param domains: the names of the failure domains, by index.
-    :param runs: ``(first address, domain index)`` of each address range, in order.
+    :param ranges: ``(first address, domain index)`` of each address range, in order.
     """
 
-    def __init__(self, domains, runs):
+    def __init__(self, domains, ranges):
         self._domains = domains
         self._starts = array("I")
         self._values = array("H")
-        for start, value in runs:
+        for start, value in ranges:
             self._starts.append(start)
             self._values.append(value)
 
@@ -48,7 +48,7 @@
         value = self._values[index]
         return None if value == NO_DOMAIN else self._domains[value]
 
-    def replace(self, first, last, domain):
+    def assign_range(self, first, last, domain):
         """Assign a range of addresses to a failure domain.
 
         :param first: the first address, as an integer.
@@ -86,5 +86,5 @@
     for network, domain in sorted(networks, key=lambda item: item[0].prefixlen):
         if network.version == 4:
             first = int(network.network_address)
-            table.replace(first, int(network.broadcast_address), domain)
+            table.assign_range(first, int(network.broadcast_address), domain)
     return table
