--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -60,11 +60,11 @@
     def expected_wait(self, call):
         """Return the expected wait in seconds, or ``None`` if no slot is in service."""
         waits = self.waits(call.service, call)
-        hold = self._queue(call.service).mean_hold_seconds
-        return waits and waits.for_call(call, self._clock.now(), hold)
+        hold_seconds = self._queue(call.service).mean_hold_seconds
+        return waits and waits.for_call(call, self._clock.now(), hold_seconds)
 
     async def acquire(self, call, preferred, avoid, until):
-        """Return a :class:`Use`, or ``None`` if no slot became free in time.
+        """Return a :class:`SlotUse`, or ``None`` if no slot became free in time.
 
         :param preferred: ids of the preferred targets, best first.
         :param avoid: ids of excluded targets.
@@ -73,7 +73,7 @@
         queue = self._queue(call.service)
         waiter = Waiter(call, preferred, avoid, self._region_of)
         if not queue.waiters:
-            use = self._try(waiter)
+            use = self._claim_free_slot(waiter)
             if use is not None:
                 return use
         if until <= self._clock.now() or self.is_wait_too_long(call):
@@ -108,7 +108,7 @@
         if not queue.waiters:
             return
         for target in self._ledger.of_service(service):
-            await self._fill(queue, target)
+            await self._assign_free_slots(queue, target)
 
     async def admit_all_queued(self):
         """Assign the slots that became free by the passing of time."""
@@ -123,7 +123,7 @@
             or self._clock.now() + wait > call.give_up_at + WAIT_TOLERANCE_SECONDS
         )
 
-    async def _fill(self, queue, target):
+    async def _assign_free_slots(self, queue, target):
         """Assign the free slots of a target to waiters."""
         now = self._clock.now()
         while queue.waiters and target.free(now):
@@ -148,7 +148,7 @@
         finally:
             waiter.call.on_leave = None
 
-    def _try(self, waiter):
+    def _claim_free_slot(self, waiter):
         """Claim a free slot, preferably of the best affinity target."""
         now = self._clock.now()
         free = [
--- a/src/heathercleat/steering/process/capacity/crash_detector.py
+++ b/src/heathercleat/steering/process/capacity/crash_detector.py
@@ -27,7 +27,7 @@
         self._pool = pool
         self._clock = clock
         # Incarnation ids of crashed targets, the latest last.
-        self._ended = {}
+        self._crashed = {}
 
     async def has_crashed(self, entry):
         """Return whether a target has crashed, by opening a connection to it.
@@ -36,19 +36,19 @@
 
         :param entry: its :class:`TargetEntry`.
         """
-        if entry.incarnation_id in self._ended:
+        if entry.incarnation_id in self._crashed:
             return True
         try:
             # A process that was terminating at the first attempt refuses the second.
-            if not await self._accepts(entry):
-                await self._accepts(entry)
+            if not await self._accepts_connection(entry):
+                await self._accepts_connection(entry)
         except ConnectionRefusedError:
             self._remember(entry.incarnation_id)
         except (OSError, TimeoutError):
             return False
-        return entry.incarnation_id in self._ended
+        return entry.incarnation_id in self._crashed
 
-    async def _accepts(self, entry):
+    async def _accepts_connection(self, entry):
         """Return whether a target accepts a new connection and keeps it open.
 
         :raises OSError: if the connection cannot be opened.
@@ -64,6 +64,6 @@
         return True
 
     def _remember(self, incarnation_id):
-        self._ended[incarnation_id] = None
-        if len(self._ended) > MAX_REMEMBERED_CRASHES:
-            del self._ended[next(iter(self._ended))]
+        self._crashed[incarnation_id] = None
+        if len(self._crashed) > MAX_REMEMBERED_CRASHES:
+            del self._crashed[next(iter(self._crashed))]
--- a/src/heathercleat/steering/process/capacity/ejection_limit.py
+++ b/src/heathercleat/steering/process/capacity/ejection_limit.py
@@ -27,5 +27,5 @@
             for candidate in targets.candidates
             if candidate.capacity.is_known(now)
         ]
-        resting = sum(limit == 0 for limit in limits)
-        return resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))
+        ejected_count = sum(limit == 0 for limit in limits)
+        return ejected_count + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))
--- a/src/heathercleat/steering/process/capacity/health.py
+++ b/src/heathercleat/steering/process/capacity/health.py
@@ -83,17 +83,22 @@
     def eject(self, now):
         """Eject the target for a jittered time; then one request probes it."""
         self.ejected_at = now
-        length = min(
+        seconds_ejected = min(
             MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.ejection_count
         )
-        self.ejected_until = now + uniform(0.8, 1.2) * length
+        self.ejected_until = now + uniform(0.8, 1.2) * seconds_ejected
         self.ejection_count += 1
         self.is_half_open = True
 
-    def is_unresponsive(self, now, oldest_start):
-        """Return whether the request sent at ``oldest_start`` has run for too long."""
-        patience = max(MIN_UNRESPONSIVE_SECONDS, UNRESPONSIVE_FACTOR * self.latency)
-        return now - oldest_start > patience
+    def is_unresponsive(self, now, oldest_started_at):
+        """Return whether the oldest request has run for too long.
+
+        :param oldest_started_at: instant at which it was sent.
+        """
+        max_run_seconds = max(
+            MIN_UNRESPONSIVE_SECONDS, UNRESPONSIVE_FACTOR * self.latency
+        )
+        return now - oldest_started_at > max_run_seconds
 
     def is_slow(self, median):
         """Return whether its latency is well above the ``median`` of its service."""
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -4,7 +4,7 @@
 #: heartbeats, since the first may precede its learning of the change.
 FORMER_OWNER_REPORT_SECONDS = 0.3
 #: A count that exceeds the slots of any target.
-_ALL = 1 << 20
+_ALL_SLOTS = 1 << 20
 
 
 class Hold:
@@ -28,13 +28,13 @@
     hold expires at the deadline of its last request, or when the VM terminates.
 
     :param members: the live VMs.
-    :param rooms: the :class:`CapacityReports`; the last one of a former owner counts
+    :param reports: the :class:`CapacityReports`; the last one of a former owner counts
         until that VM reports its remaining requests.
     """
 
-    def __init__(self, members, rooms, clock):
+    def __init__(self, members, reports, clock):
         self._members = members
-        self._rooms = rooms
+        self._reports = reports
         self._clock = clock
         # Target id to the :class:`Hold` of each VM.
         self._holds = {}
@@ -47,12 +47,12 @@
         :param held: ``(target id, requests, seconds until the last deadline)`` of each
             target.
         """
-        counted = self._drop(vm)
+        target_ids = self._drop(vm)
         now = self._clock.now()
-        for target_id in counted:
-            self._expect_of(target_id, vm, now)
+        for target_id in target_ids:
+            self._hold_last_report(target_id, vm, now)
         for target_id, count, seconds in held:
-            self._put(target_id, vm, Hold(count, now + seconds))
+            self._set_hold(target_id, vm, Hold(count, now + seconds))
 
     def add_target(self, target_id, former):
         """Start counting for a target that this VM owns from now on.
@@ -66,12 +66,14 @@
         now = self._clock.now()
         if (
             former is not None
-            and self._rooms.reported_at(former) < now - FORMER_OWNER_REPORT_SECONDS
+            and self._reports.reported_at(former) < now - FORMER_OWNER_REPORT_SECONDS
         ):
-            self._put(target_id, former, Hold(_ALL, now + FORMER_OWNER_REPORT_SECONDS))
-        for vm in self._rooms.owners():
-            if self._rooms.reported_at(vm) >= now - FORMER_OWNER_REPORT_SECONDS:
-                self._expect_of(target_id, vm, now)
+            self._set_hold(
+                target_id, former, Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS)
+            )
+        for vm in self._reports.owners():
+            if self._reports.reported_at(vm) >= now - FORMER_OWNER_REPORT_SECONDS:
+                self._hold_last_report(target_id, vm, now)
 
     def count(self, target_id, now):
         """Return the number of slots of a target that other VMs use."""
@@ -81,7 +83,7 @@
         return sum(
             hold.count
             for vm, hold in holds.items()
-            if now < hold.until and self._runs(vm)
+            if now < hold.until and self._is_same_process(vm)
         )
 
     def retain(self, vms):
@@ -90,12 +92,12 @@
             self._drop(vm)
             del self._incarnations[vm]
 
-    def _expect_of(self, target_id, vm, now):
-        capacity = self._rooms.find(target_id, vm)
+    def _hold_last_report(self, target_id, vm, now):
+        capacity = self._reports.find(target_id, vm)
         if capacity is not None and now < capacity.valid_until:
-            self._put(target_id, vm, Hold(capacity.used, capacity.valid_until))
+            self._set_hold(target_id, vm, Hold(capacity.used, capacity.valid_until))
 
-    def _put(self, target_id, vm, hold):
+    def _set_hold(self, target_id, vm, hold):
         member = self._members.live(vm)
         if member is None:
             return
@@ -113,7 +115,7 @@
                 del self._holds[target_id]
         return dropped
 
-    def _runs(self, vm):
+    def _is_same_process(self, vm):
         """Return whether the process that reported the holds is still live."""
         member = self._members.live(vm)
         return member is not None and member.incarnation == self._incarnations[vm]
--- a/src/heathercleat/steering/process/capacity/loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/loss_rates.py
@@ -10,20 +10,20 @@
     """Moving average of the loss of client requests, by service."""
 
     def __init__(self):
-        self._lost = {}
+        self._rates = {}
 
     def record_response(self, service, late):
         """Record a request that a target responded to."""
-        self._observe(service, LATE_LOSS_RATE if late else 0.0)
+        self._update(service, LATE_LOSS_RATE if late else 0.0)
 
     def record_refusal(self, service):
         """Record a request that was refused for lack of a slot."""
-        self._observe(service, 1.0)
+        self._update(service, 1.0)
 
     def rate(self, service):
         """Return the loss rate of a service, 0 to 1."""
-        return self._lost.get(service, 0.0)
+        return self._rates.get(service, 0.0)
 
-    def _observe(self, service, rate):
-        share = self._lost.get(service, 0.0)
-        self._lost[service] = share + WEIGHT * (rate - share)
+    def _update(self, service, loss):
+        mean = self._rates.get(service, 0.0)
+        self._rates[service] = mean + WEIGHT * (loss - mean)
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -29,9 +29,9 @@
     def __init__(self, registry, members):
         self._registry = registry
         self._members = members
-        self._owner = {}
-        self._before = {}
-        self._divided = {}
+        self._owners_by_target = {}
+        self._previous_owners = {}
+        self._assignments = {}
         self._stale = True
         registry.on_change(self._mark_stale)
         members.on_change(self._mark_stale)
@@ -45,18 +45,18 @@
         """Return the name of the VM that owns a target, or ``None``."""
         if self._stale:
             self._rebuild()
-        return self._owner.get(target_id)
+        return self._owners_by_target.get(target_id)
 
     def previous_owner_of(self, target_id):
         """Return the owner of a target before the last change, or ``None``."""
-        return self._before.get(target_id)
+        return self._previous_owners.get(target_id)
 
     def owned(self):
         """Return the ids of the targets that this VM owns."""
         if self._stale:
             self._rebuild()
         own = self._members.own.vm
-        return [target for target, vm in self._owner.items() if vm == own]
+        return [target for target, vm in self._owners_by_target.items() if vm == own]
 
     def _mark_stale(self):
         self._stale = True
@@ -66,17 +66,19 @@
     def _rebuild(self):
         self._stale = False
         owners = self._members.owners()
-        before, self._divided = self._divided, {}
-        self._before, self._owner = self._owner, {}
-        for failure_domain, services in self._group().items():
+        previous, self._assignments = self._assignments, {}
+        self._previous_owners, self._owners_by_target = self._owners_by_target, {}
+        for failure_domain, services in self._group_targets().items():
             candidates = self._candidates(failure_domain, owners)
             for service, targets in services.items():
                 key = failure_domain, service
-                division = _divide(before.get(key), sorted(targets), sorted(candidates))
-                self._divided[key] = division
-                self._owner.update(division.owners)
+                assignment = _reuse_or_assign(
+                    previous.get(key), sorted(targets), sorted(candidates)
+                )
+                self._assignments[key] = assignment
+                self._owners_by_target.update(assignment.owners)
 
-    def _group(self):
+    def _group_targets(self):
         """Return the target ids by failure domain and service."""
         groups = {}
         for entry in self._registry.usable():
@@ -89,20 +91,20 @@
 
         Those of the failure domain, else those of its region, else all.
         """
-        near = [each.vm for each in owners if each.failure_domain == failure_domain]
-        if near:
-            return near
+        nearby = [each.vm for each in owners if each.failure_domain == failure_domain]
+        if nearby:
+            return nearby
         region = self._members.region_of(failure_domain)
-        near = [each.vm for each in owners if each.region == region]
-        return near or [each.vm for each in owners]
+        nearby = [each.vm for each in owners if each.region == region]
+        return nearby or [each.vm for each in owners]
 
 
-def _divide(before, targets, candidates):
+def _reuse_or_assign(previous, targets, candidates):
     """Return the previous :class:`Assignment` if the inputs are the same, or a new one.
 
     Computing one is slow for many targets and VMs, and most changes affect a single
     service of one failure domain.
     """
-    if before and before.targets == targets and before.candidates == candidates:
-        return before
+    if previous and previous.targets == targets and previous.candidates == candidates:
+        return previous
     return Assignment(targets, candidates)
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -84,7 +84,7 @@
             return self.preferred.index(target_id)
         return len(self.preferred)
 
-    def rank(self, now, hold, target_id):
+    def rank(self, now, hold_seconds, target_id):
         """Return the sort key by which waiters get a slot of a target, lowest first.
 
         On-time requests come before late ones. On-time requests are ordered by whether
@@ -93,24 +93,24 @@
         """
         call = self.call
         known = self.place(target_id)
-        if self.is_late(now, hold):
+        if self.is_late(now, hold_seconds):
             return True, True, call.route.priority, known, call.deadline
         return False, not call.returned, call.route.priority, known, call.soft_deadline
 
-    def is_late(self, now, hold):
+    def is_late(self, now, hold_seconds):
         """Return whether the request would miss its latency aim if it started now."""
-        return now + hold > self.call.soft_deadline
+        return now + hold_seconds > self.call.soft_deadline
 
 
 class ServiceQueue:
     """The waiters of one service at one VM."""
 
-    __slots__ = ("waiters", "_mean_hold", "_spare")
+    __slots__ = ("waiters", "_mean_hold", "_spare_share")
 
     def __init__(self):
         self.waiters = []
         self._mean_hold = INITIAL_HOLD_SECONDS
-        self._spare = 1.0
+        self._spare_share = 1.0
 
     @property
     def mean_hold_seconds(self):
@@ -123,11 +123,11 @@
 
     def record_free_slot(self, entry, free, now):
         """Record a released slot, left over if no on-time request can use it."""
-        wanted = any(
+        is_wanted = any(
             each.can_use(entry, free, now) and not each.is_late(now, self._mean_hold)
             for each in self.waiters
         )
-        self._spare += SPARE_WEIGHT * ((not wanted) - self._spare)
+        self._spare_share += SPARE_WEIGHT * ((not is_wanted) - self._spare_share)
 
     def early(self, now):
         """Return the number of waiters that can still be on time."""
@@ -138,34 +138,36 @@
 
         :param entry: the :class:`TargetEntry`.
         """
-        willing = [each for each in self.waiters if each.can_use(entry, free, now)]
+        eligible = [each for each in self.waiters if each.can_use(entry, free, now)]
         return min(
-            willing,
+            eligible,
             key=lambda each: each.rank(now, self._mean_hold, entry.id),
             default=None,
         )
 
-    def waits(self, slots, now, count_late_before=None):
+    def waits(self, slots, now, late_ahead=None):
         """Return the :class:`WaitEstimate` for one of ``slots`` slots.
 
-        :param count_late_before: number of late waiters ahead of it; ``None`` for all.
+        :param late_ahead: number of late waiters ahead of it; ``None`` for all.
         """
         early = self.early(now)
-        if count_late_before is None:
-            count_late_before = len(self.waiters) - early
-        turn = self._mean_hold / slots
-        first = (early + 1) * turn
-        left_over = max(MIN_SPARE_SHARE, self._spare)
-        return WaitEstimate(first, first + (count_late_before + 1) * turn / left_over)
+        if late_ahead is None:
+            late_ahead = len(self.waiters) - early
+        slot_interval = self._mean_hold / slots
+        on_time_wait = (early + 1) * slot_interval
+        spare_share = max(MIN_SPARE_SHARE, self._spare_share)
+        return WaitEstimate(
+            on_time_wait, on_time_wait + (late_ahead + 1) * slot_interval / spare_share
+        )
 
     def count_late_before(self, call, now):
         """Return the number of late waiters ahead of a late call."""
-        own = _late_order(call)
+        own = _late_sort_key(call)
         return sum(
-            each.is_late(now, self._mean_hold) and _late_order(each.call) < own
+            each.is_late(now, self._mean_hold) and _late_sort_key(each.call) < own
             for each in self.waiters
         )
 
 
-def _late_order(call):
+def _late_sort_key(call):
     return call.route.priority, call.deadline
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -8,14 +8,14 @@
     """The mean loss rate of the VMs of each region, by service.
 
     :param members: the live VMs.
-    :param rooms: the :class:`CapacityReports` with the loss rates of other VMs.
-    :param pressure: the :class:`LossRates` of this VM.
+    :param reports: the :class:`CapacityReports` with the loss rates of other VMs.
+    :param own_loss_rates: the :class:`LossRates` of this VM.
     """
 
-    def __init__(self, members, rooms, pressure, clock):
+    def __init__(self, members, reports, own_loss_rates, clock):
         self._members = members
-        self._rooms = rooms
-        self._pressure = pressure
+        self._reports = reports
+        self._own_loss_rates = own_loss_rates
         self._clock = clock
         self._means = {}
         self._until = 0.0
@@ -34,12 +34,12 @@
     def _compute(self, service):
         regions = {}
         for member in self._members.serving():
-            loss_rate = self._loss(member.vm, service)
+            loss_rate = self._rate_of(member.vm, service)
             if loss_rate is not None:
                 regions.setdefault(member.region, []).append(loss_rate)
         return {region: sum(each) / len(each) for region, each in regions.items()}
 
-    def _loss(self, vm, service):
+    def _rate_of(self, vm, service):
         if vm == self._members.own.vm:
-            return self._pressure.rate(service)
-        return self._rooms.loss_rate(vm, service)
+            return self._own_loss_rates.rate(service)
+        return self._reports.loss_rate(vm, service)
--- a/src/heathercleat/steering/process/capacity/region_shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -14,13 +14,13 @@
 
     There is no limit until the first window with enough requests has ended.
 
-    :param most: share of the requests that may change region within two seconds.
+    :param max_change: share of the requests that may change region within two seconds.
     """
 
     __slots__ = ("_step", "_clock", "_ends_at", "_total", "_moved", "_last_share")
 
-    def __init__(self, most, clock):
-        self._step = STEP_SHARE * most
+    def __init__(self, max_change, clock):
+        self._step = STEP_SHARE * max_change
         self._clock = clock
         self._ends_at = 0.0
         self._total = 0
@@ -37,13 +37,13 @@
 
         :param moved: whether it was sent to another region.
         """
-        self._roll()
+        self._roll_window()
         self._total += 1
         self._moved += moved
 
     def may_move(self):
         """Return whether one more request may go to another region now."""
-        self._roll()
+        self._roll_window()
         if self._last_share is None:
             return True
         limit = self._last_share + self._step
@@ -51,12 +51,12 @@
 
     def must_move(self):
         """Return whether requests should go to other regions, to shift back slowly."""
-        self._roll()
+        self._roll_window()
         if self._last_share is None:
             return False
         return self._moved < (self._last_share - self._step) * self._total
 
-    def _roll(self):
+    def _roll_window(self):
         now = self._clock.now()
         if now < self._ends_at:
             return
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -14,14 +14,14 @@
 class RemovedTarget:
     """The last entry of a removed target.
 
-    :param forget_at: instant at which it is dropped.
+    :param expires_at: instant at which it is dropped.
     """
 
-    __slots__ = ("entry", "forget_at")
+    __slots__ = ("entry", "expires_at")
 
-    def __init__(self, entry, forget_at):
+    def __init__(self, entry, expires_at):
         self.entry = entry
-        self.forget_at = forget_at
+        self.expires_at = expires_at
 
 
 class TargetRegistry:
@@ -41,20 +41,20 @@
         self._clock = clock
         self._targets = {}
         self._lapsing = {}
-        self._departed = {}
+        self._removed = {}
         self._by_service = {}
         self._cold_until = {}
         self._evacuated = frozenset()
-        self._lapse_until = 0.0
-        self._known = False
+        self._lapse_deadline = 0.0
+        self._is_loaded = False
         # Whether a first table was read; only later entries are logged one by one.
-        self._listed = False
+        self._is_listed = False
         self._on_change = []
 
     @property
     def is_loaded(self):
         """Return whether the table was read at least once."""
-        return self._known
+        return self._is_loaded
 
     @property
     def evacuated(self):
@@ -72,7 +72,7 @@
     def get(self, target_id):
         """Return the entry of a usable target, or ``None``."""
         entry = self._targets.get(target_id)
-        return entry if entry is not None and self._usable(entry) else None
+        return entry if entry is not None and self._is_usable(entry) else None
 
     def entry(self, target_id):
         """Return the entry of a target, usable or not, or ``None``."""
@@ -96,7 +96,7 @@
 
         :param since: earliest instant at which the outage can have ended.
         """
-        self._lapse_until = since + LAPSE_GRACE_SECONDS
+        self._lapse_deadline = since + LAPSE_GRACE_SECONDS
 
     def lapsing(self):
         """Return the remaining seconds of each lapsing target, by id."""
@@ -109,10 +109,10 @@
         :param lapsing: result of :meth:`lapsing` at the VM that sent the list; ``None``
             for a list from the store.
         """
-        first, self._known = not self._known, True
+        first, self._is_loaded = not self._is_loaded, True
         present = {entry.id for entry in entries}
         removed = [each for each in self._targets if each not in present]
-        changed = self._take(entries, removed, lapsing)
+        changed = self._apply(entries, removed, lapsing)
         if first:
             self._log.listed(entries)
         return changed
@@ -129,19 +129,19 @@
             present = {entry.id for entry in entries}
             lapsed = [each for each in self._lapsing if each not in present]
             removed = {*removed, *lapsed}
-        return self._take(entries, removed, lapsing)
+        return self._apply(entries, removed, lapsing)
 
-    def _take(self, entries, removed, lapsing):
-        changed = [entry.id for entry in entries if self._put(entry)]
+    def _apply(self, entries, removed, lapsing):
+        changed = [entry.id for entry in entries if self._store(entry)]
         now = self._clock.now()
         for target_id in removed:
-            until = self._lapse_until
+            until = self._lapse_deadline
             if lapsing is not None:
                 until = now + lapsing.get(target_id, 0.0)
-            if self._remove(target_id, until):
+            if self._record_removal(target_id, until):
                 changed.append(target_id)
-        if changed or not self._listed:
-            self._listed = True
+        if changed or not self._is_listed:
+            self._is_listed = True
             self._rebuild()
         return changed
 
@@ -150,7 +150,7 @@
         now = self._clock.now()
         expired = [each for each, until in self._lapsing.items() if until <= now]
         for target_id in expired:
-            self._drop(target_id, "entry stayed away")
+            self._remove(target_id, "entry stayed away")
         if expired:
             self._rebuild()
 
@@ -172,50 +172,50 @@
         Its entry stays in the table until it expires, and must not restore the target.
         """
         if target_id in self._targets:
-            self._drop(target_id, reason)
+            self._remove(target_id, reason)
             self._rebuild()
 
     def reject(self, target_ids):
         """Remove targets with invalid entries; return those that were known."""
         known = [each for each in target_ids if each in self._targets]
         for target_id in known:
-            self._drop(target_id, "entry rejected")
+            self._remove(target_id, "entry rejected")
         if known:
             self._rebuild()
         return known
 
-    def _put(self, entry):
+    def _store(self, entry):
         """Store an entry; return whether the change affects steering."""
         before = self._targets.get(entry.id)
-        if self._is_old_news(entry, before):
+        if self._is_outdated(entry, before):
             return False
         self._lapsing.pop(entry.id, None)
         if before is not None and entry.version == before.version:
             return False
-        self._departed.pop(entry.id, None)
+        self._removed.pop(entry.id, None)
         self._targets[entry.id] = entry
         restarted = before is not None and not entry.is_same_incarnation(before)
         if restarted:
             self._cold_until.pop(entry.id, None)
-        turned_cold = self._note_cold(entry)
+        became_cold = self._record_cold(entry)
         if before is None:
-            if self._listed:
+            if self._is_listed:
                 self._log.found(entry)
             return True
         if restarted:
             self._log.restarted(before, entry)
         elif entry.draining != before.draining:
             self._log.log_draining(before, entry)
-        return turned_cold or not entry.has_same_steering_fields(before)
+        return became_cold or not entry.has_same_steering_fields(before)
 
-    def _is_old_news(self, entry, before):
+    def _is_outdated(self, entry, before):
         """Return whether an entry is outdated by a later one or by the removal.
 
         Otherwise a delayed report would revert a drain.
         """
-        departed = self._departed.get(entry.id)
-        if before is None and departed is not None:
-            before = departed.entry
+        removed_target = self._removed.get(entry.id)
+        if before is None and removed_target is not None:
+            before = removed_target.entry
             if entry.version <= before.version:
                 return True
         if before is None or not entry.is_older_than(before):
@@ -223,16 +223,16 @@
         self._log.outdated(before, entry)
         return True
 
-    def _note_cold(self, entry):
+    def _record_cold(self, entry):
         """Record how long a target is cold; return whether it was warm before."""
         if not entry.cold_for:
             return False
         now = self._clock.now()
-        turned_cold = self.cold_until(entry.id) <= now
+        became_cold = self.cold_until(entry.id) <= now
         self._cold_until[entry.id] = now + entry.cold_for
-        return turned_cold
+        return became_cold
 
-    def _remove(self, target_id, until):
+    def _record_removal(self, target_id, until):
         """Record the removal of an entry; return whether it changed the target.
 
         :param until: instant until which the target is used, unless it is draining.
@@ -240,43 +240,41 @@
         entry = self._targets.get(target_id)
         if entry is None:
             return False
-        known_until = self._lapsing.get(target_id)
-        if known_until is not None:
-            until = min(until, known_until)
+        current_until = self._lapsing.get(target_id)
+        if current_until is not None:
+            until = min(until, current_until)
         now = self._clock.now()
         if until <= now or entry.draining:
-            self._drop(target_id, "entry removed")
+            self._remove(target_id, "entry removed")
             return True
         self._lapsing[target_id] = until
-        if known_until is None:
+        if current_until is None:
             self._log.lapsing(target_id, until - now)
-        return known_until is None
+        return current_until is None
 
-    def _drop(self, target_id, reason):
+    def _remove(self, target_id, reason):
         now = self._clock.now()
-        self._forget_departed(now)
+        self._expire_removed(now)
         entry = self._targets.pop(target_id)
-        self._departed[target_id] = RemovedTarget(
-            entry, now + REMOVED_RETENTION_SECONDS
-        )
+        self._removed[target_id] = RemovedTarget(entry, now + REMOVED_RETENTION_SECONDS)
         self._lapsing.pop(target_id, None)
         self._cold_until.pop(target_id, None)
         self._log.log_removal(target_id, reason)
 
-    def _forget_departed(self, now):
+    def _expire_removed(self, now):
         """Drop expired entries of removed targets; they are in order of expiry."""
-        for target_id, departed in list(self._departed.items()):
-            if departed.forget_at > now:
+        for target_id, removed_target in list(self._removed.items()):
+            if removed_target.expires_at > now:
                 return
-            del self._departed[target_id]
+            del self._removed[target_id]
 
-    def _usable(self, entry):
+    def _is_usable(self, entry):
         return not entry.draining and entry.failure_domain not in self._evacuated
 
     def _rebuild(self):
         self._by_service = {}
         for entry in self._targets.values():
-            if self._usable(entry):
+            if self._is_usable(entry):
                 self._by_service.setdefault(entry.service, []).append(entry)
         for callback in self._on_change:
             callback()
--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -23,20 +23,20 @@
 
     def __init__(self):
         self._means = {}
-        self._home = {}
-        self._other = {}
-        self._known = {}
+        self._affinity_means = {}
+        self._other_means = {}
+        self._known_times = {}
 
-    def record(self, route, seconds, home):
+    def record(self, route, seconds, is_affinity_target):
         """Record the time of one response.
 
-        :param home: whether the target is an affinity target of the request.
+        :param is_affinity_target: whether the target is one of the request.
         """
-        if home:
-            self._known.setdefault(route, _KnownTime()).record(seconds)
-        parts = self._home if home else self._other
+        if is_affinity_target:
+            self._known_times.setdefault(route, _KnownObjectTime()).record(seconds)
+        means = self._affinity_means if is_affinity_target else self._other_means
         update_moving_average(self._means, route, seconds, WEIGHT)
-        update_moving_average(parts, route, seconds, WEIGHT)
+        update_moving_average(means, route, seconds, WEIGHT)
 
     def mean(self, route):
         """Return the mean of a route, 0 before the first response."""
@@ -44,37 +44,37 @@
 
     def at_affinity_target(self, route):
         """Return the mean at affinity targets, 0 before the first response."""
-        return self._home.get(route, 0.0)
+        return self._affinity_means.get(route, 0.0)
 
     def at_known_object(self, route):
         """Return the time for a known object at its affinity target, in seconds.
 
         ``None`` until enough responses are recorded.
         """
-        known = self._known.get(route)
+        known = self._known_times.get(route)
         return known.seconds if known else None
 
     def at_other_target(self, route):
         """Return the mean at other targets, 0 before the first response."""
-        return self._other.get(route, 0.0)
+        return self._other_means.get(route, 0.0)
 
 
-class _KnownTime:
+class _KnownObjectTime:
     """The time that affinity targets of a route take for known objects."""
 
-    __slots__ = ("seconds", "_latest", "_new")
+    __slots__ = ("seconds", "_latest", "_new_count")
 
     def __init__(self):
         self.seconds = None
         self._latest = deque(maxlen=MAX_SAMPLES)
-        self._new = 0
+        self._new_count = 0
 
     def record(self, seconds):
         """Record the time of one response of an affinity target."""
         self._latest.append(seconds)
-        self._new += 1
-        if len(self._latest) == MAX_SAMPLES and self._new >= RECOMPUTE_INTERVAL:
-            self._new = 0
+        self._new_count += 1
+        if len(self._latest) == MAX_SAMPLES and self._new_count >= RECOMPUTE_INTERVAL:
+            self._new_count = 0
             self.seconds = sorted(self._latest)[
                 int(KNOWN_OBJECT_QUANTILE * MAX_SAMPLES)
             ]
--- a/src/heathercleat/steering/process/capacity/retry_budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -16,7 +16,7 @@
     :param vm_count: returns the number of VMs that share the slack.
     """
 
-    __slots__ = ("_ratio", "_slack", "_window", "_vm_count", "_requests", "_repeats")
+    __slots__ = ("_ratio", "_slack", "_window", "_vm_count", "_requests", "_retries")
 
     def __init__(self, ratio, slack, window, vm_count):
         self._ratio = ratio
@@ -24,7 +24,7 @@
         self._window = window
         self._vm_count = vm_count
         self._requests = deque()
-        self._repeats = deque()
+        self._retries = deque()
 
     def record_request(self, now):
         """Record a request of a client."""
@@ -34,23 +34,23 @@
     def remaining(self, now):
         """Return how many retries may still be sent in this window."""
         self._expire(now)
-        shared = self._slack / max(1, self._vm_count())
-        allowed = self._ratio * len(self._requests) + shared
-        return USED_SHARE * allowed - len(self._repeats)
+        slack_share = self._slack / max(1, self._vm_count())
+        allowed = self._ratio * len(self._requests) + slack_share
+        return USED_SHARE * allowed - len(self._retries)
 
     def spend(self, now):
         """Use up one retry; return whether one was left."""
         if self.remaining(now) < 1:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def refund(self):
         """Return the last retry, which was not sent."""
-        if self._repeats:
-            self._repeats.pop()
+        if self._retries:
+            self._retries.pop()
 
     def _expire(self, now):
-        for instants in (self._requests, self._repeats):
+        for instants in (self._requests, self._retries):
             while instants and instants[0] <= now - self._window:
                 instants.popleft()
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -45,22 +45,22 @@
 
     def __init__(self, clock):
         self._clock = clock
-        self._times = {}
+        self._runs_by_key = {}
 
     @contextmanager
     def track(self, call):
         """Track a run during a ``with`` block, which receives the run."""
-        times = self._of(call)
+        route_runs = self._runs_of(call)
         run = ActiveRun(self._clock.now())
-        times.running.add(run)
+        route_runs.running.add(run)
         try:
             yield run
         finally:
-            times.end(run, self._clock.now())
+            route_runs.end(run, self._clock.now())
 
     def sample_count(self, call):
         """Return the number of runs from which the bound of a call is computed."""
-        return len(self._of(call).latest)
+        return len(self._runs_of(call).latest)
 
     def bound(self, call):
         """Return the bound on the run of a call, in seconds.
@@ -68,7 +68,7 @@
         Runs in progress count with their age: the first runs to complete after a start
         are the shortest ones. :data:`UNBOUNDED` while too few runs are known.
         """
-        return self._of(call).bound(self._clock.now())
+        return self._runs_of(call).bound(self._clock.now())
 
     def longest_bound(self, route):
         """Return the longest bound over the services of a route, in seconds.
@@ -76,29 +76,29 @@
         :param route: name of the route.
         """
         bounds = (
-            times.bound(self._clock.now())
-            for (name, _), times in self._times.items()
+            route_runs.bound(self._clock.now())
+            for (name, _), route_runs in self._runs_by_key.items()
             if name == route
         )
         return max(bounds, default=UNBOUNDED)
 
     def retain(self, routes):
         """Drop all routes except those of these names, and those with runs."""
-        self._times = {
-            key: times
-            for key, times in self._times.items()
-            if key[0] in routes or times.running
+        self._runs_by_key = {
+            key: route_runs
+            for key, route_runs in self._runs_by_key.items()
+            if key[0] in routes or route_runs.running
         }
 
-    def _of(self, call):
+    def _runs_of(self, call):
         key = call.route.name, call.service
-        times = self._times.get(key)
-        if times is None:
-            times = self._times[key] = _Times()
-        return times
+        route_runs = self._runs_by_key.get(key)
+        if route_runs is None:
+            route_runs = self._runs_by_key[key] = _RouteRuns()
+        return route_runs
 
 
-class _Times:
+class _RouteRuns:
     """The runs of one route at one service."""
 
     __slots__ = ("latest", "running")
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -55,33 +55,33 @@
 
     :param entry: its :class:`TargetEntry`.
     :param cold_limit: most requests per window while it is cold, or ``None``.
-    :param held: the :class:`HeldSlots`.
+    :param held_slots: the :class:`HeldSlots`.
     """
 
     __slots__ = (
         "entry",
-        "_held",
+        "_held_slots",
         "health",
         "uses",
         "cold_limit",
         "cold_until",
         "slow",
-        "_recent",
-        "_elsewhere",
-        "_elsewhere_until",
+        "_recent_claims",
+        "_other_load",
+        "_other_load_until",
     )
 
-    def __init__(self, entry, cold_limit, cold_until, held):
+    def __init__(self, entry, cold_limit, cold_until, held_slots):
         self.entry = entry
-        self._held = held
+        self._held_slots = held_slots
         self.health = TargetHealth()
         self.uses = []
         self.cold_limit = cold_limit
         self.cold_until = cold_until
         self.slow = False
-        self._recent = deque()
-        self._elsewhere = 0
-        self._elsewhere_until = 0.0
+        self._recent_claims = deque()
+        self._other_load = 0
+        self._other_load_until = 0.0
 
     def is_known(self, now):
         """Return ``True``: the slots are counted here."""
@@ -89,12 +89,12 @@
 
     def free(self, now):
         """Return the number of free slots."""
-        elsewhere = self._held.count(self.entry.id, now)
-        if now < self._elsewhere_until:
-            elsewhere = max(elsewhere, self._elsewhere)
-        free = self.limit(now) - len(self.uses) - elsewhere
+        other_load = self._held_slots.count(self.entry.id, now)
+        if now < self._other_load_until:
+            other_load = max(other_load, self._other_load)
+        free = self.limit(now) - len(self.uses) - other_load
         if now < self.cold_until and self.cold_limit is not None:
-            free = min(free, self.cold_limit - self._count_recent(now))
+            free = min(free, self.cold_limit - self._count_recent_claims(now))
         return max(0, free)
 
     def claim(self, now, deadline=DISTANT_PAST):
@@ -104,8 +104,8 @@
         """
         use = SlotUse(self, now, deadline)
         self.uses.append(use)
-        self._recent.append(now)
-        self._count_recent(now)
+        self._recent_claims.append(now)
+        self._count_recent_claims(now)
         return use
 
     def record_reported_load(self, running, waiting, now):
@@ -113,8 +113,8 @@
 
         It includes requests of VMs from which this VM gets no heartbeats.
         """
-        self._elsewhere = max(0, running + waiting - len(self.uses))
-        self._elsewhere_until = now + LOAD_REPORT_TTL_SECONDS
+        self._other_load = max(0, running + waiting - len(self.uses))
+        self._other_load_until = now + LOAD_REPORT_TTL_SECONDS
 
     def limit(self, now):
         """Return the most concurrent requests that the target may have now."""
@@ -131,10 +131,12 @@
         entry = registry.entry(self.entry.id)
         return entry is not None and entry.is_same_incarnation(self.entry)
 
-    def _count_recent(self, now):
-        while self._recent and self._recent[0] <= now - COLD_WINDOW_SECONDS:
-            self._recent.popleft()
-        return len(self._recent)
+    def _count_recent_claims(self, now):
+        while (
+            self._recent_claims and self._recent_claims[0] <= now - COLD_WINDOW_SECONDS
+        ):
+            self._recent_claims.popleft()
+        return len(self._recent_claims)
 
 
 class SlotLedger:
@@ -144,24 +146,24 @@
     :param registry: the :class:`TargetRegistry`.
     :param services: returns the :class:`Service` of a name, or ``None``.
     :param bounds: the operators' :class:`Bounds`.
-    :param held: the :class:`HeldSlots`.
+    :param held_slots: the :class:`HeldSlots`.
     """
 
-    def __init__(self, owners, registry, services, bounds, held, journal, clock):
+    def __init__(self, owners, registry, services, bounds, held_slots, journal, clock):
         self._owners = owners
         self._registry = registry
         self._services = services
         self._bounds = bounds
-        self._held = held
+        self._held_slots = held_slots
         self._journal = journal
         self._clock = clock
         self._owned = {}
         # Targets owned earlier. They keep their requests in progress and the rate
         # while cold if this VM becomes the owner again.
-        self._former = {}
-        self._successors = set()
+        self._former_targets = {}
+        self._new_owners = set()
         self._by_service = {}
-        self._stale = True
+        self._is_stale = True
         owners.on_change(self._mark_stale)
 
     def of_service(self, service):
@@ -190,7 +192,7 @@
         Each as target id, owner, number of requests and their latest deadline.
         """
         self._refresh()
-        for target_id, target in self._former.items():
+        for target_id, target in self._former_targets.items():
             owner = self._owners.owner_of(target_id) if target.uses else None
             if owner is not None and target.is_current(self._registry):
                 deadline = max(use.deadline for use in target.uses)
@@ -203,8 +205,8 @@
     def pop_new_owners(self):
         """Return the names of the VMs that became owners since the last call."""
         self._refresh()
-        successors, self._successors = self._successors, set()
-        return successors
+        popped, self._new_owners = self._new_owners, set()
+        return popped
 
     def release(self, use):
         """Release the slot of a use; does nothing if it was released before."""
@@ -215,9 +217,11 @@
         """Update which targets are much slower than the others of their service."""
         for targets in self._by_service.values():
             latencies = [each.health.latency for each in targets if each.health.latency]
-            middle = median(latencies) if len(latencies) > 1 else 0.0
+            median_latency = median(latencies) if len(latencies) > 1 else 0.0
             for each in targets:
-                self._set_slow(each, bool(middle) and each.health.is_slow(middle))
+                self._set_slow(
+                    each, bool(median_latency) and each.health.is_slow(median_latency)
+                )
 
     def _set_slow(self, target, slow):
         if slow == target.slow:
@@ -229,27 +233,29 @@
         )
 
     def _mark_stale(self):
-        self._stale = True
+        self._is_stale = True
 
     def _refresh(self):
-        if not self._stale:
+        if not self._is_stale:
             return
-        self._stale = False
+        self._is_stale = False
         owned = {}
         for target_id in self._owners.owned():
             entry = self._registry.get(target_id)
             if entry is not None:
-                owned[target_id] = self._keep(entry)
+                owned[target_id] = self._owned_target(entry)
         for target_id in owned.keys() - self._owned.keys():
-            self._held.add_target(target_id, self._owners.previous_owner_of(target_id))
+            self._held_slots.add_target(
+                target_id, self._owners.previous_owner_of(target_id)
+            )
             self._journal.write(Event.HOME_ADOPTED, target=target_id)
         for target_id in self._owned.keys() - owned.keys():
             self._journal.write(Event.HOME_HANDED_OVER, target=target_id)
-            self._former[target_id] = self._owned[target_id]
-            self._successors.add(self._owners.owner_of(target_id))
-        self._former = {
+            self._former_targets[target_id] = self._owned[target_id]
+            self._new_owners.add(self._owners.owner_of(target_id))
+        self._former_targets = {
             target_id: target
-            for target_id, target in self._former.items()
+            for target_id, target in self._former_targets.items()
             if target_id not in owned and self._registry.knows(target_id)
         }
         self._owned = owned
@@ -257,12 +263,12 @@
         for each in owned.values():
             self._by_service.setdefault(each.entry.service, []).append(each)
 
-    def _keep(self, entry):
+    def _owned_target(self, entry):
         cold_until = self._registry.cold_until(entry.id)
-        target = self._owned.get(entry.id) or self._former.get(entry.id)
+        target = self._owned.get(entry.id) or self._former_targets.get(entry.id)
         if target is None or not target.entry.is_same_incarnation(entry):
             limit = self._cold_limit(entry)
-            return OwnedTarget(entry, limit, cold_until, self._held)
+            return OwnedTarget(entry, limit, cold_until, self._held_slots)
         target.entry = entry
         target.cold_until = max(target.cold_until, cold_until)
         return target
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -34,18 +34,18 @@
             version=entry.version,
         )
 
-    def restarted(self, before, entry):
+    def restarted(self, previous, entry):
         """Log that a target restarted under the same id."""
         self._journal.write(
             Event.TARGET_RESTARTED,
             target=entry.id,
             started_ms=entry.started_ms,
-            started_ms_before=before.started_ms,
+            started_ms_before=previous.started_ms,
             cold_for=entry.cold_for,
             draining=entry.draining,
         )
 
-    def log_draining(self, before, entry):
+    def log_draining(self, previous, entry):
         """Log that a target started or stopped draining."""
         event = Event.TARGET_DRAINING if entry.draining else Event.TARGET_REOPENED
         self._journal.write(
@@ -53,19 +53,19 @@
             target=entry.id,
             reason="entry",
             sequence=entry.sequence,
-            sequence_before=before.sequence,
+            sequence_before=previous.sequence,
             version=entry.version,
         )
 
-    def outdated(self, before, entry):
+    def outdated(self, previous, entry):
         """Log that an entry is older than a known one and was ignored."""
         self._journal.write(
             Event.ENTRY_OUTDATED,
             target=entry.id,
             sequence=entry.sequence,
-            sequence_before=before.sequence,
+            sequence_before=previous.sequence,
             started_ms=entry.started_ms,
-            started_ms_before=before.started_ms,
+            started_ms_before=previous.started_ms,
             version=entry.version,
         )
 
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -22,7 +22,7 @@
 #: Most affinity keys cached for each service and region.
 MAX_OBJECTS = 2048
 #: Affinity key by which targets for confined requests are selected.
-_CONFINED = "confined"
+_CONFINED_KEY = "confined"
 
 
 class TargetCapacity(Protocol):
@@ -44,7 +44,7 @@
     :param entry: its :class:`TargetEntry`.
     :param owner: name of the VM that owns it.
     :param owner_region: the region of that VM.
-    :param room: its :class:`TargetCapacity`.
+    :param capacity: its :class:`TargetCapacity`.
     """
 
     __slots__ = ("entry", "owner", "owner_region", "capacity")
@@ -93,7 +93,7 @@
         "_ranked",
         "_confined",
         "_summary",
-        "_until",
+        "_summary_until",
     )
 
     def __init__(self, region, candidates):
@@ -103,13 +103,13 @@
         self._ranked = {}
         self._confined = None
         self._summary = None
-        self._until = 0.0
+        self._summary_until = 0.0
 
     def summary(self, now):
         """Return the :class:`RegionSummary`, which is cached briefly."""
-        if self._summary is None or now >= self._until:
+        if self._summary is None or now >= self._summary_until:
             self._summary = RegionSummary(self.candidates, now)
-            self._until = now + SUMMARY_TTL_SECONDS
+            self._summary_until = now + SUMMARY_TTL_SECONDS
         return self._summary
 
     @property
@@ -120,8 +120,8 @@
         """
         if self._confined is None:
             count = ceil(CONFINED_SHARE * len(self.candidates))
-            weight_of = _weight_for(_CONFINED)
-            self._confined = nlargest(count, self.candidates, key=weight_of)
+            sort_key = _sort_key_for(_CONFINED_KEY)
+            self._confined = nlargest(count, self.candidates, key=sort_key)
         return self._confined
 
     def affinity_targets(self, affinity, count, usable, now):
@@ -130,20 +130,20 @@
         :param count: most candidates to return.
         :param usable: returns whether a candidate may be used.
         """
-        ranked = self._rank(affinity)
-        found = _first(ranked, count, usable, now)
+        ranked = self._rank_targets(affinity)
+        found = _first_usable(ranked, count, usable, now)
         if len(found) < count and len(ranked) < len(self.candidates):
-            ranked = sorted(self.candidates, key=_weight_for(affinity), reverse=True)
-            found = _first(ranked, count, usable, now)
+            ranked = sorted(self.candidates, key=_sort_key_for(affinity), reverse=True)
+            found = _first_usable(ranked, count, usable, now)
         return found
 
-    def _rank(self, affinity):
+    def _rank_targets(self, affinity):
         ranked = self._ranked.get(affinity)
         if ranked is None:
             if len(self._ranked) >= MAX_OBJECTS:
                 self._ranked.clear()
             ranked = nlargest(
-                MAX_RANKED_TARGETS, self.candidates, key=_weight_for(affinity)
+                MAX_RANKED_TARGETS, self.candidates, key=_sort_key_for(affinity)
             )
             self._ranked[affinity] = ranked
         return ranked
@@ -156,15 +156,15 @@
     :param registry: the :class:`TargetRegistry`.
     :param owners: the :class:`Owners`.
     :param ledger: the :class:`SlotLedger` of own targets.
-    :param rooms: the :class:`CapacityReports` of other VMs' targets.
+    :param reports: the :class:`CapacityReports` of other VMs' targets.
     """
 
-    def __init__(self, members, registry, owners, ledger, rooms):
+    def __init__(self, members, registry, owners, ledger, reports):
         self._members = members
         self._registry = registry
         self._owners = owners
         self._ledger = ledger
-        self._rooms = rooms
+        self._reports = reports
         self._services = {}
         owners.on_change(self._services.clear)
 
@@ -183,7 +183,7 @@
             if member is None:
                 continue
             region = self._members.region_of(entry.failure_domain)
-            capacity = self._room(entry.id, owner)
+            capacity = self._capacity_of(entry.id, owner)
             candidate = Candidate(entry, owner, member.region, capacity)
             groups.setdefault(region, []).append(candidate)
         return {
@@ -191,15 +191,15 @@
             for region, candidates in groups.items()
         }
 
-    def _room(self, target_id, owner):
+    def _capacity_of(self, target_id, owner):
         owned = self._ledger.get(target_id) if self._is_own(owner) else None
-        return owned or self._rooms.capacity(target_id, owner)
+        return owned or self._reports.capacity(target_id, owner)
 
     def _is_own(self, owner):
         return owner == self._members.own.vm
 
 
-def _first(ranked, count, usable, now):
+def _first_usable(ranked, count, usable, now):
     """Return the first healthy and usable ones of ranked candidates."""
     found = []
     for each in ranked:
@@ -210,6 +210,6 @@
     return found
 
 
-def _weight_for(affinity):
+def _sort_key_for(affinity):
     """Return a sort key for the candidates of an affinity key."""
     return lambda candidate: weight(affinity, candidate.entry.id)
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -26,7 +26,7 @@
     :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles
         with each further crash.
     :param max_refusal_seconds: upper limit of the seconds of refusal.
-    :param memory: seconds after the last crash for which crashes count.
+    :param retention_seconds: seconds after the last crash for which crashes count.
     """
 
     __slots__ = (
@@ -96,16 +96,16 @@
 
     :param sender: digest of the sender, as hexadecimal digits.
     """
-    return SENDER_PREFIX + _place(service, route) + sender
+    return SENDER_PREFIX + _route_digest(service, route) + sender
 
 
 def unknown_senders_key(service, route):
     """Return the key of unknown senders' requests on one route to one service."""
-    return UNKNOWN_SENDERS_PREFIX + _place(service, route)
+    return UNKNOWN_SENDERS_PREFIX + _route_digest(service, route)
 
 
 @lru_cache(maxsize=MAX_CACHED_ROUTES)
-def _place(service, route):
+def _route_digest(service, route):
     """Return a digest of a route to a service, as hexadecimal digits."""
     text = f"{len(service)}:{service}{route}".encode()
     return blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -24,13 +24,13 @@
 class RecentResponses:
     """Responses each of which exempts its key from all crashes for some seconds.
 
-    :param most: most keys to remember; the least recent is evicted.
+    :param max_keys: most keys to remember; the least recent is evicted.
     """
 
-    __slots__ = ("_most", "_instants")
+    __slots__ = ("_max_keys", "_instants")
 
-    def __init__(self, most):
-        self._most = most
+    def __init__(self, max_keys):
+        self._max_keys = max_keys
         # Key to the instant of its last response, the latest last.
         self._instants = {}
 
@@ -38,13 +38,13 @@
         """Record a complete response."""
         self._instants.pop(key, None)
         self._instants[key] = now
-        if len(self._instants) > self._most:
+        if len(self._instants) > self._max_keys:
             del self._instants[next(iter(self._instants))]
 
     def exempts_crash(self, key, now):
         """Return whether the last response is recent."""
-        answered_at = self._instants.get(key)
-        return answered_at is not None and now - answered_at <= EXEMPTION_SECONDS
+        responded_at = self._instants.get(key)
+        return responded_at is not None and now - responded_at <= EXEMPTION_SECONDS
 
     def __contains__(self, key):
         return key in self._instants
@@ -56,13 +56,13 @@
 class ResponseCredits:
     """Responses each of which exempts its key from a single crash.
 
-    :param most: most keys to remember; the least recent is evicted.
+    :param max_keys: most keys to remember; the least recent is evicted.
     """
 
-    __slots__ = ("_most", "_credits")
+    __slots__ = ("_max_keys", "_credits")
 
-    def __init__(self, most):
-        self._most = most
+    def __init__(self, max_keys):
+        self._max_keys = max_keys
         # Key to the instants of its unused responses, the latest key last.
         self._credits = {}
 
@@ -71,7 +71,7 @@
         credits = self._credits.pop(key, None)
         self._credits[key] = deque(maxlen=MAX_CREDITS) if credits is None else credits
         self._credits[key].append(now)
-        if len(self._credits) > self._most:
+        if len(self._credits) > self._max_keys:
             del self._credits[next(iter(self._credits))]
 
     def exempts_crash(self, key, now):
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -15,7 +15,7 @@
     """The fields of a stored quarantine; instants are epoch seconds.
 
     :param until: end of the quarantine.
-    :param ends: the crashed targets; see :attr:`TargetEntry.life`.
+    :param ends: the crashed targets; see :attr:`TargetEntry.incarnation_id`.
     :param route: name of the request's route, or ``None``.
     :param service: name of the service that ran the request, or ``None``.
     :param vm: name of the VM that wrote the row, or ``None``.
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -36,20 +36,22 @@
 
     @classmethod
     def of(cls, fields):
-        """Return the news that a list of values in wire order encodes.
+        """Return the update that a list of values in wire order encodes.
 
         :raises ValueError: if the values are invalid.
         """
         if not isinstance(fields, list) or len(fields) != len(cls.__slots__):
             raise ValueError(f"{fields!r} is no news of a suspect")
-        news = cls(*fields)
-        if not isinstance(news.fingerprint, str):
-            raise ValueError(f"{news.fingerprint!r} is no fingerprint")
-        if not isinstance(news.remaining, int | float) or news.remaining < 0:
-            raise ValueError(f"{news.remaining!r} is no number of seconds")
-        if not (_are_lives(news.ends) and _are_lives(news.cleared)):
+        update = cls(*fields)
+        if not isinstance(update.fingerprint, str):
+            raise ValueError(f"{update.fingerprint!r} is no fingerprint")
+        if not isinstance(update.remaining, int | float) or update.remaining < 0:
+            raise ValueError(f"{update.remaining!r} is no number of seconds")
+        if not (
+            _are_incarnation_ids(update.ends) and _are_incarnation_ids(update.cleared)
+        ):
             raise ValueError(f"{fields!r} does not list lives of targets")
-        return news
+        return update
 
 
 class SuspectChange(NamedTuple):
@@ -100,7 +102,7 @@
         self.ended_at = 0.0
 
     @property
-    def count(self):
+    def crash_count(self):
         """Return the number of crashes that count."""
         return len(self.ends) - len(self.cleared)
 
@@ -117,7 +119,7 @@
     @property
     def is_limited(self):
         """Return whether it has enough crashes for its requests to be refused."""
-        return self.count >= self.policy.ends
+        return self.crash_count >= self.policy.ends
 
     @property
     def is_full(self):
@@ -131,7 +133,7 @@
         A group without crashes that count, or a full one that is not limited, expires
         soon: otherwise cleared crashes would keep new ones from being recorded.
         """
-        is_over = not self.count or (self.is_full and not self.is_limited)
+        is_over = not self.crash_count or (self.is_full and not self.is_limited)
         return CLEARED_RETENTION_SECONDS if is_over else self.policy.retention_seconds
 
     @property
@@ -139,7 +141,9 @@
         """Return the instant until which its requests are refused, if it is limited."""
         if self.is_full:
             return self.until
-        return min(self.until, self.ended_at + self.policy.refusal_seconds(self.count))
+        return min(
+            self.until, self.ended_at + self.policy.refusal_seconds(self.crash_count)
+        )
 
     @property
     def digest(self):
@@ -151,24 +155,24 @@
             digest ^= _digest(f"{self.fingerprint} {incarnation_id} cleared")
         return digest
 
-    def add(self, lives, cleared=()):
+    def add(self, incarnation_ids, cleared=()):
         """Merge crashes and cleared crashes; return an :class:`SuspectChange`."""
-        ends, count = list(self.ends), len(self.cleared)
-        for incarnation_id in lives:
+        ends, cleared_count = list(self.ends), len(self.cleared)
+        for incarnation_id in incarnation_ids:
             if incarnation_id not in self.ends:
                 self.ends.append(incarnation_id)
-        self._drop_most()
+        self._truncate()
         for incarnation_id in cleared:
             if incarnation_id in self.ends and incarnation_id not in self.cleared:
                 self.cleared.append(incarnation_id)
         has_ends = self.ends != ends
-        return SuspectChange(has_ends, has_ends or len(self.cleared) > count)
+        return SuspectChange(has_ends, has_ends or len(self.cleared) > cleared_count)
 
-    def _drop_most(self):
+    def _truncate(self):
         """Truncate to :data:`MAX_CRASHES` crashes, in the same way at all VMs."""
         if len(self.ends) <= MAX_CRASHES:
             return
-        kept = nsmallest(MAX_CRASHES, self.ends, key=self._order)
+        kept = nsmallest(MAX_CRASHES, self.ends, key=self._sort_key)
         self.ends = [
             incarnation_id for incarnation_id in self.ends if incarnation_id in kept
         ]
@@ -176,7 +180,7 @@
             incarnation_id for incarnation_id in self.cleared if incarnation_id in kept
         ]
 
-    def _order(self, incarnation_id):
+    def _sort_key(self, incarnation_id):
         return _digest(f"{self.fingerprint} {incarnation_id}")
 
     def to_update(self, now):
@@ -196,7 +200,7 @@
     return int.from_bytes(digest, "big")
 
 
-def _are_lives(value):
+def _are_incarnation_ids(value):
     if not isinstance(value, list) or len(value) > MAX_CRASHES:
         return False
     return all(isinstance(each, str) for each in value)
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -52,9 +52,9 @@
         self._on_quarantine = []
         # Fingerprint to suspect, the last changed one last.
         self._suspects = {}
-        self._answered = RecentResponses(MAX_REQUESTS_WITH_RESPONSE)
-        self._senders_answered = RecentResponses(MAX_GROUPS_WITH_RESPONSE)
-        self._strangers_answered = ResponseCredits(MAX_GROUPS_WITH_RESPONSE)
+        self._request_responses = RecentResponses(MAX_REQUESTS_WITH_RESPONSE)
+        self._sender_responses = RecentResponses(MAX_GROUPS_WITH_RESPONSE)
+        self._unknown_sender_responses = ResponseCredits(MAX_GROUPS_WITH_RESPONSE)
         self._digest = 0
 
     @property
@@ -104,31 +104,34 @@
     def has_crashes(self, key):
         """Return whether any crash counts against a key."""
         suspect = self._get(key)
-        return suspect is not None and suspect.count > 0
+        return suspect is not None and suspect.crash_count > 0
 
     def has_response(self, fingerprint):
         """Return whether a complete response to a request is remembered."""
-        return fingerprint in self._answered
+        return fingerprint in self._request_responses
 
     def may_retry(self, key):
         """Return whether a request may be retried at another target in one attempt."""
         suspect = self._get(key)
-        return suspect is None or suspect.count < suspect.policy.crashes_to_stop_retries
+        return (
+            suspect is None
+            or suspect.crash_count < suspect.policy.crashes_to_stop_retries
+        )
 
     def record_crash(self, fingerprint, incarnation_id, route=None, service=None):
         """Record that a target crashed while it ran a request.
 
         :param fingerprint: fingerprint of the request, or key of its group.
-        :param life: see :attr:`TargetEntry.incarnation_id`.
+        :param incarnation_id: see :attr:`TargetEntry.incarnation_id`.
         :param route: name of the request's route.
         :param service: name of the service that ran the request.
         """
-        if self._is_excused(fingerprint):
+        if self._is_exempt(fingerprint):
             return
         suspect = self._get(fingerprint) or Suspect(fingerprint)
         suspect.seen_here = True
         suspect.route, suspect.service = route, service
-        self._take(suspect, [incarnation_id], [], SUSPICION_SECONDS)
+        self._merge(suspect, [incarnation_id], [], SUSPICION_SECONDS)
 
     def record_response(self, fingerprint):
         """Record a complete response of a target to a request.
@@ -139,44 +142,44 @@
         :param fingerprint: fingerprint of the request, or key of its group.
         """
         suspect = self._get(fingerprint)
-        has_crashes = suspect is not None and suspect.count > 0
+        has_crashes = suspect is not None and suspect.crash_count > 0
         if has_crashes and is_unknown_senders_key(fingerprint):
-            self._take(suspect, [], [suspect.earliest_crash], 0.0)
+            self._merge(suspect, [], [suspect.earliest_crash], 0.0)
             return
-        self._answers(fingerprint).note(fingerprint, self._clock.now())
+        self._history_for(fingerprint).note(fingerprint, self._clock.now())
         if has_crashes:
             self.lift(fingerprint)
 
     def lift(self, fingerprint):
         """Clear all known crashes of a request or group."""
         suspect = self._get(fingerprint)
-        if suspect is not None and suspect.count:
-            self._take(suspect, [], list(suspect.ends), 0.0)
+        if suspect is not None and suspect.crash_count:
+            self._merge(suspect, [], list(suspect.ends), 0.0)
 
     def merge(self, update):
         """Merge the :class:`SuspectUpdate` of another VM."""
         suspect = self._get(update.fingerprint) or Suspect(update.fingerprint)
         known = {*suspect.ends, *update.cleared}
-        fresh = (
+        new = (
             incarnation_id
             for incarnation_id in update.ends
             if incarnation_id not in known
         )
-        excused = [
+        exempt = [
             incarnation_id
-            for incarnation_id in fresh
-            if self._is_excused(update.fingerprint)
+            for incarnation_id in new
+            if self._is_exempt(update.fingerprint)
         ]
-        cleared = [*update.cleared, *excused]
+        cleared = [*update.cleared, *exempt]
         seconds = min(update.remaining, QUARANTINE_SECONDS)
-        self._take(suspect, update.ends, cleared, seconds)
+        self._merge(suspect, update.ends, cleared, seconds)
 
     def updates(self):
         """Yield the :class:`SuspectUpdate` to send with one heartbeat."""
-        now, room = self._clock.now(), MAX_CRASHES_PER_HEARTBEAT
-        for suspect in self._told_next():
-            room -= len(suspect.ends) + len(suspect.cleared)
-            if room < 0:
+        now, budget = self._clock.now(), MAX_CRASHES_PER_HEARTBEAT
+        for suspect in self._select_for_gossip():
+            budget -= len(suspect.ends) + len(suspect.cleared)
+            if budget < 0:
                 return
             if suspect.until - now > MIN_REMAINING_SECONDS:
                 yield suspect.to_update(now)
@@ -184,48 +187,48 @@
     def expire(self):
         """Drop the suspects that have expired."""
         now = self._clock.now()
-        over = [each.fingerprint for each in self.all() if each.until <= now]
-        for fingerprint in over:
+        expired = [each.fingerprint for each in self.all() if each.until <= now]
+        for fingerprint in expired:
             self._drop(fingerprint)
 
-    def _told_next(self):
+    def _select_for_gossip(self):
         """Yield the suspects to gossip: the last changed and a sample of the others."""
         latest = list(islice(reversed(self._suspects.values()), MAX_RECENT_UPDATES))
         yield from latest
-        rest = len(self._suspects) - len(latest)
-        others = list(islice(self._suspects.values(), rest))
-        yield from sample(others, min(MAX_SAMPLED_UPDATES, rest))
+        other_count = len(self._suspects) - len(latest)
+        others = list(islice(self._suspects.values(), other_count))
+        yield from sample(others, min(MAX_SAMPLED_UPDATES, other_count))
 
-    def _take(self, suspect, ends, cleared, seconds):
+    def _merge(self, suspect, ends, cleared, seconds):
         """Merge crashes and cleared crashes into a suspect.
 
         Only changes extend its retention; otherwise gossip would keep it forever.
         """
         digest, was_limited = suspect.digest, suspect.is_limited
-        added = suspect.add(ends, cleared)
-        if not added.any:
+        change = suspect.add(ends, cleared)
+        if not change.any:
             return
         now, is_for_group = self._clock.now(), _is_of_group(suspect)
-        is_caught = suspect.is_limited and not was_limited
-        if is_caught and not is_for_group:
+        is_newly_limited = suspect.is_limited and not was_limited
+        if is_newly_limited and not is_for_group:
             seconds = max(seconds, QUARANTINE_SECONDS)
         seconds = max(seconds, suspect.until - now)
         if is_for_group:
             seconds = min(seconds, suspect.retention_seconds)
         suspect.until = now + seconds
-        if added.ends:
+        if change.ends:
             suspect.ended_at = now
         self._digest ^= digest ^ suspect.digest
         self._suspects.pop(suspect.fingerprint, None)
         self._suspects[suspect.fingerprint] = suspect
         if len(self._suspects) > MAX_SUSPECTS:
             self._drop(next(iter(self._suspects)))
-        if is_caught:
-            self._caught(suspect)
+        if is_newly_limited:
+            self._announce(suspect)
         elif was_limited and not suspect.is_limited:
-            self._log_end(suspect)
+            self._log_release(suspect)
 
-    def _caught(self, suspect):
+    def _announce(self, suspect):
         if _is_of_group(suspect):
             self._log(Event.GROUP_LIMITED, suspect)
             return
@@ -242,23 +245,25 @@
             return None
         return suspect
 
-    def _is_excused(self, fingerprint):
-        return self._answers(fingerprint).exempts_crash(fingerprint, self._clock.now())
+    def _is_exempt(self, fingerprint):
+        return self._history_for(fingerprint).exempts_crash(
+            fingerprint, self._clock.now()
+        )
 
     def _drop(self, fingerprint):
         suspect = self._suspects.pop(fingerprint)
         self._digest ^= suspect.digest
         if suspect.is_limited:
-            self._log_end(suspect)
+            self._log_release(suspect)
 
-    def _answers(self, key):
+    def _history_for(self, key):
         if not is_group_key(key):
-            return self._answered
+            return self._request_responses
         if is_unknown_senders_key(key):
-            return self._strangers_answered
-        return self._senders_answered
+            return self._unknown_sender_responses
+        return self._sender_responses
 
-    def _log_end(self, suspect):
+    def _log_release(self, suspect):
         is_for_group = _is_of_group(suspect)
         event = Event.GROUP_RELEASED if is_for_group else Event.QUARANTINE_ENDED
         self._log(event, suspect)
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -47,14 +47,14 @@
         self._vm = vm
         self._journal = journal
         self._clock = clock
-        self._rejections = RejectedRowLog(journal, clock)
-        self._waiting = deque(maxlen=MAX_PENDING_WRITES)
+        self._rejected_rows = RejectedRowLog(journal, clock)
+        self._pending = deque(maxlen=MAX_PENDING_WRITES)
         # Version of the table at the last read, or ``None``.
         self._version = None
 
     def enqueue(self, suspect):
         """Queue a quarantined :class:`Suspect` for writing."""
-        self._waiting.append(suspect)
+        self._pending.append(suspect)
 
     async def follow(self):
         """Read the table while this VM is a reader, until cancelled."""
@@ -67,19 +67,19 @@
         """Write queued quarantines until cancelled."""
         while True:
             await sleep(WRITE_SECONDS)
-            if self._waiting and not await self._write_next():
+            if self._pending and not await self._write_next():
                 await sleep(RETRY_SECONDS)
 
     async def _write_next(self):
         """Write the next quarantine; return ``False`` if it has to be retried."""
-        suspect = self._waiting.popleft()
+        suspect = self._pending.popleft()
         until = self._suspects.refused_until(suspect.fingerprint)
         if until is None:
             return True
         value = encode_quarantine(suspect, self._clock, self._vm)
-        done = await self._put(suspect.fingerprint, value)
+        done = await self._write_row(suspect.fingerprint, value)
         if not done:
-            self._waiting.appendleft(suspect)
+            self._pending.appendleft(suspect)
         return done
 
     async def _read(self):
@@ -96,7 +96,7 @@
             return
         self._version = snapshot.version
         for row in snapshot.rows:
-            await self._take(row)
+            await self._merge_row(row)
 
     async def _next_snapshot(self):
         if self._version is None:
@@ -105,7 +105,7 @@
             QUARANTINE_TABLE, self._version, LONG_POLL_SECONDS
         )
 
-    async def _take(self, row):
+    async def _merge_row(self, row):
         """Merge a row; a deleted row lifts its quarantine."""
         if row.value is None:
             self._suspects.lift(row.key)
@@ -113,14 +113,14 @@
         try:
             update = decode_quarantine(row, self._clock)
         except ValueError as error:
-            self._rejections.note(row.key, error)
+            self._rejected_rows.note(row.key, error)
             return
         if update is not None:
             self._suspects.merge(update)
         else:
-            await self._put(row.key, None)
+            await self._write_row(row.key, None)
 
-    async def _put(self, fingerprint, value):
+    async def _write_row(self, fingerprint, value):
         """Write a row, or delete it for ``None``; return whether the store did so."""
         try:
             await self._writing.write(QUARANTINE_TABLE, fingerprint, value)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -215,7 +215,7 @@
     Mutation(
         "RESTS",
         f"{STEERING}/process/capacity/ejection_limit.py",
-        "resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
+        "ejected_count + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
         "True",
         "tests/test_rests.py",
     ),
@@ -255,7 +255,7 @@
     Mutation(
         "DRAIN-lapse-extended",
         f"{STEERING}/process/capacity/registry.py",
-        "            until = min(until, known_until)\n",
+        "            until = min(until, current_until)\n",
         "            pass\n",
         "tests/test_lapses.py",
         "tests/test_registry.py",
@@ -311,7 +311,7 @@
     Mutation(
         "DRAIN-delayed-report-of-a-target-that-left",
         f"{STEERING}/process/capacity/registry.py",
-        "        if before is None and departed is not None:\n",
+        "        if before is None and removed_target is not None:\n",
         "        if False:\n",
         "tests/test_target_incarnations.py",
         "tests/test_registry.py",
@@ -556,8 +556,8 @@
     Mutation(
         "HANDOVER-held-slots",
         f"{STEERING}/process/capacity/slots.py",
-        "        elsewhere = self._held.count(self.entry.id, now)\n",
-        "        elsewhere = 0\n",
+        "        other_load = self._held_slots.count(self.entry.id, now)\n",
+        "        other_load = 0\n",
         "tests/test_handing_over.py",
         "-k",
         "hands_its_slots_over",
@@ -565,8 +565,9 @@
     Mutation(
         "HANDOVER-owner-before",
         f"{STEERING}/process/capacity/slots.py",
-        "            self._held.add_target(target_id, "
-        "self._owners.previous_owner_of(target_id))\n",
+        "            self._held_slots.add_target(\n"
+        "                target_id, self._owners.previous_owner_of(target_id)\n"
+        "            )\n",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -575,8 +576,10 @@
     Mutation(
         "HANDOVER-owner-before-untold",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            self._put(target_id, former, Hold(_ALL, now + "
-        "FORMER_OWNER_REPORT_SECONDS))\n",
+        "            self._set_hold(\n"
+        "                target_id, former, "
+        "Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS)\n"
+        "            )\n",
         "            pass\n",
         "tests/test_handing_over.py",
         "-k",
@@ -612,8 +615,8 @@
     Mutation(
         "HANDOVER-hold-ends",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._runs(vm)\n",
-        "            if self._runs(vm)\n",
+        "            if now < hold.until and self._is_same_process(vm)\n",
+        "            if self._is_same_process(vm)\n",
         "tests/test_handing_over.py",
         "-k",
         "Holds or lost_heartbeats",
@@ -621,7 +624,7 @@
     Mutation(
         "HANDOVER-end-of-a-process",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._runs(vm)\n",
+        "            if now < hold.until and self._is_same_process(vm)\n",
         "            if now < hold.until\n",
         "tests/test_handing_over.py",
         "-k",
@@ -747,7 +750,7 @@
     Mutation(
         "QUARANTINE-answers",
         f"{STEERING}/process/quarantine/responses.py",
-        "return answered_at is not None and now - answered_at <= EXEMPTION_SECONDS",
+        "return responded_at is not None and now - responded_at <= EXEMPTION_SECONDS",
         "return False",
         "tests/test_suspects.py",
         "-k",
@@ -763,8 +766,8 @@
     Mutation(
         "QUARANTINE-expiry",
         f"{STEERING}/process/quarantine/suspects.py",
-        "if not added.any:",
-        "if not added.any and not ends:",
+        "if not change.any:",
+        "if not change.any and not ends:",
         "tests/test_suspects.py",
         "-k",
         "alive",
@@ -781,7 +784,7 @@
     Mutation(
         "QUARANTINE-same-ends-kept",
         f"{STEERING}/process/quarantine/suspect.py",
-        "kept = nsmallest(MAX_CRASHES, self.ends, key=self._order)",
+        "kept = nsmallest(MAX_CRASHES, self.ends, key=self._sort_key)",
         "kept = self.ends[:MAX_CRASHES]",
         "tests/test_suspects.py",
         "-k",
@@ -875,7 +878,7 @@
     Mutation(
         "QUARANTINE-evidence",
         f"{STEERING}/process/capacity/crash_detector.py",
-        "return entry.incarnation_id in self._ended",
+        "return entry.incarnation_id in self._crashed",
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
