--- a/bench/places.py
+++ b/bench/places.py
@@ -72,7 +72,7 @@
     clock, members = parts.clock, parts.members
     rooms, pressure = CapacityReports(clock), LossRates()
     for member in members.live_others():
-        rooms.report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
+        rooms.record_report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
     for owned in parts.ledger.all():
         for _ in range(SLOTS):
             owned.claim(clock.now())
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -32,16 +32,16 @@
         queue = self._queues.get(service)
         return len(queue.waiters) if queue else 0
 
-    def room(self, target, now):
+    def free_for_peers(self, target, now):
         """Return the free slots of an owned target that other VMs may use.
 
         0 while requests that can still be on time are queued. Late requests that wait
         for their affinity target do not reserve the slots of other targets.
         """
-        early = self._queue(target.entry.service).early(now)
-        return 0 if early else target.free(now)
+        on_time_count = self._queue(target.entry.service).on_time_count(now)
+        return 0 if on_time_count else target.free(now)
 
-    def waits(self, service, call=None):
+    def estimate_wait(self, service, call=None):
         """Return the :class:`WaitEstimate` at the targets of a service.
 
         ``None`` if no target of the service has a slot in service.
@@ -50,18 +50,20 @@
         """
         now, queue = self._clock.now(), self._queue(service)
         targets = self._ledger.of_service(service)
-        if not queue.early(now) and any(target.free(now) for target in targets):
+        if not queue.on_time_count(now) and any(target.free(now) for target in targets):
             return WaitEstimate(0.0, 0.0)
         slots = sum(target.limit(now) for target in targets)
         if not slots:
             return None
-        return queue.waits(slots, now, call and queue.count_late_before(call, now))
+        return queue.estimate_wait(
+            slots, now, call and queue.count_late_before(call, now)
+        )
 
     def expected_wait(self, call):
         """Return the expected wait in seconds, or ``None`` if no slot is in service."""
-        waits = self.waits(call.service, call)
+        estimate = self.estimate_wait(call.service, call)
         hold_seconds = self._queue(call.service).mean_hold_seconds
-        return waits and waits.for_call(call, self._clock.now(), hold_seconds)
+        return estimate and estimate.for_call(call, self._clock.now(), hold_seconds)
 
     async def acquire(self, call, preferred, avoid, until):
         """Return a :class:`SlotUse`, or ``None`` if no slot became free in time.
@@ -87,14 +89,14 @@
                 queue.waiters.remove(waiter)
         return waiter.slot_use
 
-    async def release(self, use, answered):
+    async def release(self, use, has_response):
         """Release a slot and assign it to the next waiter.
 
-        :param answered: whether the target responded, so that the hold time counts.
+        :param has_response: whether the target responded, so that the hold time counts.
         """
         service = use.target.entry.service
         now, queue = self._clock.now(), self._queue(service)
-        if answered:
+        if has_response:
             queue.record_hold(now - use.started_at)
         self._ledger.release(use)
         free = use.target.free(now)
@@ -160,7 +162,7 @@
             return None
 
         def order(target):
-            return waiter.place(target.entry.id), -target.free(now)
+            return waiter.preference_rank(target.entry.id), -target.free(now)
 
         return min(free, key=order).claim(now, waiter.call.deadline)
 
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -10,12 +10,18 @@
 class OwnerReport:
     """The last report of an owner: capacity by target, waits and losses by service."""
 
-    __slots__ = ("rooms", "waits", "losses", "reported_at", "valid_until")
+    __slots__ = (
+        "capacities",
+        "wait_estimates",
+        "loss_rates",
+        "reported_at",
+        "valid_until",
+    )
 
     def __init__(self):
-        self.rooms = {}
-        self.waits = {}
-        self.losses = {}
+        self.capacities = {}
+        self.wait_estimates = {}
+        self.loss_rates = {}
         self.reported_at = DISTANT_PAST
         self.valid_until = 0.0
 
@@ -60,7 +66,7 @@
         """Return the most concurrent requests of the target, ``None`` if unknown."""
         return self._limit
 
-    def report(self, free, limit, used, valid_until):
+    def update(self, free, limit, used, valid_until):
         """Record the owner's report."""
         self._free = free
         self._limit = limit
@@ -92,7 +98,7 @@
         self._clock = clock
         self._reports = {}
 
-    def report(self, owner, rooms, waits, losses):
+    def record_report(self, owner, rooms, waits, losses):
         """Replace the report of an owner.
 
         :param rooms: ``(target id, free slots, limit, slots in use)`` of each target
@@ -105,16 +111,16 @@
         valid_until = now + REPORT_TTL_SECONDS
         report = self._report(owner)
         report.reported_at = now
-        for capacity in report.rooms.values():
+        for capacity in report.capacities.values():
             capacity.expire()
         for target_id, free, limit, used in rooms:
-            self.capacity(target_id, owner).report(free, limit, used, valid_until)
+            self.capacity(target_id, owner).update(free, limit, used, valid_until)
         report.valid_until = valid_until
-        report.waits = {
-            service: None if early is None else WaitEstimate(early, late)
-            for service, early, late in waits
+        report.wait_estimates = {
+            service: None if on_time is None else WaitEstimate(on_time, late)
+            for service, on_time, late in waits
         }
-        report.losses = dict(losses)
+        report.loss_rates = dict(losses)
 
     def retain(self, owners):
         """Drop the reports of all owners except these."""
@@ -124,9 +130,9 @@
     def capacity(self, target_id, owner):
         """Return the :class:`ReportedCapacity` of a target; creates it if missing."""
         report = self._report(owner)
-        capacity = report.rooms.get(target_id)
+        capacity = report.capacities.get(target_id)
         if capacity is None:
-            capacity = report.rooms[target_id] = ReportedCapacity(report)
+            capacity = report.capacities[target_id] = ReportedCapacity(report)
         return capacity
 
     def owners(self):
@@ -139,19 +145,19 @@
 
     def find(self, target_id, owner):
         """Return the :class:`ReportedCapacity` of an owner's target, or ``None``."""
-        return self._report(owner).rooms.get(target_id)
+        return self._report(owner).capacities.get(target_id)
 
     def is_known(self, owner):
         """Return whether an owner reported recently, or refused a request as full."""
         return self._clock.now() < self._report(owner).valid_until
 
-    def waits(self, owner, service):
+    def wait_estimate(self, owner, service):
         """Return the :class:`WaitEstimate`, ``None`` if no slot is in service."""
-        return self._report(owner).waits.get(service)
+        return self._report(owner).wait_estimates.get(service)
 
     def loss_rate(self, owner, service):
         """Return the loss rate that an owner reports, or ``None``."""
-        return self._report(owner).losses.get(service)
+        return self._report(owner).loss_rates.get(service)
 
     def record_full(self, target_id, owner, service, wait):
         """Record that an owner had no free slot for a request.
@@ -162,7 +168,9 @@
         if target_id is not None:
             self.capacity(target_id, owner).mark_no_free_slot()
         report = self._report(owner)
-        report.waits[service] = None if wait is None else WaitEstimate(wait, wait)
+        report.wait_estimates[service] = (
+            None if wait is None else WaitEstimate(wait, wait)
+        )
         report.valid_until = self._clock.now() + REPORT_TTL_SECONDS
 
     def _report(self, owner):
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -41,7 +41,7 @@
         self._targets = {}
         self._incarnations = {}
 
-    def report(self, vm, held):
+    def record_report(self, vm, held):
         """Record what a VM reports, after its report on the targets that it owns.
 
         :param held: ``(target id, requests, seconds until the last deadline)`` of each
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -21,14 +21,14 @@
 class WaitEstimate:
     """Expected waits of a new request in seconds.
 
-    :param early: for a request that can be on time.
+    :param on_time: for a request that can be on time.
     :param late: for a late request.
     """
 
-    __slots__ = ("early", "late")
+    __slots__ = ("on_time", "late")
 
-    def __init__(self, early, late):
-        self.early = early
+    def __init__(self, on_time, late):
+        self.on_time = on_time
         self.late = late
 
     def for_call(self, call, now, work):
@@ -38,8 +38,8 @@
 
         :param work: seconds from its start to the response.
         """
-        in_time = now + self.early + work <= call.soft_deadline
-        return self.early if in_time else self.late
+        in_time = now + self.on_time + work <= call.soft_deadline
+        return self.on_time if in_time else self.late
 
 
 class Waiter:
@@ -78,13 +78,13 @@
             return entry.id in self.preferred
         return can_take_slot(entry, free, self.preferred)
 
-    def place(self, target_id):
+    def preference_rank(self, target_id):
         """Return the rank of a target in the order of preference; 0 is best."""
         if target_id in self.preferred:
             return self.preferred.index(target_id)
         return len(self.preferred)
 
-    def rank(self, now, hold_seconds, target_id):
+    def sort_key(self, now, hold_seconds, target_id):
         """Return the sort key by which waiters get a slot of a target, lowest first.
 
         On-time requests come before late ones. On-time requests are ordered by whether
@@ -92,10 +92,16 @@
         target and latency aim; late requests by priority, preference and deadline.
         """
         call = self.call
-        known = self.place(target_id)
+        preference = self.preference_rank(target_id)
         if self.is_late(now, hold_seconds):
-            return True, True, call.route.priority, known, call.deadline
-        return False, not call.returned, call.route.priority, known, call.soft_deadline
+            return True, True, call.route.priority, preference, call.deadline
+        return (
+            False,
+            not call.returned,
+            call.route.priority,
+            preference,
+            call.soft_deadline,
+        )
 
     def is_late(self, now, hold_seconds):
         """Return whether the request would miss its latency aim if it started now."""
@@ -129,7 +135,7 @@
         )
         self._spare_share += SPARE_WEIGHT * ((not is_wanted) - self._spare_share)
 
-    def early(self, now):
+    def on_time_count(self, now):
         """Return the number of waiters that can still be on time."""
         return sum(not each.is_late(now, self._mean_hold) for each in self.waiters)
 
@@ -141,20 +147,20 @@
         eligible = [each for each in self.waiters if each.can_use(entry, free, now)]
         return min(
             eligible,
-            key=lambda each: each.rank(now, self._mean_hold, entry.id),
+            key=lambda each: each.sort_key(now, self._mean_hold, entry.id),
             default=None,
         )
 
-    def waits(self, slots, now, late_ahead=None):
+    def estimate_wait(self, slots, now, late_ahead=None):
         """Return the :class:`WaitEstimate` for one of ``slots`` slots.
 
         :param late_ahead: number of late waiters ahead of it; ``None`` for all.
         """
-        early = self.early(now)
+        on_time_count = self.on_time_count(now)
         if late_ahead is None:
-            late_ahead = len(self.waiters) - early
+            late_ahead = len(self.waiters) - on_time_count
         slot_interval = self._mean_hold / slots
-        on_time_wait = (early + 1) * slot_interval
+        on_time_wait = (on_time_count + 1) * slot_interval
         spare_share = max(MIN_SPARE_SHARE, self._spare_share)
         return WaitEstimate(
             on_time_wait, on_time_wait + (late_ahead + 1) * slot_interval / spare_share
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -114,7 +114,7 @@
         removed = [each for each in self._targets if each not in present]
         changed = self._apply(entries, removed, lapsing)
         if first:
-            self._log.listed(entries)
+            self._log.log_list(entries)
         return changed
 
     def update(self, entries, removed, lapsing=None):
@@ -166,7 +166,7 @@
         self._evacuated = failure_domains
         self._rebuild()
 
-    def forget(self, target_id, reason):
+    def remove_replaced(self, target_id, reason):
         """Remove a target that was replaced by another one at its address.
 
         Its entry stays in the table until it expires, and must not restore the target.
@@ -200,10 +200,10 @@
         became_cold = self._record_cold(entry)
         if before is None:
             if self._is_listed:
-                self._log.found(entry)
+                self._log.log_found(entry)
             return True
         if restarted:
-            self._log.restarted(before, entry)
+            self._log.log_restart(before, entry)
         elif entry.draining != before.draining:
             self._log.log_draining(before, entry)
         return became_cold or not entry.has_same_steering_fields(before)
@@ -220,7 +220,7 @@
                 return True
         if before is None or not entry.is_older_than(before):
             return False
-        self._log.outdated(before, entry)
+        self._log.log_outdated(before, entry)
         return True
 
     def _record_cold(self, entry):
@@ -249,7 +249,7 @@
             return True
         self._lapsing[target_id] = until
         if current_until is None:
-            self._log.lapsing(target_id, until - now)
+            self._log.log_lapse(target_id, until - now)
         return current_until is None
 
     def _remove(self, target_id, reason):
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -65,7 +65,7 @@
         "uses",
         "cold_limit",
         "cold_until",
-        "slow",
+        "is_slow",
         "_recent_claims",
         "_other_load",
         "_other_load_until",
@@ -78,7 +78,7 @@
         self.uses = []
         self.cold_limit = cold_limit
         self.cold_until = cold_until
-        self.slow = False
+        self.is_slow = False
         self._recent_claims = deque()
         self._other_load = 0
         self._other_load_until = 0.0
@@ -122,7 +122,7 @@
             return 0
         if self.uses and self.health.is_unresponsive(now, self.uses[0].started_at):
             return 0
-        if self.health.is_half_open or self.slow:
+        if self.health.is_half_open or self.is_slow:
             return 1
         return self.entry.slots
 
@@ -224,9 +224,9 @@
                 )
 
     def _set_slow(self, target, slow):
-        if slow == target.slow:
+        if slow == target.is_slow:
             return
-        target.slow = slow
+        target.is_slow = slow
         event = Event.TARGET_SLOW if slow else Event.TARGET_FAST
         self._journal.write(
             event, target=target.entry.id, seconds=round(target.health.latency, 4)
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -13,14 +13,14 @@
     def __init__(self, journal):
         self._journal = journal
 
-    def listed(self, entries):
+    def log_list(self, entries):
         """Log the number of targets of each service in the first table."""
         services = {}
         for entry in entries:
             services[entry.service] = services.get(entry.service, 0) + 1
         self._journal.write(Event.TARGETS_LISTED, services=services)
 
-    def found(self, entry):
+    def log_found(self, entry):
         """Log the first entry of a target."""
         self._journal.write(
             Event.TARGET_FOUND,
@@ -34,7 +34,7 @@
             version=entry.version,
         )
 
-    def restarted(self, previous, entry):
+    def log_restart(self, previous, entry):
         """Log that a target restarted under the same id."""
         self._journal.write(
             Event.TARGET_RESTARTED,
@@ -57,7 +57,7 @@
             version=entry.version,
         )
 
-    def outdated(self, previous, entry):
+    def log_outdated(self, previous, entry):
         """Log that an entry is older than a known one and was ignored."""
         self._journal.write(
             Event.ENTRY_OUTDATED,
@@ -69,7 +69,7 @@
             version=entry.version,
         )
 
-    def lapsing(self, target_id, seconds):
+    def log_lapse(self, target_id, seconds):
         """Log that a target is used for some seconds without an entry."""
         self._journal.write(
             Event.TARGET_LAPSING, target=target_id, seconds=round(seconds, 3)
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -189,8 +189,8 @@
         if echoed is not None:
             self._observe_trip(member, now - echoed - held)
         if beat.has_reports:
-            self._rooms.report(beat.own.vm, beat.rooms, beat.waits, beat.losses)
-            self._held.report(beat.own.vm, beat.held)
+            self._rooms.record_report(beat.own.vm, beat.rooms, beat.waits, beat.losses)
+            self._held.record_report(beat.own.vm, beat.held)
         for fields in beat.suspects:
             self._suspects.merge(SuspectUpdate.of(fields))
         return member if is_new else None
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -28,11 +28,11 @@
         the VM makes none.
     :param digest: see :attr:`Members.digest`.
     :param news: the fields of each :class:`MemberUpdate` that is passed on.
-    :param rooms: see :meth:`CapacityReports.report`; ``None`` in a beat without
+    :param rooms: see :meth:`CapacityReports.record_report`; ``None`` in a beat without
         reports.
-    :param waits: see :meth:`CapacityReports.report`.
-    :param losses: see :meth:`CapacityReports.report`.
-    :param held: see :meth:`HeldSlots.report`.
+    :param waits: see :meth:`CapacityReports.record_report`.
+    :param losses: see :meth:`CapacityReports.record_report`.
+    :param held: see :meth:`HeldSlots.record_report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
     :param suspects: the fields of each :class:`SuspectUpdate` that is told; none to VMs
         that know the same.
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -65,7 +65,7 @@
         """Yield the fields of each owned target."""
         now = self._clock.now()
         for target in self._ledger.all():
-            room = self._admission.room(target, now)
+            room = self._admission.free_for_peers(target, now)
             yield [target.entry.id, room, target.limit(now), len(target.uses)]
 
     def _held(self):
@@ -80,11 +80,11 @@
     def _waits(self):
         """Yield the fields of each owned service's :class:`Waits`, in seconds."""
         for service in self._ledger.services():
-            waits = self._admission.waits(service)
+            waits = self._admission.estimate_wait(service)
             if waits is None:
                 yield [service, None, None]
             else:
-                yield [service, round(waits.early, 3), round(waits.late, 3)]
+                yield [service, round(waits.on_time, 3), round(waits.late, 3)]
 
     def _losses(self):
         """Yield the part of their worth that clients lose, for each service."""
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -20,17 +20,17 @@
 class CrashPolicy:
     """When requests of a key are refused, and for how long.
 
-    :param ends: number of crashes from which requests are refused.
+    :param crashes_to_refuse: number of crashes from which requests are refused.
     :param crashes_to_stop_retries: number of crashes from which a request is no longer
         retried at another target.
-    :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles
+    :param initial_refusal_seconds: seconds of refusal after that many crashes; doubles
         with each further crash.
     :param max_refusal_seconds: upper limit of the seconds of refusal.
     :param retention_seconds: seconds after the last crash for which crashes count.
     """
 
     __slots__ = (
-        "ends",
+        "crashes_to_refuse",
         "crashes_to_stop_retries",
         "initial_refusal_seconds",
         "max_refusal_seconds",
@@ -39,13 +39,13 @@
 
     def __init__(
         self,
-        ends,
+        crashes_to_refuse,
         crashes_to_stop_retries,
         initial_refusal_seconds,
         max_refusal_seconds,
         retention_seconds,
     ):
-        self.ends = ends
+        self.crashes_to_refuse = crashes_to_refuse
         self.crashes_to_stop_retries = crashes_to_stop_retries
         self.initial_refusal_seconds = initial_refusal_seconds
         self.max_refusal_seconds = max_refusal_seconds
@@ -54,11 +54,11 @@
     def refusal_seconds(self, count):
         """Return the seconds for which requests are refused after a crash.
 
-        :param count: number of known crashes, at least ``ends``.
+        :param count: number of known crashes, at least ``crashes_to_refuse``.
         """
         return min(
             self.max_refusal_seconds,
-            self.initial_refusal_seconds * 2 ** (count - self.ends),
+            self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse),
         )
 
 
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -14,7 +14,7 @@
 class ResponseHistory(Protocol):
     """Tells which crashes are exempted by complete responses."""
 
-    def note(self, key, now):
+    def record(self, key, now):
         """Record a complete response to a request of a key."""
 
     def exempts_crash(self, key, now):
@@ -34,7 +34,7 @@
         # Key to the instant of its last response, the latest last.
         self._instants = {}
 
-    def note(self, key, now):
+    def record(self, key, now):
         """Record a complete response."""
         self._instants.pop(key, None)
         self._instants[key] = now
@@ -66,7 +66,7 @@
         # Key to the instants of its unused responses, the latest key last.
         self._credits = {}
 
-    def note(self, key, now):
+    def record(self, key, now):
         """Record a complete response."""
         credits = self._credits.pop(key, None)
         self._credits[key] = deque(maxlen=MAX_CREDITS) if credits is None else credits
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -50,15 +50,15 @@
             cls._REQUIRED,
             len(cls.__slots__),
         ):
-            raise ValueError(f"{fields!r} is not the end of a quarantine and its ends")
+            raise ValueError(f"{fields!r} is not a list of the fields of a quarantine")
         row = cls(*fields)
         if not _is_instant(row.until):
-            raise ValueError(f"{row.until!r} is no instant")
+            raise ValueError(f"{row.until!r} is not a number: until, in epoch seconds")
         if row.since is not None and not _is_instant(row.since):
-            raise ValueError(f"{row.since!r} is no instant")
+            raise ValueError(f"{row.since!r} is not a number: since, in epoch seconds")
         names = row.route, row.service, row.vm
         if not all(name is None or isinstance(name, str) for name in names):
-            raise ValueError(f"{names!r} are no names")
+            raise ValueError(f"{names!r} are not strings: route, service, VM")
         SuspectUpdate.of(["", 0.0, row.ends, []])
         return row
 
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -41,16 +41,18 @@
         :raises ValueError: if the values are invalid.
         """
         if not isinstance(fields, list) or len(fields) != len(cls.__slots__):
-            raise ValueError(f"{fields!r} is no news of a suspect")
+            raise ValueError(f"{fields!r} is not a list of the fields of a suspect")
         update = cls(*fields)
         if not isinstance(update.fingerprint, str):
-            raise ValueError(f"{update.fingerprint!r} is no fingerprint")
+            raise ValueError(f"{update.fingerprint!r} is not a string: fingerprint")
         if not isinstance(update.remaining, int | float) or update.remaining < 0:
-            raise ValueError(f"{update.remaining!r} is no number of seconds")
+            raise ValueError(
+                f"{update.remaining!r} is not a number of seconds, 0 or more"
+            )
         if not (
             _are_incarnation_ids(update.ends) and _are_incarnation_ids(update.cleared)
         ):
-            raise ValueError(f"{fields!r} does not list lives of targets")
+            raise ValueError(f"{fields!r} has no valid lists of incarnation ids")
         return update
 
 
@@ -119,7 +121,7 @@
     @property
     def is_limited(self):
         """Return whether it has enough crashes for its requests to be refused."""
-        return self.crash_count >= self.policy.ends
+        return self.crash_count >= self.policy.crashes_to_refuse
 
     @property
     def is_full(self):
@@ -156,7 +158,7 @@
         return digest
 
     def add(self, incarnation_ids, cleared=()):
-        """Merge crashes and cleared crashes; return an :class:`SuspectChange`."""
+        """Merge crashes and cleared crashes; return a :class:`SuspectChange`."""
         ends, cleared_count = list(self.ends), len(self.cleared)
         for incarnation_id in incarnation_ids:
             if incarnation_id not in self.ends:
@@ -165,8 +167,10 @@
         for incarnation_id in cleared:
             if incarnation_id in self.ends and incarnation_id not in self.cleared:
                 self.cleared.append(incarnation_id)
-        has_ends = self.ends != ends
-        return SuspectChange(has_ends, has_ends or len(self.cleared) > cleared_count)
+        has_new_crashes = self.ends != ends
+        return SuspectChange(
+            has_new_crashes, has_new_crashes or len(self.cleared) > cleared_count
+        )
 
     def _truncate(self):
         """Truncate to :data:`MAX_CRASHES` crashes, in the same way at all VMs."""
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -21,7 +21,7 @@
 from heathercleat.steering.process.quarantine.suspect import Suspect
 
 #: Number of crashes from which a request is quarantined.
-CRASHES_TO_QUARANTINE = REQUEST_POLICY.ends
+CRASHES_TO_QUARANTINE = REQUEST_POLICY.crashes_to_refuse
 #: Seconds for which crashes count against a request, and for which it is quarantined;
 #: the latter is long, since each new trial may crash one more target.
 SUSPICION_SECONDS = REQUEST_POLICY.retention_seconds
@@ -146,7 +146,7 @@
         if has_crashes and is_unknown_senders_key(fingerprint):
             self._merge(suspect, [], [suspect.earliest_crash], 0.0)
             return
-        self._history_for(fingerprint).note(fingerprint, self._clock.now())
+        self._history_for(fingerprint).record(fingerprint, self._clock.now())
         if has_crashes:
             self.lift(fingerprint)
 
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -133,7 +133,7 @@
         for key in keys:
             self._suspects.record_response(key)
         if call.sender is not None:
-            self._senders.note((call.service, call.sender), self._clock.now())
+            self._senders.record((call.service, call.sender), self._clock.now())
 
     def _join_trials(self, call):
         """Make a request the trial of its groups that are limited.
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -33,7 +33,7 @@
             return self._admission.expected_wait(call)
         if not self._rooms.is_known(owner):
             return 0.0
-        waits = self._rooms.waits(owner, call.service)
+        waits = self._rooms.wait_estimate(owner, call.service)
         return waits and waits.for_call(call, self._clock.now(), self.work(call, True))
 
     def shortest_wait(self, targets, call):
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -184,7 +184,9 @@
         if result.end is AttemptOutcome.ANSWERED:
             self._suspects.record_response(call.fingerprint)
         if result.reason == "replaced":
-            self._registry.forget(target.entry.id, "another incarnation answered")
+            self._registry.remove_replaced(
+                target.entry.id, "another incarnation answered"
+            )
             return
         if result.succeeded:
             target.health.record_success(result.work)
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -566,7 +566,7 @@
     parts = Parts([entry("t1", slots=4)])
     for vm in ("vm-2", "vm-3"):
         parts.members.record_heartbeat(beat(vm, stage=LEAVING))
-        parts.held.report(vm, [["t1", 1, 60.0]])
+        parts.held.record_report(vm, [["t1", 1, 60.0]])
     parts.held.retain({"vm-3"})
     assert parts.held.count("t1", parts.clock.now()) == 1
     parts.held.retain(set())
@@ -601,7 +601,7 @@
     )
     def report(self, vm, count, seconds):
         held = [["t1", count, seconds]] if count else []
-        self.held.report(vm, held)
+        self.held.record_report(vm, held)
         self.told[vm] = count, self.parts.clock.now() + seconds
 
     @rule(vm=st.sampled_from(VMS))
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -54,7 +54,7 @@
 
     def report(self, free):
         rooms = [[f"s{number}", free, SLOTS, 0] for number in range(FAR)]
-        self.rooms.report("vm-3", rooms, [["s1", 0.0, 0.0]], [])
+        self.rooms.record_report("vm-3", rooms, [["s1", 0.0, 0.0]], [])
 
     def call(self, number=0, **fields):
         made = call(
--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -118,7 +118,7 @@
     odd = owned(parts, "t3")
     odd.health.latency = latency
     parts.ledger.update_slow_targets()
-    assert odd.slow is slow
+    assert odd.is_slow is slow
     assert odd.free(parts.clock.now()) == (1 if slow else 4)
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -114,13 +114,13 @@
 
 def test_replaced_target_is_forgotten():
     parts = Parts([entry("t1")])
-    parts.registry.forget("t1", "another incarnation answered")
+    parts.registry.remove_replaced("t1", "another incarnation answered")
     assert ids(parts) == []
 
 
 def test_old_entry_of_a_replaced_target_does_not_bring_it_back():
     parts = Parts([entry("t1", version=7)])
-    parts.registry.forget("t1", "another incarnation answered")
+    parts.registry.remove_replaced("t1", "another incarnation answered")
     parts.registry.replace([entry("t1", version=7)])
     assert ids(parts) == []
     parts.registry.update([entry("t1", version=9)], [])
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -249,7 +249,7 @@
     scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
     (own,) = scene.parts.ledger.all()
     own.claim(scene.parts.clock.now())
-    scene.rooms.report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
+    scene.rooms.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
     return scene
 
 
@@ -339,7 +339,7 @@
     """A target of another VM, which reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
-    scene.rooms.report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
+    scene.rooms.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
     scene.response_times.record("r1", 0.1, True)
     scene.response_times.record("r1", 0.5, False)
     return scene
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -44,7 +44,7 @@
         return self.view.regions("s1")[name]
 
     def report(self, free):
-        self.rooms.report("vm-3", [["far", free, 4, 0]], [], [])
+        self.rooms.record_report("vm-3", [["far", free, 4, 0]], [], [])
 
     def take_all(self):
         for target in self.parts.ledger.all():
@@ -96,16 +96,16 @@
     scene.report(2)
     scene.rooms.record_full("far", "vm-3", "s1", 0.4)
     assert far.capacity.free(scene.now) == 0
-    assert scene.rooms.waits("vm-3", "s1").early == 0.4
+    assert scene.rooms.wait_estimate("vm-3", "s1").on_time == 0.4
 
 
 def test_reports_of_vms_that_are_gone_are_dropped():
     scene = Scene()
-    scene.rooms.report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
+    scene.rooms.record_report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
     scene.rooms.retain({"vm-3"})
-    assert scene.rooms.waits("vm-3", "s1").early == 0.2
+    assert scene.rooms.wait_estimate("vm-3", "s1").on_time == 0.2
     scene.rooms.retain({"vm-4"})
-    assert scene.rooms.waits("vm-3", "s1") is None
+    assert scene.rooms.wait_estimate("vm-3", "s1") is None
     assert scene.rooms.loss_rate("vm-3", "s1") is None
 
 
@@ -197,8 +197,8 @@
         scene.parts.members, scene.rooms, pressure, scene.parts.clock
     )
     scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
-    scene.rooms.report("vm-3", [], [], [["s1", 0.2]])
-    scene.rooms.report("vm-4", [], [], [["s1", 0.6]])
+    scene.rooms.record_report("vm-3", [], [], [["s1", 0.2]])
+    scene.rooms.record_report("vm-4", [], [], [["s1", 0.6]])
     assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
     assert losses.loss_rate("north", "s1") == 0.0
     scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -83,7 +83,7 @@
         made.give_up_at = made.arrived_at + self.patience
         now = made.arrived_at
         if not self.target.free(now):
-            waits = self.queue.waits(
+            waits = self.queue.estimate_wait(
                 SLOTS, now, self.queue.count_late_before(made, now)
             )
             wait = waits.for_call(made, now, self.queue.mean_hold_seconds)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -850,7 +850,7 @@
     Mutation(
         "CONTAINED-longer-holds",
         f"{STEERING}/process/quarantine/policies.py",
-        "self.initial_refusal_seconds * 2 ** (count - self.ends)",
+        "self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse)",
         "self.initial_refusal_seconds",
         "tests/test_containment.py",
         "-k",
