--- a/src/heathercleat/steering/process/capacity/retry_budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -38,7 +38,7 @@
         allowed = self._ratio * len(self._requests) + slack_share
         return USED_SHARE * allowed - len(self._retries)
 
-    def spend(self, now):
+    def withdraw(self, now):
         """Use up one retry; return whether one was left."""
         if self.remaining(now) < 1:
             return False
--- a/src/heathercleat/steering/process/capacity/target.py
+++ b/src/heathercleat/steering/process/capacity/target.py
@@ -78,7 +78,7 @@
     def is_older_than(self, other):
         """Return whether the target reported this entry before the other one.
 
-        The versions of rows do not tell: the store may write a delayed report late.
+        The order of rows is not reliable: the store may write a delayed report late.
         """
         if not self.is_same_incarnation(other):
             if self.started_ms is None or other.started_ms is None:
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -6,8 +6,8 @@
 class TargetLog:
     """Writes a log line for each change of a target.
 
-    The sequence number of the report and the version of the row tell in which order
-    entries were reported and written.
+    The sequence number of the report and the version of the row show the order in
+    which entries were reported and written.
     """
 
     def __init__(self, journal):
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -64,7 +64,7 @@
 
 #: A request that crashes targets does so each time, and is refused for a day.
 REQUEST_POLICY = CrashPolicy(3, 2, 86_400.0, 86_400.0, 600.0)
-#: A sender may also send harmless requests; one of them is tried after each refusal.
+#: A sender may also send harmless requests: after each refusal one request may run.
 SENDER_POLICY = CrashPolicy(3, 3, 5.0, 300.0, 600.0)
 #: Mild, since unknown senders share only their route and include all new callers.
 UNKNOWN_SENDERS_POLICY = CrashPolicy(6, 6, 2.0, 30.0, 60.0)
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -12,7 +12,7 @@
 
 
 class ResponseHistory(Protocol):
-    """Tells which crashes are exempted by complete responses."""
+    """Decides which crashes are exempted by complete responses."""
 
     def record(self, key, now):
         """Record a complete response to a request of a key."""
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -23,7 +23,7 @@
 #: Number of crashes from which a request is quarantined.
 CRASHES_TO_QUARANTINE = REQUEST_POLICY.crashes_to_refuse
 #: Seconds for which crashes count against a request, and for which it is quarantined;
-#: the latter is long, since each new trial may crash one more target.
+#: the latter is long, since running the request again may crash one more target.
 SUSPICION_SECONDS = REQUEST_POLICY.retention_seconds
 QUARANTINE_SECONDS = REQUEST_POLICY.max_refusal_seconds
 #: Most requests and groups with complete responses, and most suspects, to remember.
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -169,7 +169,7 @@
 
     def _spend_repeat(self, now):
         budget = self._steering._budget(self._call.service)
-        spent = budget.spend(now)
+        spent = budget.withdraw(now)
         self._steering._journal.write(
             Event.ROUTE_RETRIED,
             request=self._call.id,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 
 def spend_all(budget, now):
     spent = 0
-    while budget.spend(now):
+    while budget.withdraw(now):
         spent += 1
     return spent
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -98,8 +98,8 @@
     Mutation(
         "BUDGET",
         f"{STEERING}/request/steer.py",
-        "        spent = budget.spend(now)",
-        "        spent = budget.spend(now) or True",
+        "        spent = budget.withdraw(now)",
+        "        spent = budget.withdraw(now) or True",
         "tests/test_steer.py",
     ),
     Mutation(
