--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -101,11 +101,11 @@
         self.rankings = 0
 
     def _rebuild(self):
-        before = dict(self._divided)
+        before = dict(self._assignments)
         super()._rebuild()
-        for key, division in self._divided.items():
-            if division is not before.get(key):
-                self.rankings += len(division.targets)
+        for key, assignment in self._assignments.items():
+            if assignment is not before.get(key):
+                self.rankings += len(assignment.targets)
 
 
 class StoppableVm(SimulatedVm):
