--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -188,7 +188,9 @@
         if result.outcome is AttemptOutcome.ANSWERED:
             self._suspects.record_response(call.fingerprint)
         if result.reason == "replaced":
-            self._registry.forget(target.entry.id, "another incarnation answered")
+            self._registry.remove_replaced(
+                target.entry.id, "another incarnation answered"
+            )
             return
         if result.succeeded:
             target.health.record_success(result.response_time)
