--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -5,13 +5,13 @@
 not cached in every region.
 """
 
-from heathercleat.steering.request.wait_policy import SPREAD
+from heathercleat.steering.request.wait_policy import RESPONSE_TIME_FACTOR
 from heathercleat.version.hashing import weight
 
 #: Share of the latency objective that a round trip may take while the response time for
 #: cached objects is unknown. The mean would exclude other regions at first, since it
 #: includes objects that are not cached yet.
-TRIP_SHARE = 0.5
+MAX_ROUND_TRIP_SHARE = 0.5
 
 
 class AffinityTarget:
@@ -32,7 +32,7 @@
         """Return the ids of the affinity targets, best first."""
         return (self.candidate.entry.id,)
 
-    def may_have_room(self, now):
+    def may_have_free_slot(self, now):
         """Return whether it has a free slot or its free slots are unknown.
 
         An owner that does not report to this VM responds without waiting.
@@ -50,32 +50,34 @@
     def __init__(self, estimates):
         self._estimates = estimates
 
-    def of(self, choice, large):
+    def select(self, eligible, is_large):
         """Return the :class:`AffinityTarget` of a request, or ``None``.
 
-        :param large: whether the body is too large to be sent to another region.
+        :param is_large: whether the body is too large to be sent to another region.
         """
-        affinity_targets = [AffinityTarget(each, False) for each in choice.near_homes]
-        if not large:
-            affinity_targets.extend(self._far(choice))
-        affinity = choice.call.affinity
+        affinity_targets = [
+            AffinityTarget(each, False) for each in eligible.own_region_affinity_targets
+        ]
+        if not is_large:
+            affinity_targets.extend(self._in_other_regions(eligible))
+        affinity = eligible.call.affinity
         return max(
             affinity_targets,
             key=lambda each: weight(affinity, each.candidate.entry.id),
             default=None,
         )
 
-    def _far(self, choice):
-        """Yield the homes in other regions that can respond in time."""
-        spare = self._spare(choice.call.route)
-        for targets in choice.far:
-            for candidate in choice.affinity_targets(targets):
-                if self._estimates.trip(candidate.owner) <= spare:
+    def _in_other_regions(self, eligible):
+        """Yield the affinity targets of other regions that can respond in time."""
+        max_round_trip = self._max_round_trip(eligible.call.route)
+        for targets in eligible.other_region_targets:
+            for candidate in eligible.affinity_targets(targets):
+                if self._estimates.round_trip(candidate.owner) <= max_round_trip:
                     yield AffinityTarget(candidate, True)
 
-    def _spare(self, route):
+    def _max_round_trip(self, route):
         """Return the longest acceptable round-trip time, in seconds."""
-        known = self._estimates.known_work(route)
-        if known is None:
-            return TRIP_SHARE * route.latency_objective
-        return route.latency_objective - SPREAD * known
+        cached = self._estimates.cached_response_time(route)
+        if cached is None:
+            return MAX_ROUND_TRIP_SHARE * route.latency_objective
+        return route.latency_objective - RESPONSE_TIME_FACTOR * cached
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -12,7 +12,7 @@
         """End the wait."""
 
 
-class StreamCut:
+class StreamInterrupter:
     """A wait for a response, interrupted by closing the upstream connection.
 
     :param stream: the :class:`HttpStream` to the target or the owner.
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -28,14 +28,14 @@
     """The only request of a limited group that is allowed to run, as a probe.
 
     :param fingerprint: identifies the request; a client may reuse request ids.
-    :param until: when the trial expires.
+    :param expires_at: when the trial expires.
     """
 
-    __slots__ = ("fingerprint", "until")
+    __slots__ = ("fingerprint", "expires_at")
 
-    def __init__(self, fingerprint, until):
+    def __init__(self, fingerprint, expires_at):
         self.fingerprint = fingerprint
-        self.until = until
+        self.expires_at = expires_at
 
 
 class Containment:
@@ -51,7 +51,7 @@
         self._suspects = suspects
         self._clock = clock
         # Keyed by service and sender.
-        self._senders = RecentResponses(MAX_SENDERS)
+        self._known_senders = RecentResponses(MAX_SENDERS)
         self._trials = {}
 
     def refusal(self, call):
@@ -61,80 +61,86 @@
         expired, the request becomes the trial of the group if there is no other.
         """
         if call.groups is None:
-            call.groups = self._groups_of(call)
+            call.groups = self._find_groups(call)
         if not self._suspects.count:
             return None
-        until = self._suspects.refused_until(call.fingerprint)
-        if until is not None:
-            return _quarantined(call, until)
+        retry_at = self._suspects.refused_until(call.fingerprint)
+        if retry_at is not None:
+            return _quarantine_error(call, retry_at)
         call.needs_isolation = self._is_suspected(call)
-        waits = [self._suspects.refused_until(key) for key in call.groups]
-        until = max(filter(None, waits), default=None) or self._join_trials(call)
-        if until is None:
+        retry_times = [self._suspects.refused_until(key) for key in call.groups]
+        retry_at = max(filter(None, retry_times), default=None) or self._start_trials(
+            call
+        )
+        if retry_at is None:
             return None
         message = f"targets ended under requests of {', '.join(call.groups)}"
-        return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=until)
+        return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=retry_at)
 
     def owner_refusal(self, call):
         """Return the :class:`RequestError` after the owner refused the request.
 
         The owner may know of a crash that has not reached this VM by gossip.
         """
-        until = self._suspects.refused_until(call.fingerprint)
-        return _quarantined(call, until or self._clock.now() + QUARANTINE_SECONDS)
+        retry_at = self._suspects.refused_until(call.fingerprint)
+        return _quarantine_error(
+            call, retry_at or self._clock.now() + QUARANTINE_SECONDS
+        )
 
     def may_retry(self, call):
         """Return whether a request may be retried at another target."""
         keys = (call.fingerprint, *(call.groups or ()))
         return all(self._suspects.may_retry(key) for key in keys)
 
-    def record_result(self, call, result, is_own):
+    def record_result(self, call, result, is_local):
         """Record the :class:`AttemptResult` of an attempt.
 
         A crash that the owner reports in the result is recorded without waiting for
         its next heartbeat.
 
-        :param is_own: whether this VM owns the target; it has then recorded the result
-            for the request itself.
+        :param is_local: whether this VM owns the target; it has then already recorded
+            the result for the request.
         """
         keys = call.groups or ()
-        if not is_own:
+        if not is_local:
             keys = (call.fingerprint, *keys)
         if result.crashed_incarnation is not None:
             call.needs_isolation = True
-            where = call.route.name, call.service
+            route_and_service = call.route.name, call.service
             for key in keys:
-                self._suspects.ended(key, result.crashed_incarnation, *where)
+                self._suspects.ended(
+                    key, result.crashed_incarnation, *route_and_service
+                )
         elif result.outcome is AttemptOutcome.ANSWERED:
-            self._answered(call, keys)
+            self._record_response(call, keys)
         if self._trials and not result.outcome.not_run:
-            self._end_trials(call)
+            self._finish_trials(call)
 
-    def _groups_of(self, call):
+    def _find_groups(self, call):
         """Return the keys of the groups that a crash on the request counts against."""
         if self._suspects.has_response(call.fingerprint):
             return ()
         service, route = call.service, call.route.name
-        strangers = unknown_senders_key(service, route)
+        unknown_senders_group = unknown_senders_key(service, route)
         call.sender = sender_digest(call.headers)
         if call.sender is None:
-            return (strangers,)
-        own = sender_key(service, route, call.sender)
-        is_known = (service, call.sender) in self._senders
-        return (own,) if is_known else (own, strangers)
+            return (unknown_senders_group,)
+        sender_group = sender_key(service, route, call.sender)
+        is_known = (service, call.sender) in self._known_senders
+        return (sender_group,) if is_known else (sender_group, unknown_senders_group)
 
     def _is_suspected(self, call):
         """Return whether the request is more likely than others to crash a target."""
         limited = (self._suspects.is_limited(key) for key in call.groups)
         return self._suspects.has_crashes(call.fingerprint) or any(limited)
 
-    def _answered(self, call, keys):
+    def _record_response(self, call, keys):
         for key in keys:
             self._suspects.answered(key)
         if call.sender is not None:
-            self._senders.note((call.service, call.sender), self._clock.now())
+            self._known_senders.note((call.service, call.sender), self._clock.now())
 
-    def _join_trials(self, call):
+    def _start_trials(self, call):
         """Make a request the trial of its limited groups.
 
         :return: when to retry if another trial is running, or ``None``.
@@ -145,27 +151,27 @@
             trial = self._trials.get(key)
             if trial is None or trial.fingerprint == call.fingerprint:
                 continue
-            if trial.until > now:
-                return trial.until
+            if trial.expires_at > now:
+                return trial.expires_at
         for key in limited:
-            self._remember(key, Trial(call.fingerprint, call.deadline))
+            self._store_trial(key, Trial(call.fingerprint, call.deadline))
         return None
 
-    def _remember(self, key, trial):
+    def _store_trial(self, key, trial):
         if len(self._trials) >= MAX_TRIALS:
             now = self._clock.now()
             self._trials = {
-                key: each for key, each in self._trials.items() if each.until > now
+                key: each for key, each in self._trials.items() if each.expires_at > now
             }
         self._trials[key] = trial
 
-    def _end_trials(self, call):
+    def _finish_trials(self, call):
         for key in call.groups or ():
             trial = self._trials.get(key)
             if trial is not None and trial.fingerprint == call.fingerprint:
                 del self._trials[key]
 
 
-def _quarantined(call, until):
+def _quarantine_error(call, retry_at):
     message = f"targets ended under the request {call.fingerprint}"
-    return RequestError(ResultCode.QUARANTINED, message, retry_at=until)
+    return RequestError(ResultCode.QUARANTINED, message, retry_at=retry_at)
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -11,15 +11,15 @@
 LARGE_BODY_BYTES = 16 << 10
 #: An owner is ruled out if its reported wait exceeds the remaining wait by this factor;
 #: below that the owner decides, since its report may be out of date.
-HOPELESS_FACTOR = 2.0
+MAX_WAIT_FACTOR = 2.0
 #: Smallest difference in loss between two regions at which requests move.
-LEAST_RELIEF = 0.08
+MIN_LOSS_DIFFERENCE = 0.08
 #: Longest remaining wait assumed in seconds for an owner in another region.
-FAR_WAIT = 0.1
+MAX_SPILLOVER_WAIT_SECONDS = 0.1
 #: Share of the slots of a region that is reserved for its own clients.
 RESERVED_SHARE = 0.15
 #: Seconds added to the wait at another VM for the network and an outdated report.
-FORWARD_COST = 0.03
+FORWARD_COST_SECONDS = 0.03
 
 
 class Destination:
@@ -28,18 +28,18 @@
     :param vm: name of the owner.
     :param preferred: ids of the affinity targets of the region, best first.
     :param is_remote: whether it is in another region.
-    :param is_home: whether the target is the affinity target, for which the request
-        waits if there is no free slot after all.
+    :param is_affinity_target: whether the request waits at this target if it has no
+        free slot after all.
     """
 
-    __slots__ = ("vm", "target", "preferred", "is_remote", "is_home")
+    __slots__ = ("vm", "target", "preferred", "is_remote", "is_affinity_target")
 
-    def __init__(self, vm, target, preferred, is_remote, is_home=False):
+    def __init__(self, vm, target, preferred, is_remote, is_affinity_target=False):
         self.vm = vm
         self.target = target
         self.preferred = preferred
         self.is_remote = is_remote
-        self.is_home = is_home
+        self.is_affinity_target = is_affinity_target
 
 
 class DestinationSelector:
@@ -48,53 +48,59 @@
     :param view: the :class:`TargetView`.
     :param members: the live VMs.
     :param estimates: the :class:`Estimates`.
-    :param losses: the :class:`RegionLossRates`.
+    :param loss_rates: the :class:`RegionLossRates`.
     :param shift: the :class:`RegionShiftLimit`.
     """
 
-    def __init__(self, view, members, estimates, losses, shift, clock):
+    def __init__(self, view, members, estimates, loss_rates, shift, clock):
         self._view = view
         self._members = members
         self._estimates = estimates
-        self._homes = AffinityTargets(estimates)
-        self._losses = losses
+        self._affinity_targets = AffinityTargets(estimates)
+        self._loss_rates = loss_rates
         self._shift = shift
         self._clock = clock
 
     def select_free(self, call, avoid, avoid_vms):
         """Return the best :class:`Destination` with a free slot, or ``None``."""
-        choice = self._choice(call, avoid, avoid_vms)
-        confined = self._confined(choice) if call.needs_isolation else None
-        if confined is not None:
-            return confined
-        home = self._home(choice)
-        if home is not None and home.may_have_room(choice.now):
-            return self._at_home(home, home.candidate.entry.id)
-        if home is not None and choice.waits_for_home:
+        eligible = self._eligible_targets(call, avoid, avoid_vms)
+        isolated = self._isolated(eligible) if call.needs_isolation else None
+        if isolated is not None:
+            return isolated
+        affinity_target = self._affinity_target(eligible)
+        if affinity_target is not None and affinity_target.may_have_free_slot(
+            eligible.now
+        ):
+            return self._destination_at(
+                affinity_target, affinity_target.candidate.entry.id
+            )
+        if affinity_target is not None and eligible.can_wait_for_affinity:
             return None
         if self._shift.must_move():
-            return self._best_far(choice, 0.0) or self._best_near(choice)
-        found = self._best_near(choice)
+            return self._best_in_other_regions(eligible, 0.0) or self._best_in_region(
+                eligible
+            )
+        found = self._best_in_region(eligible)
         if found is not None or not self._shift.may_move():
             return found
-        return self._best_far(choice, self._near_wait(choice))
+        return self._best_in_other_regions(eligible, self._region_wait(eligible))
 
-    def _confined(self, choice):
+    def _isolated(self, eligible):
         """Return the :class:`Destination` for a request that may crash its target.
 
         It is one of a few targets of this region, with no other request running, and
         never the last one with free slots. ``None`` if there is no such target.
         """
-        near, now = choice.near, choice.now
-        if near is None:
+        region_targets, now = eligible.own_region_targets, eligible.now
+        if region_targets is None:
             return None
-        free = near.summary(now).free
-        for each in near.confined:
+        free = region_targets.summary(now).free
+        for each in region_targets.confined:
             slots = each.entry.slots
             if (
                 each.capacity.free(now) >= slots
                 and free > slots
-                and choice.usable(each)
+                and eligible.is_usable(each)
             ):
                 return Destination(each.owner, each.entry.id, (each.entry.id,), False)
         return None
@@ -105,25 +111,40 @@
         It is the affinity target of the object if there is one, otherwise the owner of
         this region with the shortest wait.
         """
-        choice = self._choice(call, avoid, avoid_vms)
-        patience = call.give_up_at - choice.now
-        home = self._home(choice)
-        if home is not None and self._has_hope(call, home, patience):
-            return self._at_home(home)
-        if choice.near is None:
+        eligible = self._eligible_targets(call, avoid, avoid_vms)
+        max_wait = call.give_up_at - eligible.now
+        affinity_target = self._affinity_target(eligible)
+        if affinity_target is not None and self._can_wait_at(
+            call, affinity_target, max_wait
+        ):
+            return self._destination_at(affinity_target)
+        if eligible.own_region_targets is None:
             return None
-        return self._shortest_wait(choice, choice.near, choice.usable, patience, False)
+        return self._shortest_wait(
+            eligible, eligible.own_region_targets, eligible.is_usable, max_wait, False
+        )
 
-    def _home(self, choice):
+    def _affinity_target(self, eligible):
         """Return the :class:`AffinityTarget` of the request, or ``None``."""
-        return self._homes.of(choice, len(choice.call.body) >= LARGE_BODY_BYTES)
+        return self._affinity_targets.select(
+            eligible, len(eligible.call.body) >= LARGE_BODY_BYTES
+        )
 
-    def _at_home(self, home, target=None):
-        owner = home.candidate.owner
-        return Destination(owner, target, home.ids, home.is_remote, is_home=True)
+    def _destination_at(self, affinity_target, target=None):
+        owner = affinity_target.candidate.owner
+        return Destination(
+            owner,
+            target,
+            affinity_target.ids,
+            affinity_target.is_remote,
+            is_affinity_target=True,
+        )
 
-    def _has_hope(self, call, home, patience):
-        return self._waiting_cost(call, home.candidate.owner, patience) is not None
+    def _can_wait_at(self, call, affinity_target, max_wait):
+        return (
+            self._waiting_cost(call, affinity_target.candidate.owner, max_wait)
+            is not None
+        )
 
     def select_spillover(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` in a less loaded region, or ``None``.
@@ -134,59 +155,72 @@
         """
         if len(call.body) >= LARGE_BODY_BYTES or not self._shift.may_move():
             return None
-        choice = self._choice(call, avoid, avoid_vms)
-        if self._home(choice) is not None:
+        eligible = self._eligible_targets(call, avoid, avoid_vms)
+        if self._affinity_target(eligible) is not None:
             return None
         service = call.service
-        least = min(
-            choice.far,
-            key=lambda each: self._losses.of(each.region, service),
+        least_loaded = min(
+            eligible.other_region_targets,
+            key=lambda each: self._loss_rates.of(each.region, service),
             default=None,
         )
-        if least is None:
+        if least_loaded is None:
             return None
-        own_loss = self._losses.of(self._members.own.region, service)
-        if own_loss - self._losses.of(least.region, service) < LEAST_RELIEF:
+        own_loss = self._loss_rates.of(self._members.own.region, service)
+        if (
+            own_loss - self._loss_rates.of(least_loaded.region, service)
+            < MIN_LOSS_DIFFERENCE
+        ):
             return None
 
-        def in_time(candidate):
-            return choice.usable(candidate) and self._estimates.is_in_time(
-                call, candidate.owner, is_home=True
+        def can_respond_in_time(candidate):
+            return eligible.is_usable(candidate) and self._estimates.is_in_time(
+                call, candidate.owner, is_affinity_target=True
             )
 
-        return self._shortest_wait(choice, least, in_time, FAR_WAIT, True)
+        return self._shortest_wait(
+            eligible,
+            least_loaded,
+            can_respond_in_time,
+            MAX_SPILLOVER_WAIT_SECONDS,
+            True,
+        )
 
     def expected_wait(self, call):
         """Return the shortest reported wait in this region in seconds, or ``None``."""
-        return self._known_wait(self._choice(call))
+        return self._reported_wait(self._eligible_targets(call))
 
     def describe(self, call):
         """Describe the usable targets, for the log."""
-        choice = self._choice(call)
-        near = [choice.near] if choice.near else []
-        parts = [_describe("here", near, choice.now)]
-        parts.append(_describe("elsewhere", choice.far, choice.now))
-        wait = self._known_wait(choice)
+        eligible = self._eligible_targets(call)
+        region_targets = (
+            [eligible.own_region_targets] if eligible.own_region_targets else []
+        )
+        parts = [_describe("here", region_targets, eligible.now)]
+        parts.append(
+            _describe("elsewhere", eligible.other_region_targets, eligible.now)
+        )
+        wait = self._reported_wait(eligible)
         parts.append("no wait known" if wait is None else f"wait {wait:.3f} s")
         return "; ".join(parts)
 
-    def _choice(self, call, avoid=frozenset(), avoid_vms=frozenset()):
+    def _eligible_targets(self, call, avoid=frozenset(), avoid_vms=frozenset()):
         regions = self._view.regions(call.service)
         own_region = self._members.own.region
         now = self._clock.now()
         return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
-    def _shortest_wait(self, choice, targets, usable, patience, is_remote):
+    def _shortest_wait(self, eligible, targets, is_usable, max_wait, is_remote):
         """Return the :class:`Destination` to wait at in a region, or ``None``.
 
-        :param usable: filter for candidates.
-        :param patience: seconds for which the request may still wait.
+        :param is_usable: filter for candidates.
+        :param max_wait: seconds for which the request may still wait.
         """
-        affinity_targets = choice.affinity_targets(targets, usable)
-        candidates = affinity_targets or filter(usable, targets.candidates)
+        affinity_targets = eligible.affinity_targets(targets, is_usable)
+        candidates = affinity_targets or filter(is_usable, targets.candidates)
         costs = {}
         for owner in {each.owner for each in candidates}:
-            cost = self._waiting_cost(choice.call, owner, patience)
+            cost = self._waiting_cost(eligible.call, owner, max_wait)
             if cost is not None:
                 costs[owner] = cost
         if not costs:
@@ -195,45 +229,51 @@
         owner = min(costs, key=lambda each: (costs[each], random()))
         return Destination(owner, None, _ids(affinity_targets), is_remote)
 
-    def _waiting_cost(self, call, owner, patience):
+    def _waiting_cost(self, call, owner, max_wait):
         """Return the cost of waiting in seconds, ``None`` if the wait is too long."""
         wait = self._estimates.wait(owner, call)
-        if wait is None or wait > HOPELESS_FACTOR * patience:
+        if wait is None or wait > MAX_WAIT_FACTOR * max_wait:
             return None
-        return wait if owner == self._members.own.vm else wait + FORWARD_COST
+        return wait if owner == self._members.own.vm else wait + FORWARD_COST_SECONDS
 
-    def _best_near(self, choice):
+    def _best_in_region(self, eligible):
         """Return the best :class:`Destination` of this region, or ``None``."""
-        near = choice.near
-        if near is None:
+        region_targets = eligible.own_region_targets
+        if region_targets is None:
             return None
-        affinity_targets = choice.near_homes
-        if len(choice.call.body) < LARGE_BODY_BYTES:
-            return self._best(choice, near, affinity_targets, choice.usable, False)
-        here = self._members.own.failure_domain
+        affinity_targets = eligible.own_region_affinity_targets
+        if len(eligible.call.body) < LARGE_BODY_BYTES:
+            return self._best(
+                eligible, region_targets, affinity_targets, eligible.is_usable, False
+            )
+        own_domain = self._members.own.failure_domain
 
-        def beside(candidate):
-            return candidate.entry.failure_domain == here and choice.usable(candidate)
+        def is_in_domain(candidate):
+            return candidate.entry.failure_domain == own_domain and eligible.is_usable(
+                candidate
+            )
 
-        return self._best(choice, near, affinity_targets, beside, False) or self._best(
-            choice, near, affinity_targets, choice.usable, False
+        return self._best(
+            eligible, region_targets, affinity_targets, is_in_domain, False
+        ) or self._best(
+            eligible, region_targets, affinity_targets, eligible.is_usable, False
         )
 
-    def _best(self, choice, targets, affinity_targets, usable, is_remote):
+    def _best(self, eligible, targets, affinity_targets, is_usable, is_remote):
         """Return the best :class:`Destination` with a free slot, or ``None``.
 
         Affinity targets come first, then targets of this VM, then the targets with the
         largest share of free slots.
 
-        :param usable: filter for candidates.
+        :param is_usable: filter for candidates.
         """
-        now, known = choice.now, _ids(affinity_targets)
+        now, known = eligible.now, _ids(affinity_targets)
         for each in affinity_targets:
             # An owner that does not report to this VM responds without waiting.
-            may_have_room = each.capacity.free(now) > 0 or not each.capacity.is_known(
+            may_have_free_slot = each.capacity.free(
                 now
-            )
-            if may_have_room and usable(each):
+            ) > 0 or not each.capacity.is_known(now)
+            if may_have_free_slot and is_usable(each):
                 return Destination(each.owner, each.entry.id, known, is_remote)
         summary = targets.summary(now)
         if not (summary.idle if affinity_targets else summary.free):
@@ -242,9 +282,9 @@
             (
                 each
                 for each in targets.candidates
-                if self._is_free(each, known, now) and usable(each)
+                if self._is_free(each, known, now) and is_usable(each)
             ),
-            key=lambda each: self._order(each, now),
+            key=lambda each: self._sort_key(each, now),
             default=None,
         )
         if best is None:
@@ -256,50 +296,57 @@
         free = candidate.capacity.free(now)
         return free > 0 and can_take_slot(candidate.entry, free, known)
 
-    def _order(self, candidate, now):
+    def _sort_key(self, candidate, now):
         """Return the sort key of a free target, the lowest first."""
-        elsewhere = candidate.owner != self._members.own.vm
-        return elsewhere, -candidate.capacity.free(now) / candidate.entry.slots
+        is_other_owner = candidate.owner != self._members.own.vm
+        return is_other_owner, -candidate.capacity.free(now) / candidate.entry.slots
 
-    def _known_wait(self, choice):
+    def _reported_wait(self, eligible):
         """Return the shortest reported wait in this region, or ``None``."""
-        near = choice.near
-        if near is None:
+        region_targets = eligible.own_region_targets
+        if region_targets is None:
             return None
-        return self._estimates.shortest_wait(near, choice.call)
+        return self._estimates.shortest_wait(region_targets, eligible.call)
 
-    def _near_wait(self, choice):
+    def _region_wait(self, eligible):
         """Return the shortest reported wait in this region, or infinity."""
-        wait = self._known_wait(choice)
+        wait = self._reported_wait(eligible)
         return float("inf") if wait is None else wait
 
-    def _best_far(self, choice, near_wait):
+    def _best_in_other_regions(self, eligible, region_wait):
         """Return a free :class:`Destination` in another region, or ``None``.
 
-        :param near_wait: seconds that the request would wait in this region.
+        :param region_wait: seconds that the request would wait in this region.
         """
         known = set()
 
-        def helps(candidate):
-            if not choice.usable(candidate):
+        def is_faster(candidate):
+            if not eligible.is_usable(candidate):
                 return False
-            owner, is_home = candidate.owner, candidate.entry.id in known
-            in_time = self._estimates.is_in_time(choice.call, owner, is_home)
-            return in_time or self._estimates.trip(owner) < near_wait
+            owner, is_affinity_target = candidate.owner, candidate.entry.id in known
+            in_time = self._estimates.is_in_time(
+                eligible.call, owner, is_affinity_target
+            )
+            return in_time or self._estimates.round_trip(owner) < region_wait
 
-        rooms = [(_spare(each.summary(choice.now)), each) for each in choice.far]
-        for capacity, targets in sorted(rooms, key=lambda each: -each[0]):
+        spare_slots = [
+            (_spare_slots(each.summary(eligible.now)), each)
+            for each in eligible.other_region_targets
+        ]
+        for capacity, targets in sorted(spare_slots, key=lambda each: -each[0]):
             if capacity <= 0.0:
                 return None
-            affinity_targets = choice.affinity_targets(targets)
+            affinity_targets = eligible.affinity_targets(targets)
             known.update(_ids(affinity_targets))
-            place = self._best(choice, targets, affinity_targets, helps, True)
-            if place is not None:
-                return place
+            destination = self._best(
+                eligible, targets, affinity_targets, is_faster, True
+            )
+            if destination is not None:
+                return destination
         return None
 
 
-def _spare(summary):
+def _spare_slots(summary):
     """Return the free slots of a region that other regions may use."""
     return summary.free - RESERVED_SHARE * summary.slots
 
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -4,63 +4,71 @@
 
 
 class Dispatcher:
-    """Sends attempts to the selected places.
+    """Sends attempts to the selected destinations.
 
     :param local: the :class:`LocalDispatcher`, for owned targets.
     :param forward: the :class:`ForwardDispatcher`, for targets of other VMs.
     :param members: the live VMs.
-    :param rooms: the :class:`CapacityReports`.
-    :param trip: function that returns the round-trip time to a VM in seconds.
+    :param capacity_reports: the :class:`CapacityReports`.
+    :param round_trip: function that returns the round-trip time to a VM in seconds.
     :param containment: the :class:`Containment`, which records the results.
     """
 
-    def __init__(self, local, forward, members, rooms, trip, containment):
+    def __init__(
+        self, local, forward, members, capacity_reports, round_trip, containment
+    ):
         self._local = local
         self._forward = forward
         self._members = members
-        self._rooms = rooms
-        self._trip = trip
+        self._capacity_reports = capacity_reports
+        self._round_trip = round_trip
         self._containment = containment
 
-    def is_own(self, place):
-        """Return whether this VM owns the targets of a place."""
-        return place.vm == self._members.own.vm
+    def is_local(self, destination):
+        """Return whether this VM is the owner of a destination."""
+        return destination.vm == self._members.own.vm
 
-    def trip(self, place):
+    def round_trip(self, destination):
         """Return the round-trip time in seconds; 0 inside the region."""
-        return self._trip(place.vm) if place.is_remote else 0.0
+        return self._round_trip(destination.vm) if destination.is_remote else 0.0
 
-    async def run(self, call, place, avoid, until):
+    async def run(self, call, destination, avoid, wait_until):
         """Return the :class:`AttemptResult` of one attempt.
 
         :param avoid: ids of targets to exclude.
-        :param until: when to stop waiting for a slot.
+        :param wait_until: when to stop waiting for a slot.
         """
-        is_own = self.is_own(place)
-        if is_own:
-            result = await self._local.run(call, place.preferred, avoid, until)
+        is_local = self.is_local(destination)
+        if is_local:
+            result = await self._local.run(
+                call, destination.preferred, avoid, wait_until
+            )
         else:
-            result = await self._forwarded(call, place, avoid, until)
-        self._containment.record_result(call, result, is_own)
+            result = await self._run_forwarded(call, destination, avoid, wait_until)
+        self._containment.record_result(call, result, is_local)
         return result
 
-    async def _forwarded(self, call, place, avoid, until):
-        member = self._members.live(place.vm)
-        trip = self._trip(place.vm)
+    async def _run_forwarded(self, call, destination, avoid, wait_until):
+        member = self._members.live(destination.vm)
+        round_trip = self._round_trip(destination.vm)
         capacity = None
-        if place.target is not None:
-            capacity = self._rooms.capacity(place.target, place.vm)
+        if destination.target is not None:
+            capacity = self._capacity_reports.capacity(
+                destination.target, destination.vm
+            )
             capacity.take()
         result = await self._forward.run(
-            call, member.ip, place.preferred, avoid, until, trip
+            call, member.ip, destination.preferred, avoid, wait_until, round_trip
         )
         if capacity is not None and result.outcome is not AttemptOutcome.NOT_SENT:
             capacity.release()
         return result
 
-    def note_full(self, call, place, wait):
+    def record_full_queue(self, call, destination, wait):
         """Record that another VM had no free slot.
 
         :param wait: its estimated wait in seconds, or ``None``.
         """
-        self._rooms.record_full(place.target, place.vm, call.service, wait)
+        self._capacity_reports.record_full(
+            destination.target, destination.vm, call.service, wait
+        )
--- a/src/heathercleat/steering/request/eligibility.py
+++ b/src/heathercleat/steering/request/eligibility.py
@@ -1,7 +1,7 @@
 """Targets that one request may use."""
 
 #: Affinity targets for one object in a region; each one has to cache the object first.
-HOMES_OF_OBJECT = 1
+AFFINITY_TARGETS_PER_REGION = 1
 
 
 class EligibleTargets:
@@ -21,7 +21,7 @@
         "_own_region",
         "_avoid",
         "_avoid_vms",
-        "_near_homes",
+        "_own_region_affinity_targets",
     )
 
     def __init__(self, call, regions, own_region, avoid, avoid_vms, now):
@@ -31,17 +31,17 @@
         self._own_region = own_region
         self._avoid = avoid
         self._avoid_vms = avoid_vms
-        self._near_homes = None
+        self._own_region_affinity_targets = None
 
     @property
-    def near(self):
+    def own_region_targets(self):
         """Return the :class:`RegionTargets` of this region, ``None`` if not usable."""
         if not self.call.route.allows(self._own_region):
             return None
         return self._regions.get(self._own_region)
 
     @property
-    def far(self):
+    def other_region_targets(self):
         """Return the :class:`RegionTargets` of the other allowed regions."""
         return [
             targets
@@ -50,11 +50,11 @@
         ]
 
     @property
-    def waits_for_home(self):
+    def can_wait_for_affinity(self):
         """Return whether the request may still wait for an affinity target."""
         return self.now < self.call.affinity_until
 
-    def usable(self, candidate):
+    def is_usable(self, candidate):
         """Return whether the request may use a candidate and its owner."""
         if candidate.entry.id in self._avoid or candidate.owner in self._avoid_vms:
             return False
@@ -62,21 +62,25 @@
         return region == self._own_region or self.call.route.allows(region)
 
     @property
-    def near_homes(self):
+    def own_region_affinity_targets(self):
         """Return the affinity targets in this region, best first."""
-        if self._near_homes is None:
-            self._near_homes = self.affinity_targets(self.near) if self.near else []
-        return self._near_homes
+        if self._own_region_affinity_targets is None:
+            self._own_region_affinity_targets = (
+                self.affinity_targets(self.own_region_targets)
+                if self.own_region_targets
+                else []
+            )
+        return self._own_region_affinity_targets
 
-    def affinity_targets(self, targets, usable=None):
+    def affinity_targets(self, targets, is_usable=None):
         """Return the affinity targets in a region, best first.
 
-        :param usable: filter for candidates; :meth:`usable` by default.
+        :param is_usable: filter for candidates; :meth:`is_usable` by default.
         """
         call = self.call
         if call.affinity is None or not call.route.sticky:
             return []
-        usable = usable or self.usable
+        is_usable = is_usable or self.is_usable
         return targets.affinity_targets(
-            call.affinity, HOMES_OF_OBJECT, usable, self.now
+            call.affinity, AFFINITY_TARGETS_PER_REGION, is_usable, self.now
         )
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -6,22 +6,24 @@
 
     :param members: the live VMs.
     :param admission: the :class:`Admission`, for waits at this VM.
-    :param rooms: the :class:`CapacityReports`, for waits at other owners.
-    :param trip: function that returns the round-trip time to a VM.
+    :param capacity_reports: the :class:`CapacityReports`, for waits at other owners.
+    :param round_trip: function that returns the round-trip time to a VM.
     :param response_times: the :class:`ResponseTimes`.
     """
 
-    def __init__(self, members, admission, rooms, trip, response_times, clock):
+    def __init__(
+        self, members, admission, capacity_reports, round_trip, response_times, clock
+    ):
         self._members = members
         self._admission = admission
-        self._rooms = rooms
-        self._trip = trip
+        self._capacity_reports = capacity_reports
+        self._round_trip = round_trip
         self._response_times = response_times
         self._clock = clock
 
-    def trip(self, owner):
+    def round_trip(self, owner):
         """Return the round-trip time to an owner."""
-        return self._trip(owner)
+        return self._round_trip(owner)
 
     def wait(self, owner, call):
         """Return how long a request would wait for a slot at an owner.
@@ -31,10 +33,12 @@
         """
         if owner == self._members.own.vm:
             return self._admission.expected_wait(call)
-        if not self._rooms.is_known(owner):
+        if not self._capacity_reports.is_known(owner):
             return 0.0
-        waits = self._rooms.waits(owner, call.service)
-        return waits and waits.of(call, self._clock.now(), self.work(call, True))
+        waits = self._capacity_reports.waits(owner, call.service)
+        return waits and waits.of(
+            call, self._clock.now(), self.response_time(call, True)
+        )
 
     def shortest_wait(self, targets, call):
         """Return the shortest reported wait at the owners of a region, or ``None``.
@@ -45,25 +49,31 @@
         waits = [
             self.wait(owner, call)
             for owner in targets.owners
-            if owner == own or self._rooms.is_known(owner)
+            if owner == own or self._capacity_reports.is_known(owner)
         ]
         return min((each for each in waits if each is not None), default=None)
 
-    def work(self, call, is_home):
+    def response_time(self, call, is_affinity_target):
         """Return the mean response time.
 
-        :param is_home: whether the target is an affinity target of the request.
+        :param is_affinity_target: whether the target has the object cached.
         """
         times, route = self._response_times, call.route.name
         if call.affinity is None or not call.route.sticky:
             return times.of(route)
-        return times.at_affinity_target(route) if is_home else times.elsewhere(route)
+        return (
+            times.at_affinity_target(route)
+            if is_affinity_target
+            else times.elsewhere(route)
+        )
 
-    def known_work(self, route):
+    def cached_response_time(self, route):
         """Return the response time for a cached object, or ``None`` if unknown."""
         return self._response_times.known(route.name)
 
-    def is_in_time(self, call, owner, is_home):
+    def is_in_time(self, call, owner, is_affinity_target):
         """Return whether a response would be in time if the owner has a free slot."""
-        expected = self._trip(owner) + self.work(call, is_home)
+        expected = self._round_trip(owner) + self.response_time(
+            call, is_affinity_target
+        )
         return self._clock.now() + expected <= call.soft_deadline
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -17,8 +17,8 @@
 #: Responses are buffered, so that a truncated one is never passed on as complete.
 MAX_RESPONSE_BYTES = 64 << 20
 #: Responses to earlier requests that are skipped before the connection is dropped.
-MOST_STRAY_ANSWERS = 4
-_FIRST_FAILURE = 400
+MAX_STALE_RESPONSES = 4
+_FIRST_ERROR_STATUS = 400
 
 
 class TargetExchange:
@@ -36,13 +36,13 @@
         self._clock = clock
         self._events = []
         self._head = None
-        self._sent = False
-        self._cut = False
+        self._is_sent = False
+        self._connection_lost = False
 
     @property
-    def cut(self):
+    def connection_lost(self):
         """Return whether the connection failed after the request was sent."""
-        return self._cut
+        return self._connection_lost
 
     @property
     def head(self):
@@ -54,25 +54,31 @@
         target = self._entry.id
         try:
             await before(self._call.deadline, self._clock, self._exchange())
-            return self._judge()
+            return self._evaluate()
         except TimeoutError:
-            end = AttemptOutcome.TIMED_OUT if self._sent else AttemptOutcome.NOT_SENT
-            return AttemptResult(end, target=target, reason=DEADLINE)
+            outcome = (
+                AttemptOutcome.TIMED_OUT if self._is_sent else AttemptOutcome.NOT_SENT
+            )
+            return AttemptResult(outcome, target=target, reason=DEADLINE)
         except (RequestError, ValueError, *CONNECTION_ERRORS) as error:
-            end = AttemptOutcome.UNKNOWN if self._sent else AttemptOutcome.NOT_SENT
-            self._cut = self._sent and isinstance(error, CONNECTION_ERRORS)
-            return AttemptResult(end, target=target, reason=repr(error))
+            outcome = (
+                AttemptOutcome.UNKNOWN if self._is_sent else AttemptOutcome.NOT_SENT
+            )
+            self._connection_lost = self._is_sent and isinstance(
+                error, CONNECTION_ERRORS
+            )
+            return AttemptResult(outcome, target=target, reason=repr(error))
 
     async def _exchange(self):
-        self._events = list(self._request())
-        self._sent = True
+        self._events = list(self._build_request())
+        self._is_sent = True
         await self._stream.send(*self._events)
-        for _ in range(MOST_STRAY_ANSWERS):
-            if await self._read_answer():
+        for _ in range(MAX_STALE_RESPONSES):
+            if await self._read_response():
                 return
         raise EOFError("only answers to other requests")
 
-    def _request(self):
+    def _build_request(self):
         call = self._call
         remaining = call.deadline - self._clock.now()
         headers = list(target_request_headers(call.headers, remaining, self._entry.id))
@@ -83,7 +89,7 @@
             yield h11.Data(data=call.body)
         yield h11.EndOfMessage()
 
-    async def _read_answer(self):
+    async def _read_response(self):
         """Read the next response; return whether it belongs to this request."""
         event = await self._stream.next_event()
         while isinstance(event, h11.InformationalResponse):
@@ -98,21 +104,23 @@
             self._stream.reset_for_response(self._events)
             return False
         self._head = head
-        kept = [each for each in end_to_end(headers) if each[0] != b"content-length"]
-        self._answer = TargetResponse(event.status_code, kept, body)
+        response_headers = [
+            each for each in end_to_end(headers) if each[0] != b"content-length"
+        ]
+        self._response = TargetResponse(event.status_code, response_headers, body)
         return True
 
-    def _judge(self):
+    def _evaluate(self):
         """Return the result for a complete response."""
-        head, answer, target = self._head, self._answer, self._entry.id
+        head, response, target = self._head, self._response, self._entry.id
         if head.not_run:
             reason = "replaced" if head.replaced else "shed"
             return AttemptResult(AttemptOutcome.REFUSED, target=target, reason=reason)
-        if answer.status < _FIRST_FAILURE and (not head.signed or head.encoded):
-            reason = f"{answer.status} without the target's own body"
+        if response.status < _FIRST_ERROR_STATUS and (not head.signed or head.encoded):
+            reason = f"{response.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         if head.implies_not_run:
             # A client would conclude from the status that the request has not run.
-            reason = f"{answer.status} without saying that it has not run"
+            reason = f"{response.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
-        return AttemptResult(AttemptOutcome.ANSWERED, answer, target)
+        return AttemptResult(AttemptOutcome.ANSWERED, response, target)
--- a/src/heathercleat/steering/request/fingerprint.py
+++ b/src/heathercleat/steering/request/fingerprint.py
@@ -3,10 +3,10 @@
 from hashlib import blake2b
 
 #: Headers included in the digest; others may differ between repeats of a request.
-SENDER_HEADERS = (b"host", b"authorization", b"cookie")
+DIGEST_HEADERS = (b"host", b"authorization", b"cookie")
 DIGEST_BYTES = 8
 #: Headers that identify a sender.
-_NAMING_HEADERS = (b"authorization", b"cookie")
+_CREDENTIAL_HEADERS = (b"authorization", b"cookie")
 
 
 def fingerprint(method, path, headers, body):
@@ -15,7 +15,7 @@
     :param path: the request target with its query, as bytes.
     :param headers: pairs of bytes, names in lower case.
     """
-    joined = _joined([method, path, *_sender_values(headers)])
+    joined = _join_parts([method, path, *_digest_header_values(headers)])
     digest = blake2b(joined, digest_size=DIGEST_BYTES)
     digest.update(body)
     return digest.hexdigest()
@@ -26,22 +26,22 @@
 
     :param headers: pairs of bytes, names in lower case.
     """
-    if not any([name in _NAMING_HEADERS for name, _ in headers]):
+    if not any([name in _CREDENTIAL_HEADERS for name, _ in headers]):
         return None
-    joined = _joined(_sender_values(headers))
+    joined = _join_parts(_digest_header_values(headers))
     return blake2b(joined, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _sender_values(headers):
-    """Return the values of :data:`SENDER_HEADERS`."""
+def _digest_header_values(headers):
+    """Return the values of :data:`DIGEST_HEADERS`."""
     values = []
-    for wanted in SENDER_HEADERS:
+    for wanted in DIGEST_HEADERS:
         values += [value for name, value in headers if name == wanted]
         # Separates headers, since one may have no value or several.
         values.append(b"")
     return values
 
 
-def _joined(parts):
+def _join_parts(parts):
     """Join parts unambiguously, each prefixed by its length."""
     return b"".join([b"%d:%b" % (len(part), part) for part in parts])
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -10,17 +10,17 @@
     AttemptResult,
     TargetResponse,
 )
-from heathercleat.steering.request.call import Call, StreamCut
+from heathercleat.steering.request.call import Call, StreamInterrupter
 from heathercleat.steering.request.exchange import MAX_RESPONSE_BYTES
 from heathercleat.steering.version.routing import RequestKind
 
 #: Headers with the order and the result of a forwarded request, packed as hexadecimal.
 ORDER_HEADER = b"heathercleat-order"
-RESULT = b"heathercleat-result"
+RESULT_HEADER = b"heathercleat-result"
 #: Seconds to connect to a VM of the same region.
 CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds to wait for the owner's result after the deadline.
-ANSWER_MARGIN = 0.05
+RESULT_MARGIN_SECONDS = 0.05
 
 
 class ForwardOrder:
@@ -54,11 +54,12 @@
             setattr(self, name, value)
 
     @classmethod
-    def from_call(cls, call, preferred, avoid, until, trip, now):
+    def from_call(cls, call, preferred, avoid, wait_until, round_trip, now):
         """Return the order for a call.
 
-        :param until: when to stop waiting for a slot.
-        :param trip: the round-trip time to the owner, by which deadlines are reduced.
+        :param wait_until: when to stop waiting for a slot.
+        :param round_trip: the round-trip time to the owner in seconds; it shortens
+            some of the deadlines.
         """
         return cls(
             call.id,
@@ -73,11 +74,11 @@
             list(preferred),
             list(avoid),
             call.deadline - now,
-            call.soft_deadline - now - trip,
-            until - now,
+            call.soft_deadline - now - round_trip,
+            wait_until - now,
             call.give_up_at - now,
             call.affinity_until - now,
-            call.send_deadline - now - trip,
+            call.send_deadline - now - round_trip,
         )
 
     def pack(self):
@@ -142,7 +143,7 @@
         result.reason,
         result.crashed_incarnation,
     ]
-    return RESULT, msgpack.packb(fields).hex().encode()
+    return RESULT_HEADER, msgpack.packb(fields).hex().encode()
 
 
 class ForwardDispatcher:
@@ -157,16 +158,16 @@
         self._port = port
         self._clock = clock
 
-    async def run(self, call, ip, preferred, avoid, until, trip):
+    async def run(self, call, ip, preferred, avoid, wait_until, round_trip):
         """Return the :class:`AttemptResult` of an attempt through the VM at ``ip``.
 
         :param preferred: ids of the affinity targets, best first.
         :param avoid: ids of targets to exclude.
-        :param until: when to stop waiting for a slot.
-        :param trip: the mean round-trip time to the VM in seconds.
+        :param wait_until: when to stop waiting for a slot.
+        :param round_trip: the mean round-trip time to the VM in seconds.
         """
         now = self._clock.now()
-        connect_by = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS + 2 * trip)
+        connect_by = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS + 2 * round_trip)
         try:
             checkout = self._pool.checkout(ip, self._port)
             stream = await before(connect_by, self._clock, checkout)
@@ -177,28 +178,30 @@
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT)
         # Also for requests that must not run twice: while the request is queued at the
         # owner it has not run, and the owner must learn of the disconnect.
-        call.on_disconnect = StreamCut(stream)
+        call.on_disconnect = StreamInterrupter(stream)
         try:
             now = self._clock.now()
-            order = ForwardOrder.from_call(call, preferred, avoid, until, trip, now)
+            order = ForwardOrder.from_call(
+                call, preferred, avoid, wait_until, round_trip, now
+            )
             return await self._exchange(call, ip, stream, order)
         finally:
             call.on_disconnect = None
 
     async def _exchange(self, call, ip, stream, order):
-        whole = False
-        deadline = call.deadline + ANSWER_MARGIN
+        is_complete = False
+        deadline = call.deadline + RESULT_MARGIN_SECONDS
         try:
             sending = self._send(stream, call, order)
             result = await before(deadline, self._clock, sending)
-            whole = True
+            is_complete = True
             return result
         except TimeoutError:
             return AttemptResult(AttemptOutcome.TIMED_OUT, reason=f"VM {ip}: deadline")
         except (ValueError, *CONNECTION_ERRORS) as error:
             return AttemptResult(AttemptOutcome.UNKNOWN, reason=f"VM {ip}: {error!r}")
         finally:
-            if whole:
+            if is_complete:
                 await self._pool.checkin(ip, self._port, stream)
             else:
                 await self._pool.discard(ip, self._port, stream)
@@ -223,15 +226,17 @@
 def _read_result(head, body):
     """Parse the :class:`AttemptResult` from an owner's response."""
     headers = [each for each in head.headers if each[0] != b"content-length"]
-    packed = next((value for name, value in headers if name == RESULT), None)
+    packed = next((value for name, value in headers if name == RESULT_HEADER), None)
     if packed is None:
         raise ValueError(f"status {head.status_code} without a result")
     fields = msgpack.unpackb(bytes.fromhex(packed.decode()))
-    end, target, work, wait, reason, ended = fields
-    kept = [each for each in headers if each[0] != RESULT]
-    answer = None
-    if AttemptOutcome(end) is AttemptOutcome.ANSWERED:
-        answer = TargetResponse(head.status_code, kept, body)
-    result = AttemptResult(AttemptOutcome(end), answer, target, work, wait, reason)
-    result.crashed_incarnation = ended
+    outcome, target, response_time, wait, reason, crashed_incarnation = fields
+    response_headers = [each for each in headers if each[0] != RESULT_HEADER]
+    response = None
+    if AttemptOutcome(outcome) is AttemptOutcome.ANSWERED:
+        response = TargetResponse(head.status_code, response_headers, body)
+    result = AttemptResult(
+        AttemptOutcome(outcome), response, target, response_time, wait, reason
+    )
+    result.crashed_incarnation = crashed_incarnation
     return result
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -15,14 +15,14 @@
     AttemptOutcome,
     AttemptResult,
 )
-from heathercleat.steering.request.call import StreamCut
+from heathercleat.steering.request.call import StreamInterrupter
 from heathercleat.steering.request.exchange import TargetExchange
 
 #: Longest idle time in seconds of a connection for requests that must not run twice,
 #: since the target may be about to close an older one.
-UNSAFE_IDLE_AGE = 2.0
+MAX_UNSAFE_IDLE_SECONDS = 2.0
 #: Seconds before the keep-alive timeout of the target at which to drop a connection.
-KEEP_MARGIN = 1.5
+KEEP_ALIVE_MARGIN_SECONDS = 1.5
 
 
 class LocalDispatcher:
@@ -33,8 +33,8 @@
     :param registry: the :class:`TargetRegistry`, updated when a target was replaced.
     :param pool: the connection pool for targets.
     :param response_times: the :class:`ResponseTimes`.
-    :param departure: the :class:`Departure` of this VM.
-    :param rests: the :class:`EjectionLimit`, which limits ejected targets.
+    :param shutdown: the :class:`Shutdown` of this VM.
+    :param ejection_limit: the :class:`EjectionLimit`, which limits ejected targets.
     :param suspects: the :class:`Suspects`.
     """
 
@@ -46,7 +46,7 @@
         pool,
         response_times,
         shutdown,
-        rests,
+        ejection_limit,
         suspects,
         journal,
         clock,
@@ -56,35 +56,35 @@
         self._registry = registry
         self._pool = pool
         self._response_times = response_times
-        self._departure = shutdown
-        self._rests = rests
-        self._ends = CrashDetector(pool, clock)
+        self._shutdown = shutdown
+        self._ejection_limit = ejection_limit
+        self._crash_detector = CrashDetector(pool, clock)
         self._suspects = suspects
         self._journal = journal
         self._clock = clock
 
-    async def run(self, call, preferred, avoid, until):
+    async def run(self, call, preferred, avoid, wait_until):
         """Return the :class:`AttemptResult` of one attempt.
 
         :param preferred: ids of the affinity targets, best first.
         :param avoid: ids of targets to exclude.
-        :param until: when to stop waiting for a slot.
+        :param wait_until: when to stop waiting for a slot.
         """
-        use = await self._admission.acquire(call, preferred, avoid, until)
-        if use is None:
-            return self._without_slot(call)
+        slot_use = await self._admission.acquire(call, preferred, avoid, wait_until)
+        if slot_use is None:
+            return self._no_slot_result(call)
         result = None
         try:
-            obstacle = self._obstacle(call)
-            if obstacle is not None:
-                return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
-            result = await self._send(call, use, preferred)
+            unsent_reason = self._reason_not_to_send(call)
+            if unsent_reason is not None:
+                return AttemptResult(AttemptOutcome.NOT_SENT, reason=unsent_reason)
+            result = await self._send(call, slot_use, preferred)
             return result
         finally:
             answered = result is not None and result.outcome is AttemptOutcome.ANSWERED
-            await self._admission.release(use, answered)
+            await self._admission.release(slot_use, answered)
 
-    def _obstacle(self, call):
+    def _reason_not_to_send(self, call):
         """Return why a request that has a slot must not be sent, or ``None``.
 
         Checked after each wait, also because the VM may have been suspended meanwhile.
@@ -94,7 +94,7 @@
             return CLIENT_LEFT
         if now >= call.send_deadline:
             return LEAVING_REASON
-        if self._departure.is_too_late(call, now):
+        if self._shutdown.is_too_late(call, now):
             return LEAVING_REASON
         if now >= call.deadline:
             return DEADLINE
@@ -102,14 +102,14 @@
             return QUARANTINED
         return None
 
-    def _without_slot(self, call):
-        hopeless = self._admission.is_wait_too_long(call)
-        reason = NO_SLOT_IN_TIME if hopeless else "no free slot"
+    def _no_slot_result(self, call):
+        is_too_long = self._admission.is_wait_too_long(call)
+        reason = NO_SLOT_IN_TIME if is_too_long else "no free slot"
         wait = self._admission.expected_wait(call)
         return AttemptResult(AttemptOutcome.NOT_SENT, wait=wait, reason=reason)
 
-    async def _send(self, call, use, preferred):
-        target = use.target
+    async def _send(self, call, slot_use, preferred):
+        target = slot_use.target
         entry = target.entry
         started_at = self._clock.now()
         try:
@@ -117,22 +117,22 @@
         except (OSError, TimeoutError) as error:
             # A timeout at the deadline of the request says nothing about the target.
             if not isinstance(error, TimeoutError) or self._clock.now() < call.deadline:
-                self._rest(target, started_at, f"connect: {error!r}")
+                self._eject(target, started_at, f"connect: {error!r}")
             return AttemptResult(
                 AttemptOutcome.NOT_SENT, target=entry.id, reason=repr(error)
             )
         # Check again, since connecting takes time.
-        obstacle = self._obstacle(call)
-        if obstacle is not None:
+        unsent_reason = self._reason_not_to_send(call)
+        if unsent_reason is not None:
             await self._pool.checkin(entry.host, entry.port, stream)
-            return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
+            return AttemptResult(AttemptOutcome.NOT_SENT, reason=unsent_reason)
         exchange = TargetExchange(stream, call, entry, self._clock)
         # Aborting would not undo a request that must not run twice.
         call.on_disconnect = (
-            StreamCut(stream) if call.route.kind.is_idempotent else None
+            StreamInterrupter(stream) if call.route.kind.is_idempotent else None
         )
         try:
-            with self._departure.runs.watch(call) as run:
+            with self._shutdown.runs.watch(call) as run:
                 result = await exchange.run()
                 run.take(result)
         except BaseException:
@@ -141,20 +141,20 @@
         finally:
             call.on_disconnect = None
         result.response_time = self._clock.now() - started_at
-        await self._put_back(entry, stream, exchange.head)
-        if exchange.cut and not call.is_disconnected:
-            await self._note_end(call, entry, result)
-        home = entry.id in preferred
-        self._learn(call, use, exchange.head, result, home)
+        await self._return_connection(entry, stream, exchange.head)
+        if exchange.connection_lost and not call.is_disconnected:
+            await self._record_crash(call, entry, result)
+        is_affinity_target = entry.id in preferred
+        self._record_result(call, slot_use, exchange.head, result, is_affinity_target)
         return result
 
-    async def _note_end(self, call, entry, result):
+    async def _record_crash(self, call, entry, result):
         """Record a crash if the target process itself has ended."""
-        if not await self._ends.has_crashed(entry):
+        if not await self._crash_detector.has_crashed(entry):
             return
         result.crashed_incarnation = entry.incarnation_id
-        where = call.route.name, call.service
-        self._suspects.ended(call.fingerprint, entry.incarnation_id, *where)
+        route_and_service = call.route.name, call.service
+        self._suspects.ended(call.fingerprint, entry.incarnation_id, *route_and_service)
         self._journal.write(
             Event.TARGET_ENDED,
             target=entry.incarnation_id,
@@ -165,22 +165,22 @@
         )
 
     async def _connect(self, call, entry, now):
-        max_age = None if call.route.kind.is_idempotent else UNSAFE_IDLE_AGE
+        max_age = None if call.route.kind.is_idempotent else MAX_UNSAFE_IDLE_SECONDS
         checkout = self._pool.checkout(entry.host, entry.port, max_age=max_age)
         deadline = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS)
         return await before(deadline, self._clock, checkout)
 
-    async def _put_back(self, entry, stream, head):
+    async def _return_connection(self, entry, stream, head):
         if head is None:
             await self._pool.discard(entry.host, entry.port, stream)
             return
         idle_seconds = head.keep_alive_seconds and max(
-            0.0, head.keep_alive_seconds - KEEP_MARGIN
+            0.0, head.keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS
         )
         await self._pool.checkin(entry.host, entry.port, stream, idle_seconds)
 
-    def _learn(self, call, use, head, result, home):
-        target, now = use.target, self._clock.now()
+    def _record_result(self, call, slot_use, head, result, is_affinity_target):
+        target, now = slot_use.target, self._clock.now()
         if head is not None and head.running is not None:
             target.record_reported_load(head.running, head.waiting, now)
         if call.is_disconnected:
@@ -192,19 +192,21 @@
             return
         if result.succeeded:
             target.health.succeeded(result.response_time)
-            self._response_times.observe(call.route.name, result.response_time, home)
+            self._response_times.observe(
+                call.route.name, result.response_time, is_affinity_target
+            )
             return
-        may_eject = self._rests.may_eject(call.service)
-        if target.health.record_failure(now, use.started_at, may_eject):
-            self._log_rest(target, result.reason or "server errors")
+        may_eject = self._ejection_limit.may_eject(call.service)
+        if target.health.record_failure(now, slot_use.started_at, may_eject):
+            self._log_ejection(target, result.reason or "server errors")
 
-    def _rest(self, target, started_at, reason):
+    def _eject(self, target, started_at, reason):
         if target.health.predates_ejection(started_at):
             return
         target.health.eject(self._clock.now())
-        self._log_rest(target, reason)
+        self._log_ejection(target, reason)
 
-    def _log_rest(self, target, reason):
+    def _log_ejection(self, target, reason):
         self._journal.write(
             Event.TARGET_EJECTED,
             target=target.entry.id,
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -13,59 +13,59 @@
 from heathercleat.steering.request.wait_policy import WaitPolicy
 
 #: Seconds in a local queue after which a request looks for another destination.
-WAIT_SLICE = 0.08
+LOCAL_RECHECK_SECONDS = 0.08
 #: The same for the queue of another VM; forwarding again sends the body again.
 FORWARDED_RECHECK_SECONDS = 0.25
 #: The same for a request with a large body, or one past its latency objective.
-LONG_SLICE = 1.0
+LONG_RECHECK_SECONDS = 1.0
 #: Longest wait in seconds if the owner reported a free slot; reports are delayed by
 #: heartbeats.
 STALE_REPORT_WAIT_SECONDS = 0.03
 #: The same once the request has stopped waiting: a network hop in a region.
-LEAST_PATIENCE = 0.005
+MIN_WAIT_SECONDS = 0.005
 #: Longest wait in seconds for a slot in another region.
-FAR_PATIENCE = 0.15
+MAX_REMOTE_WAIT_SECONDS = 0.15
 #: Unsent attempts at reported free slots after which a request is refused.
-MOST_UNSENT = 5
+MAX_UNSENT_ATTEMPTS = 5
 #: Shortest time in seconds after which a refused client may retry.
-LEAST_RETURN = 0.05
+MIN_RETRY_SECONDS = 0.05
 
 
 class Steering:
     """Steers requests of clients.
 
-    :param places: the :class:`DestinationSelector`, which selects destinations.
+    :param destinations: the :class:`DestinationSelector`, which selects destinations.
     :param attempt_log: the :class:`Dispatcher`, which makes the attempts.
     :param shift: the :class:`RegionShiftLimit`.
     :param budget: function that returns the :class:`RetryBudget` of a service.
     :param response_times: the :class:`ResponseTimes`.
-    :param pressure: the :class:`LossRates`.
-    :param departure: the :class:`Departure` of this VM.
+    :param loss_rates: the :class:`LossRates`.
+    :param shutdown: the :class:`Shutdown` of this VM.
     :param containment: the :class:`Containment`.
     """
 
     def __init__(
         self,
-        places,
-        tries,
+        destinations,
+        dispatcher,
         shift,
         budget,
         response_times,
-        pressure,
+        loss_rates,
         shutdown,
         containment,
         journal,
         clock,
     ):
-        self._places = places
-        self._tries = tries
+        self._destinations = destinations
+        self._dispatcher = dispatcher
         self._shift = shift
         self._budget = budget
         self._response_times = response_times
-        self._pressure = pressure
-        self._departure = shutdown
+        self._loss_rates = loss_rates
+        self._shutdown = shutdown
         self._containment = containment
-        self._patience = WaitPolicy(response_times)
+        self._wait_policy = WaitPolicy(response_times)
         self._journal = journal
         self._clock = clock
 
@@ -87,14 +87,14 @@
         self._call = call
         self._avoid = set()
         self._avoid_vms = set()
-        self._sends = 0
-        self._runs = 0
-        self._unsent = 0
-        self._failed_answer = None
+        self._sent_count = 0
+        self._run_count = 0
+        self._unsent_count = 0
+        self._failed_response = None
         self._last_reason = None
-        self._relieved = False
-        call.give_up_at = steering._patience.of(call)
-        call.affinity_until = steering._patience.for_home(call)
+        self._has_spilled_over = False
+        call.give_up_at = steering._wait_policy.give_up_at(call)
+        call.affinity_until = steering._wait_policy.affinity_until(call)
 
     async def run(self):
         call, clock = self._call, self._steering._clock
@@ -102,71 +102,75 @@
             if call.is_disconnected:
                 raise CallerDisconnectedError
             now = clock.now()
-            if not self._runs:
-                self._steering._departure.check(call, now)
+            if not self._run_count:
+                self._steering._shutdown.check(call, now)
                 self._check_quarantine()
-            elif self._steering._departure.is_too_late(call, now):
+            elif self._steering._shutdown.is_too_late(call, now):
                 return self._give_up()
-            place = self._next_place(now)
-            if place is None:
+            destination = self._next_destination(now)
+            if destination is None:
                 return self._give_up()
-            if self._sends and not self._spend_repeat(now):
+            if self._sent_count and not self._spend_retry(now):
                 return self._give_up()
-            call.send_deadline = self._steering._departure.send_deadline(call)
-            until = min(self._until(place, now), call.deadline, call.send_deadline)
-            call.destination, call.attempt_started_at = place, now
-            result = await self._try(place, until)
+            call.send_deadline = self._steering._shutdown.send_deadline(call)
+            wait_until = min(
+                self._wait_until(destination, now), call.deadline, call.send_deadline
+            )
+            call.destination, call.attempt_started_at = destination, now
+            result = await self._attempt(destination, wait_until)
             call.destination = None
             if call.is_disconnected:
                 raise CallerDisconnectedError
-            final = self._take(place, result, until)
+            final = self._process_result(destination, result, wait_until)
             if final is not None:
                 return final
 
-    async def _try(self, place, until):
+    async def _attempt(self, destination, wait_until):
         """Return the :class:`AttemptResult` of one attempt."""
         call, steering = self._call, self._steering
-        trying = steering._tries.run(call, place, self._avoid, until)
-        if steering._tries.is_own(place):
-            return await trying
-        with steering._departure.runs.watch(call) as run:
-            result = await trying
+        attempt = steering._dispatcher.run(call, destination, self._avoid, wait_until)
+        if steering._dispatcher.is_local(destination):
+            return await attempt
+        with steering._shutdown.runs.watch(call) as run:
+            result = await attempt
             run.take(result)
             return result
 
-    def _next_place(self, now):
+    def _next_destination(self, now):
         """Return the next :class:`Place`, or ``None`` to give up."""
-        if now >= self._call.deadline or self._unsent >= MOST_UNSENT:
+        if now >= self._call.deadline or self._unsent_count >= MAX_UNSENT_ATTEMPTS:
             return None
-        if now >= self._call.give_up_at and self._unsent:
+        if now >= self._call.give_up_at and self._unsent_count:
             return None
-        places = self._steering._places
-        place = places.select_free(self._call, self._avoid, self._avoid_vms)
-        if place is not None:
-            return place
+        destinations = self._steering._destinations
+        destination = destinations.select_free(self._call, self._avoid, self._avoid_vms)
+        if destination is not None:
+            return destination
         if now >= self._call.give_up_at:
             return None
-        place = self._relief() or self._wait_near()
-        if place is None and now < self._call.affinity_until:
+        destination = self._select_spillover() or self._select_queue()
+        if destination is None and now < self._call.affinity_until:
             self._call.affinity_until = now
-            place = places.select_free(self._call, self._avoid, self._avoid_vms)
-        return place
-
-    def _wait_near(self):
-        places = self._steering._places
-        return places.select_queue(self._call, self._avoid, self._avoid_vms)
-
-    def _relief(self):
-        """Return a place to wait at in a less loaded region, at most once."""
-        if self._relieved:
+            destination = destinations.select_free(
+                self._call, self._avoid, self._avoid_vms
+            )
+        return destination
+
+    def _select_queue(self):
+        destinations = self._steering._destinations
+        return destinations.select_queue(self._call, self._avoid, self._avoid_vms)
+
+    def _select_spillover(self):
+        """Return a destination in a less loaded region, at most once per request."""
+        if self._has_spilled_over:
             return None
-        place = self._steering._places.select_spillover(
+        destination = self._steering._destinations.select_spillover(
             self._call, self._avoid, self._avoid_vms
         )
-        self._relieved = place is not None
-        return place
+        self._has_spilled_over = destination is not None
+        return destination
 
-    def _spend_repeat(self, now):
+    def _spend_retry(self, now):
         budget = self._steering._budget(self._call.service)
         spent = budget.spend(now)
         self._steering._journal.write(
@@ -179,121 +183,147 @@
         )
         return spent
 
-    def _until(self, place, now):
+    def _wait_until(self, destination, now):
         """Return the instant until which the request may wait for a slot there.
 
         At its affinity target the request waits even if a slot was reported free, since
         it would otherwise be forwarded there a second time.
         """
-        if place.target is not None and not self._waits(place, now):
-            if place.is_remote:
-                return self._until_far(place, now)
-            least = max(self._call.give_up_at, now + LEAST_PATIENCE)
-            return min(now + STALE_REPORT_WAIT_SECONDS, least)
-        trip = self._steering._tries.trip(place)
-        affinity_until = self._call.affinity_until - trip
-        end = affinity_until if now < affinity_until else self._call.give_up_at - trip
-        return min(end, now + self._slice(place, now))
-
-    def _waits(self, place, now):
-        """Return whether the request queues at a place that has no free slot."""
-        return place.target is None or (
-            place.is_home and now < self._call.affinity_until
+        if destination.target is not None and not self._is_queued(destination, now):
+            if destination.is_remote:
+                return self._remote_wait_until(destination, now)
+            min_wait = max(self._call.give_up_at, now + MIN_WAIT_SECONDS)
+            return min(now + STALE_REPORT_WAIT_SECONDS, min_wait)
+        round_trip = self._steering._dispatcher.round_trip(destination)
+        affinity_until = self._call.affinity_until - round_trip
+        end = (
+            affinity_until
+            if now < affinity_until
+            else self._call.give_up_at - round_trip
         )
+        return min(end, now + self._recheck_seconds(destination, now))
 
-    def _slice(self, place, now):
-        """Return the seconds after which to look for another place."""
-        if self._steering._tries.is_own(place):
-            return WAIT_SLICE
+    def _is_queued(self, destination, now):
+        """Return whether the request queues if there is no free slot."""
+        return destination.target is None or (
+            destination.is_affinity_target and now < self._call.affinity_until
+        )
+
+    def _recheck_seconds(self, destination, now):
+        """Return the seconds after which to look for another destination."""
+        if self._steering._dispatcher.is_local(destination):
+            return LOCAL_RECHECK_SECONDS
         is_large = len(self._call.body) >= LARGE_BODY_BYTES
-        late = now > self._call.soft_deadline
-        return LONG_SLICE if late or is_large else FORWARDED_RECHECK_SECONDS
+        is_late = now > self._call.soft_deadline
+        return (
+            LONG_RECHECK_SECONDS if is_late or is_large else FORWARDED_RECHECK_SECONDS
+        )
 
-    def _until_far(self, place, now):
+    def _remote_wait_until(self, destination, now):
         """Return the instant until which to wait in another region.
 
         A response within the latency objective must remain possible.
         """
         call, steering = self._call, self._steering
-        work = steering._response_times.of(call.route.name)
-        latest = call.soft_deadline - steering._tries.trip(place) - work
-        return min(max(now + STALE_REPORT_WAIT_SECONDS, latest), now + FAR_PATIENCE)
+        response_time = steering._response_times.of(call.route.name)
+        latest = (
+            call.soft_deadline
+            - steering._dispatcher.round_trip(destination)
+            - response_time
+        )
+        return min(
+            max(now + STALE_REPORT_WAIT_SECONDS, latest), now + MAX_REMOTE_WAIT_SECONDS
+        )
 
-    def _take(self, place, result, until):
+    def _process_result(self, destination, result, wait_until):
         """Record a result; return the final response, or ``None`` to go on."""
         self._last_reason = result.reason
-        self._call.attempt_log.append(self._describe(place, result))
+        self._call.attempt_log.append(self._describe(destination, result))
         if result.target is not None:
             self._avoid.add(result.target)
         if result.outcome is AttemptOutcome.NOT_SENT:
             if result.reason == QUARANTINED:
                 return self._end_quarantined()
-            self._take_unsent(place, result, until)
+            self._process_unsent(destination, result, wait_until)
             return None
-        self._sends += 1
-        self._steering._shift.count(place.is_remote)
+        self._sent_count += 1
+        self._steering._shift.count(destination.is_remote)
         if result.outcome is AttemptOutcome.REFUSED:
             return None
-        self._runs += 1
+        self._run_count += 1
         if result.outcome is AttemptOutcome.ANSWERED:
-            self._observe(place, result)
-            late = self._steering._clock.now() > self._call.soft_deadline
-            self._steering._pressure.answered(self._call.service, late)
-            if result.succeeded or not self._may_run_again():
+            self._record_response_time(destination, result)
+            is_late = self._steering._clock.now() > self._call.soft_deadline
+            self._steering._loss_rates.answered(self._call.service, is_late)
+            if result.succeeded or not self._may_retry():
                 return result.response
-            self._failed_answer = result.response
+            self._failed_response = result.response
             return None
-        if result.outcome is AttemptOutcome.UNKNOWN and self._may_run_again():
+        if result.outcome is AttemptOutcome.UNKNOWN and self._may_retry():
             return None
-        raise self._unknown(result)
+        raise self._unknown_outcome_error(result)
 
-    def _describe(self, place, result):
+    def _describe(self, destination, result):
         """Return an attempt as text for the log.
 
         The fields are owner, target, home or other, outcome, response time and time
         since the request arrived, both in seconds, and the reason if there is one.
         """
-        knows = "home" if result.target in place.preferred else "other"
-        work = "-" if result.response_time is None else f"{result.response_time:.3f}"
-        took = self._steering._clock.now() - self._call.arrived_at
-        target = result.target or place.target
+        kind = "home" if result.target in destination.preferred else "other"
+        response_time = (
+            "-" if result.response_time is None else f"{result.response_time:.3f}"
+        )
+        elapsed = self._steering._clock.now() - self._call.arrived_at
+        target = result.target or destination.target
         reason = f" {result.reason}" if result.reason else ""
-        end = result.outcome.value
-        return f"{place.vm} {target} {knows} {end} {work} {took:.3f}{reason}"
+        outcome = result.outcome.value
+        return (
+            f"{destination.vm} {target} {kind} {outcome} {response_time} "
+            f"{elapsed:.3f}{reason}"
+        )
 
-    def _take_unsent(self, place, result, until):
+    def _process_unsent(self, destination, result, wait_until):
         now = self._steering._clock.now()
-        hopeless = result.reason == NO_SLOT_IN_TIME
-        if now < until or not (place.target is None or place.is_home):
-            self._unsent += 1
+        has_no_slot_in_time = result.reason == NO_SLOT_IN_TIME
+        if now < wait_until or not (
+            destination.target is None or destination.is_affinity_target
+        ):
+            self._unsent_count += 1
         else:
-            self._unsent = 0
-        if self._sends:
+            self._unsent_count = 0
+        if self._sent_count:
             self._steering._budget(self._call.service).refund()
-        if hopeless:
-            self._avoid_vms.add(place.vm)
+        if has_no_slot_in_time:
+            self._avoid_vms.add(destination.vm)
             self._call.affinity_until = min(self._call.affinity_until, now)
-        tries = self._steering._tries
-        if tries.is_own(place) or result.target is not None:
+        dispatcher = self._steering._dispatcher
+        if dispatcher.is_local(destination) or result.target is not None:
             return
         if result.wait is None and result.reason != "no free slot":
-            self._avoid_vms.add(place.vm)
-        tries.note_full(self._call, place, result.wait)
-
-    def _observe(self, place, result):
-        if result.response_time is not None and not self._steering._tries.is_own(place):
-            home = result.target in place.preferred
+            self._avoid_vms.add(destination.vm)
+        dispatcher.record_full_queue(self._call, destination, result.wait)
+
+    def _record_response_time(self, destination, result):
+        if result.response_time is not None and not self._steering._dispatcher.is_local(
+            destination
+        ):
+            is_affinity_target = result.target in destination.preferred
             times = self._steering._response_times
-            times.observe(self._call.route.name, result.response_time, home)
+            times.observe(
+                self._call.route.name, result.response_time, is_affinity_target
+            )
 
-    def _may_run_again(self):
+    def _may_retry(self):
         call = self._call
-        if not call.route.kind.is_idempotent or self._runs >= call.route.max_attempts:
+        if (
+            not call.route.kind.is_idempotent
+            or self._run_count >= call.route.max_attempts
+        ):
             return False
         if not self._steering._containment.may_retry(call):
             return False
-        work = self._steering._response_times.of(call.route.name)
-        return self._steering._clock.now() + work < call.deadline
+        response_time = self._steering._response_times.of(call.route.name)
+        return self._steering._clock.now() + response_time < call.deadline
 
     def _check_quarantine(self):
         """Raise the refusal of a request that crashes targets."""
@@ -303,31 +333,31 @@
 
     def _end_quarantined(self):
         """Return the last failed response, or raise the final refusal."""
-        if self._runs:
+        if self._run_count:
             return self._give_up()
         raise self._steering._containment.owner_refusal(self._call)
 
-    def _unknown(self, result):
+    def _unknown_outcome_error(self, result):
         timed_out = result.outcome is AttemptOutcome.TIMED_OUT
         code = ResultCode.DEADLINE_IN_RUN if timed_out else ResultCode.ANSWER_LOST
         return RequestError(code, f"{result.target}: {result.reason}")
 
     def _give_up(self):
         """Return the last failed response, or raise the final refusal."""
-        if self._failed_answer is not None:
-            return self._failed_answer
-        if self._runs:
+        if self._failed_response is not None:
+            return self._failed_response
+        if self._run_count:
             message = f"no whole answer: {self._last_reason}"
             raise RequestError(ResultCode.ANSWER_LOST, message)
-        if not self._sends:
-            self._steering._pressure.refused(self._call.service)
-        wait = self._return_after()
+        if not self._sent_count:
+            self._steering._loss_rates.refused(self._call.service)
+        retry_at = self._retry_at()
         reason = self._last_reason or "no free slot within reach"
-        reason = f"{reason} ({self._steering._places.describe(self._call)})"
-        raise RequestError(ResultCode.NO_ROOM, reason, retry_at=wait)
+        reason = f"{reason} ({self._steering._destinations.describe(self._call)})"
+        raise RequestError(ResultCode.NO_ROOM, reason, retry_at=retry_at)
 
-    def _return_after(self):
+    def _retry_at(self):
         """Return the instant from which the client may retry."""
-        expected = self._steering._places.expected_wait(self._call) or 0.0
-        mean = max(LEAST_RETURN, expected)
+        expected = self._steering._destinations.expected_wait(self._call) or 0.0
+        mean = max(MIN_RETRY_SECONDS, expected)
         return compute_retry_at(self._call, mean, self._steering._clock.now())
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -5,12 +5,12 @@
 """
 
 #: Most response times are below the mean times this factor.
-SPREAD = 1.25
+RESPONSE_TIME_FACTOR = 1.25
 #: Share of the timeout that remains at least when a request stops waiting, so that the
 #: client can retry.
-LEAST_LEFT = 0.2
+MIN_REMAINING_SHARE = 0.2
 #: Seconds before a request stops waiting from which it accepts any idle target.
-LAST_CHANCE = 0.02
+ANY_TARGET_SECONDS = 0.02
 
 
 class WaitPolicy:
@@ -22,20 +22,20 @@
     def __init__(self, response_times):
         self._response_times = response_times
 
-    def of(self, call):
+    def give_up_at(self, call):
         """Return the instant at which a request stops waiting for a slot."""
-        work = SPREAD * self._response_times.of(call.route.name)
-        least = LEAST_LEFT * (call.deadline - call.arrived_at)
-        return max(call.arrived_at, call.deadline - max(work, least))
+        response_time = RESPONSE_TIME_FACTOR * self._response_times.of(call.route.name)
+        min_remaining = MIN_REMAINING_SHARE * (call.deadline - call.arrived_at)
+        return max(call.arrived_at, call.deadline - max(response_time, min_remaining))
 
-    def for_home(self, call):
+    def affinity_until(self, call):
         """Return the instant until which only affinity targets are used.
 
         That is now if other targets, which respond more slowly, would be in time too.
         """
         route = call.route.name
-        longest = SPREAD * self._response_times.elsewhere(route)
+        longest = RESPONSE_TIME_FACTOR * self._response_times.elsewhere(route)
         if call.arrived_at + longest <= call.soft_deadline:
             return call.arrived_at
         latest = call.soft_deadline - self._response_times.at_affinity_target(route)
-        return min(latest, call.give_up_at - LAST_CHANCE)
+        return min(latest, call.give_up_at - ANY_TARGET_SECONDS)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -302,7 +302,7 @@
         )
     containment = view.containment
     assert view.suspects.count <= MAX_SUSPECTS
-    assert len(containment._senders) <= MAX_SENDERS
+    assert len(containment._known_senders) <= MAX_SENDERS
     assert len(containment._trials) <= MAX_TRIALS
 
 
@@ -333,7 +333,7 @@
     scene = Scene([], entries=[entry("t1", slots=2)])
     made = scene.call()
     made.needs_isolation = True
-    assert scene.places._confined(scene.places._choice(made)) is None
+    assert scene.places._isolated(scene.places._eligible_targets(made)) is None
     assert scene.places.select_free(made, (), ()).target == "t1"
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -297,7 +297,7 @@
     scene = Scene([], entries=far, forwarded=[ended])
     scene.suspects.ended("", "t2")
     scene.suspects.ended("", "t3")
-    tries = scene.steering._tries
+    tries = scene.steering._dispatcher
     place = Destination("vm-2", None, (), is_remote=False)
     scene.parts.members.record_heartbeat(beat("vm-2"))
     run(tries.run, scene.call(), place, (), scene.parts.clock.now() + 1.0)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -74,8 +74,8 @@
     Mutation(
         "TWICE",
         f"{STEERING}/request/steer.py",
-        "not call.route.kind.is_idempotent or self._runs",
-        "self._runs",
+        "            not call.route.kind.is_idempotent\n            or self._run_count",
+        "            self._run_count",
         "tests/test_steer.py",
         "-k",
         "may_have_run",
@@ -167,7 +167,7 @@
     Mutation(
         "LOST-repeats",
         f"{STEERING}/request/steer.py",
-        "elif self._steering._departure.is_too_late(call, now):",
+        "elif self._steering._shutdown.is_too_late(call, now):",
         "elif False:",
         "tests/test_departure.py",
     ),
@@ -286,9 +286,9 @@
     Mutation(
         "GONE-owner-is-told",
         f"{STEERING}/request/forward.py",
-        "call.on_disconnect = StreamCut(stream)",
+        "call.on_disconnect = StreamInterrupter(stream)",
         "call.on_disconnect = call.route.kind.is_idempotent and "
-        "StreamCut(stream) or None",
+        "StreamInterrupter(stream) or None",
         "tests/test_callers_that_leave.py",
     ),
     Mutation(
@@ -810,8 +810,8 @@
     Mutation(
         "CONTAINED-known-senders",
         f"{STEERING}/request/containment.py",
-        "return (own,) if is_known else (own, strangers)",
-        "return (own, strangers)",
+        "return (sender_group,) if is_known else (sender_group, unknown_senders_group)",
+        "return (sender_group, unknown_senders_group)",
         "tests/test_containment.py",
         "-k",
         "known_senders_are_not",
@@ -839,7 +839,7 @@
     Mutation(
         "CONTAINED-one-trial",
         f"{STEERING}/request/containment.py",
-        "            if trial.until > now:\n",
+        "            if trial.expires_at > now:\n",
         "            if False:\n",
         "tests/test_containment.py",
         "-k",
@@ -867,8 +867,8 @@
     Mutation(
         "CONTAINED-few-targets",
         f"{STEERING}/request/destinations.py",
-        "confined = self._confined(choice) if call.needs_isolation else None",
-        "confined = None",
+        "isolated = self._isolated(eligible) if call.needs_isolation else None",
+        "isolated = None",
         "tests/test_containment.py",
         "-k",
         "one_of_few",
