--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -13,12 +13,12 @@
 from heathercleat.steering.request.call import Call
 from heathercleat.steering.request.fingerprint import fingerprint
 
-ID_BYTES = 8
+REQUEST_ID_BYTES = 8
 #: Seconds after which a refused client may retry, if there is no better estimate.
-UNKNOWN_RETURN = 0.3
+DEFAULT_RETRY_SECONDS = 0.3
 #: Seconds for which a request waits for the configuration and targets after a start.
-START_PATIENCE = 0.25
-START_POLL = 0.01
+MAX_START_WAIT_SECONDS = 0.25
+START_POLL_SECONDS = 0.01
 
 
 class CallReader:
@@ -31,51 +31,55 @@
         self._node = node
         self._clock = node.clock
 
-    async def read(self, turn):
+    async def read(self, request):
         """Read the body of a request and return its :class:`Call`.
 
-        :param turn: the :class:`PipelinedRequest`, whose body and memory are set.
+        :param request: the :class:`PipelinedRequest`, whose body and memory are set.
         :raises RequestError: with the refusal to send, if it cannot be served.
         """
-        head, arrived_at = turn.head, turn.arrived_at
+        head, arrived_at = request.head, request.arrived_at
         headers = list(head.headers)
         check_framing(headers, ResultCode.BAD_REQUEST)
-        await self._wait_for_start(arrived_at + START_PATIENCE)
+        await self._wait_for_start(arrived_at + MAX_START_WAIT_SECONDS)
         client = parse_client_head(headers)
         route = self._match(head, headers)
-        passed = [each for each in end_to_end(headers) if each[0] != b"content-length"]
+        passed_headers = [
+            each for each in end_to_end(headers) if each[0] != b"content-length"
+        ]
         call = Call(
-            client.request_id or token_hex(ID_BYTES),
+            client.request_id or token_hex(REQUEST_ID_BYTES),
             head.method,
             head.target,
-            passed,
+            passed_headers,
             b"",
             route,
             self._node.choose_service(route),
-            turn.stream,
+            request.stream,
         )
         call.arrived_at = arrived_at
-        call.deadline = arrived_at + min(client.wait, route.timeout)
+        call.deadline = arrived_at + min(client.timeout, route.timeout)
         now = self._clock.now()
         call.stop_estimate = self._node.shutdown.estimate(call, now)
         self._node.shutdown.check(call, now)
-        if turn.body is None:
-            turn.body = await self._read_body(turn, headers, call.deadline)
-        call.body = turn.body
+        if request.body is None:
+            request.body = await self._read_body(request, headers, call.deadline)
+        call.body = request.body
         # The latency objective counts from the first attempt of the client, so that
         # late requests leave the slots to those in time.
-        elapsed = self._node.retry_detector.elapsed(route.name, client.wait)
+        elapsed = self._node.retry_detector.elapsed(route.name, client.timeout)
         call.soft_deadline = arrived_at + route.latency_objective - elapsed
         call.is_client_retry = elapsed > 0.0
         call.affinity = client.affinity
-        call.client_wait = client.wait
-        call.fingerprint = fingerprint(head.method, head.target, passed, turn.body)
+        call.client_wait = client.timeout
+        call.fingerprint = fingerprint(
+            head.method, head.target, passed_headers, request.body
+        )
         return call
 
     async def _wait_for_start(self, until):
         """Wait until the configuration and the targets are known, or ``until``."""
         while not self._node.started and self._clock.now() < until:
-            await sleep(START_POLL)
+            await sleep(START_POLL_SECONDS)
 
     def _match(self, head, headers):
         table = self._node.table
@@ -84,7 +88,7 @@
             raise RequestError(
                 ResultCode.NO_CONFIGURATION,
                 "no configuration is known yet",
-                retry_at=now + UNKNOWN_RETURN,
+                retry_at=now + DEFAULT_RETRY_SECONDS,
             )
         host = next((value for name, value in headers if name == b"host"), b"")
         path = head.target.split(b"?", 1)[0].decode("latin-1")
@@ -94,14 +98,14 @@
             raise RequestError(ResultCode.NO_ROUTE, message)
         return route
 
-    async def _read_body(self, turn, headers, deadline):
+    async def _read_body(self, request, headers, deadline):
         limit = self._node.limits.body_bytes
-        self._hold(turn, int(find(headers, "content-length") or 0))
+        self._reserve(request, int(find(headers, "content-length") or 0))
         try:
-            reading = read_body(turn.stream, limit)
+            reading = read_body(request.stream, limit)
             body = await before(deadline, self._clock, reading)
             # The length of a chunked body is only known now.
-            self._hold(turn, len(body) - turn.held)
+            self._reserve(request, len(body) - request.reserved_bytes)
             return body
         except ValueError as error:
             raise RequestError(ResultCode.BODY_TOO_LARGE, str(error)) from None
@@ -111,7 +115,7 @@
         except h11.RemoteProtocolError as error:
             raise RequestError(ResultCode.BAD_REQUEST, str(error)) from None
 
-    def _hold(self, turn, size):
+    def _reserve(self, request, size):
         """Reserve memory for a body.
 
         :raises RequestError: if other bodies have reserved it.
@@ -120,6 +124,6 @@
             return
         if not self._node.body_memory.take(size):
             message = f"no memory for a body of {size} bytes beside the others"
-            retry_at = self._clock.now() + UNKNOWN_RETURN
+            retry_at = self._clock.now() + DEFAULT_RETRY_SECONDS
             raise RequestError(ResultCode.NO_ROOM, message, retry_at)
-        turn.held += size
+        request.reserved_bytes += size
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -39,18 +39,18 @@
         self._clock = node.clock
         self._reader = CallReader(node)
         self._pipeline = Pipeline(MAX_PIPELINED_REQUESTS, self._abort)
-        self._reading = False
-        self._closed = False
+        self._is_reading = False
+        self._is_closed = False
 
     @property
     def is_busy(self):
         """Return whether a request is being read or served."""
-        return self._reading or self._pipeline.is_busy
+        return self._is_reading or self._pipeline.is_busy
 
     def close_idle(self):
         """Close the connection if it is not busy."""
         if not self.is_busy:
-            self._closed = True
+            self._is_closed = True
             self._abort()
 
     async def cancel_blocking_requests(self):
@@ -61,38 +61,38 @@
         """Read and serve requests until either side closes."""
         try:
             while await self._read_next():
-                self._reading = False
-            self._reading = False
+                self._is_reading = False
+            self._is_reading = False
             await self._pipeline.drain()
-            if self._closed:
+            if self._is_closed:
                 await self._linger()
         except CancelledError:
             await self._pipeline.cancel()
             raise
         except (CallerDisconnectedError, *CONNECTION_ERRORS):
-            self._reading = False
+            self._is_reading = False
             await self._pipeline.drain()
         finally:
-            self._reading = False
-        self._pipeline.check()
+            self._is_reading = False
+        self._pipeline.raise_failure()
 
     async def _read_next(self):
         """Read a request and start to serve it; return whether to read another."""
-        await self._pipeline.make_room()
+        await self._pipeline.wait_for_capacity()
         head = await self._read_head()
         if head is None:
             return False
-        turn = PipelinedRequest(self._stream, head, self._clock.now())
+        request = PipelinedRequest(self._stream, head, self._clock.now())
         if not _may_overlap(head):
-            async with self._pipeline.alone(turn):
-                await self._serve(turn)
-            return await self._follow()
-        turn.body = await read_body(self._stream, 0)
-        goes_on = await self._follow()
-        await self._pipeline.start(turn, self._serve)
-        return goes_on
-
-    async def _follow(self):
+            async with self._pipeline.exclusive(request):
+                await self._serve(request)
+            return await self._switch_stream()
+        request.body = await read_body(self._stream, 0)
+        may_read_more = await self._switch_stream()
+        await self._pipeline.start(request, self._serve)
+        return may_read_more
+
+    async def _switch_stream(self):
         """Switch to the next request; return whether the connection allows one."""
         if not self._stream.is_request_complete:
             await self._linger()
@@ -108,25 +108,25 @@
         async with ignore_after(LINGER_SECONDS):
             await self._stream.linger(LINGER_BYTES)
 
-    async def _serve(self, turn):
+    async def _serve(self, request):
         """Steer a request and send the response."""
         call = None
         try:
-            call = await self._reader.read(turn)
-            answer = await self._steer(turn, call)
-            await self._send(turn, answer.status, answer.headers, answer.body)
-            self._node.request_log.answered(call, answer, self._clock.now())
+            call = await self._reader.read(request)
+            response = await self._steer(request, call)
+            await self._send(request, response.status, response.headers, response.body)
+            self._node.request_log.answered(call, response, self._clock.now())
         except RequestError as error:
             self._node.request_log.refused(call, error, self._clock.now())
-            await self._refuse(turn, error)
+            await self._refuse(request, error)
         except CallerDisconnectedError:
             self._node.request_log.left(call, self._clock.now())
             self._abort()
             raise
         finally:
-            self._node.body_memory.give(turn.held)
+            self._node.body_memory.give(request.reserved_bytes)
 
-    async def _steer(self, turn, call):
+    async def _steer(self, request, call):
         """Return the :class:`TargetResponse` to a call.
 
         :raises RequestError: also if the request is cancelled because it blocks others.
@@ -135,7 +135,7 @@
             try:
                 return await self._node.steer(call)
             except CancelledError:
-                if not turn.given_up:
+                if not request.is_cancelled:
                     raise
                 message = "the VM stops while the answers behind this one are ready"
                 raise RequestError(ResultCode.ANSWER_LOST, message) from None
@@ -147,13 +147,13 @@
         if self._clock.now() >= self._node.shutdown.keep_alive_until:
             # The last pending response closes the connection.
             await self._pipeline.drain()
-        if self._closed:
+        if self._is_closed:
             # Data received before the close may still be buffered.
             return None
-        self._reading = True
-        head_until = self._clock.now() + self._node.limits.header_timeout
+        self._is_reading = True
+        head_deadline = self._clock.now() + self._node.limits.header_timeout
         try:
-            event = await before(head_until, self._clock, self._stream.next_event())
+            event = await before(head_deadline, self._clock, self._stream.next_event())
         except TimeoutError:
             message = "the request head took too long"
             await self._refuse_head(RequestError(ResultCode.SLOW_SENDER, message))
@@ -161,16 +161,16 @@
         except h11.RemoteProtocolError as error:
             await self._refuse_head(head_error(error))
             return None
-        is_request = isinstance(event, h11.Request) and not self._closed
+        is_request = isinstance(event, h11.Request) and not self._is_closed
         return event if is_request else None
 
     async def _wait_for_bytes(self):
         """Wait for data; return whether any arrived before the idle timeout."""
         while True:
-            idle_until = self._clock.now() + self._node.limits.idle_timeout
+            idle_deadline = self._clock.now() + self._node.limits.idle_timeout
             try:
-                waiting = self._stream.wait_closed()
-                return not await before(idle_until, self._clock, waiting)
+                closed_wait = self._stream.wait_closed()
+                return not await before(idle_deadline, self._clock, closed_wait)
             except TimeoutError:
                 if not self._pipeline.is_busy:
                     return False
@@ -183,36 +183,36 @@
             PipelinedRequest(self._stream, None, self._clock.now()), error
         )
 
-    async def _refuse(self, turn, error):
+    async def _refuse(self, request, error):
         """Send the response for a :class:`RequestError`."""
-        if not turn.stream.can_respond:
+        if not request.stream.can_respond:
             self._abort()
             return
         headers = [(b"content-type", b"text/plain")]
         if error.retry_at is not None:
             wait = max(0.0, error.retry_at - self._clock.now())
             headers.extend(retry_after_headers(wait))
-        if not turn.stream.is_request_complete:
+        if not request.stream.is_request_complete:
             headers.append((b"connection", b"close"))
         body = f"{error.code.number} {error.code.name.lower()}\n".encode()
-        await self._send(turn, error.code.status, headers, body)
+        await self._send(request, error.code.status, headers, body)
 
-    async def _send(self, turn, status, headers, body):
+    async def _send(self, request, status, headers, body):
         """Send a response after those to earlier requests."""
-        await turn.come()
+        await request.wait_for_turn()
         headers = [*headers, (b"content-length", str(len(body)).encode())]
-        closes = self._node.leaving and self._pipeline.is_last(turn)
-        if closes and (b"connection", b"close") not in headers:
+        is_closing = self._node.leaving and self._pipeline.is_last(request)
+        if is_closing and (b"connection", b"close") not in headers:
             headers.append((b"connection", b"close"))
-        # The client may repeat requests that were not read before the close.
-        self._closed = self._closed or closes
+        # The client may retry requests that were not read before the close.
+        self._is_closed = self._is_closed or is_closing
         events = [h11.Response(status_code=status, headers=headers)]
         if body:
             events.append(h11.Data(data=body))
-        await turn.stream.send(*events, h11.EndOfMessage())
-        turn.sent = True
-        if closes and turn.task is not None:
-            turn.stream.shutdown_write()
+        await request.stream.send(*events, h11.EndOfMessage())
+        request.is_sent = True
+        if is_closing and request.task is not None:
+            request.stream.shutdown_write()
 
     def _abort(self):
         self._stream.abort()
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -17,12 +17,12 @@
 )
 
 #: Path prefix of table requests; the table name and a version follow.
-STATE_PATH = b"/state/"
+STATE_PATH_PREFIX = b"/state/"
 MAX_BODY_BYTES = 256 << 20
 #: The fastest zlib compression level.
-FAST = 1
+COMPRESSION_LEVEL = 1
 #: Status of a result that carries no response of a target.
-_NO_ANSWER = 200
+_NO_RESPONSE_STATUS = 200
 
 
 class ForwardedConnection:
@@ -30,7 +30,7 @@
 
     :param sock: the accepted curio socket.
     :param local: the :class:`LocalDispatcher`.
-    :param leavers: the :class:`Leavers`, which detects disconnects.
+    :param active_requests: the :class:`ActiveRequests`, which detects disconnects.
     :param snapshot: function that returns the :class:`Snapshot` of a table since a
         version.
     """
@@ -38,7 +38,7 @@
     def __init__(self, sock, local, active_requests, snapshot, clock):
         self._stream = HttpStream(sock, h11.SERVER)
         self._local = local
-        self._leavers = active_requests
+        self._active_requests = active_requests
         self._snapshot = snapshot
         self._clock = clock
 
@@ -57,37 +57,43 @@
         # Durations in the order start when it was sent, not when its body has arrived.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
-        if head.target.startswith(STATE_PATH):
+        if head.target.startswith(STATE_PATH_PREFIX):
             await self._send_state(*parse_state_path(head.target))
         else:
             await self._serve_request(head, body, arrived_at)
         return self._stream.next_cycle()
 
     async def _send_state(self, table, after):
-        await self._send(_NO_ANSWER, [], pack_state(self._snapshot(table, after)))
+        await self._send(
+            _NO_RESPONSE_STATUS, [], pack_state(self._snapshot(table, after))
+        )
 
     async def _serve_request(self, head, body, arrived_at):
         headers = list(head.headers)
         packed = next(value for name, value in headers if name == ORDER_HEADER)
         order = ForwardOrder.unpack(packed)
-        passed = [each for each in end_to_end(headers) if each[0] != b"content-length"]
-        call = call_from_order(order, head, passed, body, self._stream, arrived_at)
-        until = arrived_at + order.wait_for
+        passed_headers = [
+            each for each in end_to_end(headers) if each[0] != b"content-length"
+        ]
+        call = call_from_order(
+            order, head, passed_headers, body, self._stream, arrived_at
+        )
+        wait_until = arrived_at + order.wait_for
         # Shutdown waits for watched calls, so the result is sent before the VM stops.
-        with self._leavers.watch(call):
+        with self._active_requests.watch(call):
             avoid = frozenset(order.avoid)
-            result = await self._local.run(call, order.preferred, avoid, until)
+            result = await self._local.run(call, order.preferred, avoid, wait_until)
             if call.is_disconnected:
-                raise EOFError("the other VM left")
+                raise EOFError("the forwarding VM closed the connection")
             await self._send_result(result)
 
     async def _send_result(self, result):
         if result.outcome is AttemptOutcome.ANSWERED:
-            answer = result.response
-            headers = [*answer.headers, result_header(result)]
-            await self._send(answer.status, headers, answer.body)
+            response = result.response
+            headers = [*response.headers, result_header(result)]
+            await self._send(response.status, headers, response.body)
         else:
-            await self._send(_NO_ANSWER, [result_header(result)], b"")
+            await self._send(_NO_RESPONSE_STATUS, [result_header(result)], b"")
 
     async def _send(self, status, headers, body):
         headers = [*headers, (b"content-length", str(len(body)).encode())]
@@ -102,7 +108,7 @@
 
     :param after: the version; see :func:`parse_state_path`.
     """
-    return f"{STATE_PATH.decode()}{table}/{after}"
+    return f"{STATE_PATH_PREFIX.decode()}{table}/{after}"
 
 
 def parse_state_path(path):
@@ -110,7 +116,7 @@
 
     :raises ValueError: if the version is not a number.
     """
-    table, _, after = path.removeprefix(STATE_PATH).decode().rpartition("/")
+    table, _, after = path.removeprefix(STATE_PATH_PREFIX).decode().rpartition("/")
     return table, int(after)
 
 
@@ -124,7 +130,7 @@
         snapshot.lapsing,
         snapshot.is_whole,
     ]
-    return zlib.compress(msgpack.packb(fields), FAST)
+    return zlib.compress(msgpack.packb(fields), COMPRESSION_LEVEL)
 
 
 def unpack_state(body):
--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -24,12 +24,12 @@
         "head",
         "arrived_at",
         "body",
-        "held",
-        "before",
-        "ready",
-        "given_up",
-        "sent",
-        "over",
+        "reserved_bytes",
+        "previous",
+        "is_ready",
+        "is_cancelled",
+        "is_sent",
+        "finished",
         "task",
     )
 
@@ -39,122 +39,122 @@
         self.arrived_at = arrived_at
         self.body = body
         #: Bytes of memory reserved for the body.
-        self.held = 0
+        self.reserved_bytes = 0
         #: The preceding request while its response is pending, or ``None``.
-        self.before = None
+        self.previous = None
         #: Whether the response is ready, and whether the request was cancelled to
         #: unblock later responses.
-        self.ready = False
-        self.given_up = False
+        self.is_ready = False
+        self.is_cancelled = False
         #: Whether the response was sent, and the event set once it was sent or failed.
-        self.sent = False
-        self.over = Signal()
+        self.is_sent = False
+        self.finished = Signal()
         self.task = None
 
-    async def come(self):
+    async def wait_for_turn(self):
         """Wait until the responses to all preceding requests were sent.
 
         :raises EOFError: if one of them failed, since the client would take this
             response for the missing one.
         """
-        self.ready = True
-        if self.before is None:
+        self.is_ready = True
+        if self.previous is None:
             return
-        await self.before.over.wait()
-        if not self.before.sent:
-            raise EOFError("an answer that goes first was not sent")
-        self.before = None
+        await self.previous.finished.wait()
+        if not self.previous.is_sent:
+            raise EOFError("the response to an earlier request was not sent")
+        self.previous = None
 
 
 class Pipeline:
     """The pending requests of a connection.
 
-    :param most: limit of pending requests; later ones are not read.
+    :param limit: limit of pending requests; later ones are not read.
     :param abort: function that aborts the connection after a failed request.
     """
 
-    def __init__(self, most, abort):
-        self._most = most
+    def __init__(self, limit, abort):
+        self._limit = limit
         self._abort = abort
-        self._turns = deque()
-        self._alone = None
+        self._pending = deque()
+        self._exclusive = None
         self._failure = None
 
     @property
     def is_busy(self):
         """Return whether a response is pending."""
-        return bool(self._turns)
+        return bool(self._pending)
 
-    def is_last(self, turn):
+    def is_last(self, request):
         """Return whether no later request was read."""
-        if self._alone is not None:
-            return self._alone is turn
-        return not self._turns or self._turns[-1] is turn
+        if self._exclusive is not None:
+            return self._exclusive is request
+        return not self._pending or self._pending[-1] is request
 
-    def check(self):
+    def raise_failure(self):
         """Raise the unexpected error of a request task, if there was one."""
         if self._failure is not None:
             raise self._failure
 
-    async def start(self, turn, serve):
+    async def start(self, request, serve):
         """Serve a request concurrently with the pending ones.
 
         :param serve: coroutine function that serves a :class:`PipelinedRequest`.
         """
-        turn.before = self._turns[-1] if self._turns else None
-        self._turns.append(turn)
-        turn.task = await spawn(self._run, turn, serve, daemon=True)
+        request.previous = self._pending[-1] if self._pending else None
+        self._pending.append(request)
+        request.task = await spawn(self._run, request, serve, daemon=True)
 
-    async def make_room(self):
+    async def wait_for_capacity(self):
         """Wait until the number of pending requests is below the limit."""
-        while len(self._turns) >= self._most:
-            await self._turns[0].over.wait()
+        while len(self._pending) >= self._limit:
+            await self._pending[0].finished.wait()
 
     @asynccontextmanager
-    async def alone(self, turn):
+    async def exclusive(self, request):
         """Wait for the pending requests; the block then serves this one alone."""
-        self._alone = turn
+        self._exclusive = request
         try:
             await self.drain()
             yield
         finally:
-            self._alone = None
+            self._exclusive = None
 
     async def drain(self):
         """Wait until no request is pending."""
-        while self._turns:
-            await self._turns[0].over.wait()
+        while self._pending:
+            await self._pending[0].finished.wait()
 
     async def cancel_blocking_requests(self):
         """Cancel the requests that block ready responses.
 
         Otherwise the ready responses would be lost when the process exits.
         """
-        turns = list(self._turns)
-        while turns and not turns[-1].ready:
-            turns.pop()
-        for turn in turns:
-            if not turn.ready:
-                turn.given_up = True
-                await turn.task.cancel(blocking=False)
+        requests = list(self._pending)
+        while requests and not requests[-1].is_ready:
+            requests.pop()
+        for request in requests:
+            if not request.is_ready:
+                request.is_cancelled = True
+                await request.task.cancel(blocking=False)
 
     async def cancel(self):
         """Cancel all pending requests."""
-        for turn in list(self._turns):
-            await turn.task.cancel()
+        for request in list(self._pending):
+            await request.task.cancel()
 
-    async def _run(self, turn, serve):
+    async def _run(self, request, serve):
         try:
-            await serve(turn)
+            await serve(request)
         except (CallerDisconnectedError, *CONNECTION_ERRORS):
             self._abort()
         except CancelledError:
             self._abort()
             raise
         except Exception as error:  # noqa: BLE001
-            # Raised by check() in the task of the connection, for the log.
+            # Raised by raise_failure() in the task of the connection, for the log.
             self._failure = error
             self._abort()
         finally:
-            self._turns.remove(turn)
-            await turn.over.set()
+            self._pending.remove(request)
+            await request.finished.set()
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -31,15 +31,15 @@
 class ClientHead:
     """Parsed headers of a client request.
 
-    :param wait: timeout of the client in seconds.
+    :param timeout: seconds for which the client waits for the response.
     :param affinity: affinity key of the object that is requested, or ``None``.
     """
 
-    __slots__ = ("request_id", "wait", "affinity")
+    __slots__ = ("request_id", "timeout", "affinity")
 
-    def __init__(self, request_id, wait, affinity):
+    def __init__(self, request_id, timeout, affinity):
         self.request_id = request_id
-        self.wait = wait
+        self.timeout = timeout
         self.affinity = affinity
 
 
--- a/src/heathercleat/steering/version/split.py
+++ b/src/heathercleat/steering/version/split.py
@@ -7,11 +7,11 @@
     :param shares: the :class:`Share` of each service.
     """
 
-    __slots__ = ("_credits", "_shares")
+    __slots__ = ("_current_weights", "_shares")
 
     def __init__(self, shares):
         self._shares = shares
-        self._credits = dict.fromkeys((share.service for share in shares), 0.0)
+        self._current_weights = dict.fromkeys((share.service for share in shares), 0.0)
 
     def next(self):
         """Return the service of the next request."""
@@ -19,8 +19,8 @@
             return self._shares[0].service
         total = 0.0
         for share in self._shares:
-            self._credits[share.service] += share.weight
+            self._current_weights[share.service] += share.weight
             total += share.weight
-        chosen = max(self._credits, key=self._credits.get)
-        self._credits[chosen] -= total
+        chosen = max(self._current_weights, key=self._current_weights.get)
+        self._current_weights[chosen] -= total
         return chosen
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -308,7 +308,7 @@
     line.node.leaving = True
     line.client.sendall(b"\x00 bad\r\n\r\n")
     line.settle()
-    assert line.connection._closed
+    assert line.connection._is_closed
     assert line.closed
 
 
@@ -350,11 +350,11 @@
 @pytest.mark.parametrize("sent", [True, False])
 def test_turn_comes_only_after_the_answer_before_it(sent):
     before, turn = PipelinedRequest(None, None, 0.0), PipelinedRequest(None, None, 0.0)
-    before.sent, turn.before = sent, before
+    before.is_sent, turn.previous = sent, before
 
     async def come():
-        await before.over.set()
-        await turn.come()
+        await before.finished.set()
+        await turn.wait_for_turn()
         return True
 
     if sent:
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -92,7 +92,7 @@
 
 def test_client_head_with_a_malformed_wait_has_the_usual_one():
     head = parse_client_head([(b"deadline-ms", b"soon"), (b"cookie", b"a=1")])
-    assert head.wait == 30.0
+    assert head.timeout == 30.0
     assert head.affinity is None
 
 
@@ -103,7 +103,7 @@
         (b"cookie", b"x=y; Affinity-Key=17"),
     ]
     head = parse_client_head(headers)
-    assert (head.request_id, head.wait, head.affinity) == ("r1", 1.2, "17")
+    assert (head.request_id, head.timeout, head.affinity) == ("r1", 1.2, "17")
 
 
 def test_headers_of_the_system_replace_those_of_the_client():
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -192,7 +192,7 @@
     Mutation(
         "LOST-waits-alone",
         f"{STEERING}/connection/pipeline.py",
-        "if self._alone is not None:",
+        "if self._exclusive is not None:",
         "if False:",
         "tests/test_pipelining.py",
         "-k",
@@ -201,7 +201,7 @@
     Mutation(
         "MIXED-order",
         f"{STEERING}/connection/pipeline.py",
-        "if not self.before.sent:",
+        "if not self.previous.is_sent:",
         "if False:",
         "tests/test_pipelining.py",
     ),
