--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -1,4 +1,4 @@
-"""Reads client requests and matches them to routes."""
+"""Reads client requests and matches them with routes."""
 
 from secrets import token_hex
 
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -59,7 +59,7 @@
     :param affinity_until: until when only the affinity targets may run the request.
     :param is_client_retry: whether the client retries a refused request.
     :param affinity: affinity key of the requested object, or ``None``.
-    :param client_wait: timeout that the client sent, in seconds; ``None`` at the owner.
+    :param client_wait: timeout of the client in seconds; ``None`` at the owner.
     :param fingerprint: equal for all retries of a request; see
         :mod:`heathercleat.steering.request.fingerprint`.
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
@@ -132,5 +132,5 @@
         self.attempt_started_at = 0.0
         self.stop_estimate = None
         self.is_disconnected = False
-        #: The :class:`Interruptible` for a disconnect of the client, or ``None``.
+        #: The :class:`Interruptible` to end when the client disconnects, or ``None``.
         self.on_disconnect = None
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -6,15 +6,15 @@
 from heathercleat.steering.request.affinity import AffinityTargets
 from heathercleat.steering.request.eligibility import EligibleTargets
 
-#: From this size on, a target in the own failure domain is preferred to an affinity
-#: target, since sending the body costs more than the cache saves.
+#: From this size on, targets in the failure domain of this VM come before affinity
+#: targets, since sending the body costs more than the cache saves.
 LARGE_BODY_BYTES = 16 << 10
 #: An owner is ruled out if its reported wait exceeds the remaining wait by this factor;
 #: below that the owner decides, since its report may be out of date.
 MAX_WAIT_FACTOR = 2.0
 #: Smallest difference in loss between two regions at which requests move.
 MIN_LOSS_DIFFERENCE = 0.08
-#: Longest remaining wait assumed in seconds for an owner in another region.
+#: Remaining wait in seconds that is assumed for spillover to another region.
 MAX_SPILLOVER_WAIT_SECONDS = 0.1
 #: Share of the slots of a region that is reserved for its own clients.
 RESERVED_SHARE = 0.15
@@ -106,10 +106,10 @@
         return None
 
     def select_queue(self, call, avoid, avoid_vms):
-        """Return the :class:`Destination` to wait at, or ``None``.
+        """Return the :class:`Destination` with the queue to wait in, or ``None``.
 
-        It is the affinity target of the object if there is one, otherwise the owner of
-        this region with the shortest wait.
+        It is that of the affinity target unless the wait is too long there, otherwise
+        the shortest one in this region.
         """
         eligible = self._eligible_targets(call, avoid, avoid_vms)
         max_wait = call.give_up_at - eligible.now
@@ -211,7 +211,7 @@
         return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
     def _shortest_wait(self, eligible, targets, is_usable, max_wait, is_remote):
-        """Return the :class:`Destination` to wait at in a region, or ``None``.
+        """Return the :class:`Destination` with the shortest wait, or ``None``.
 
         :param is_usable: filter for candidates.
         :param max_wait: seconds for which the request may still wait.
@@ -267,14 +267,14 @@
 
         :param is_usable: filter for candidates.
         """
-        now, known = eligible.now, _ids(affinity_targets)
+        now, preferred = eligible.now, _ids(affinity_targets)
         for each in affinity_targets:
             # An owner that does not report to this VM responds without waiting.
             may_have_free_slot = each.capacity.free(
                 now
             ) > 0 or not each.capacity.is_known(now)
             if may_have_free_slot and is_usable(each):
-                return Destination(each.owner, each.entry.id, known, is_remote)
+                return Destination(each.owner, each.entry.id, preferred, is_remote)
         summary = targets.summary(now)
         if not (summary.idle if affinity_targets else summary.free):
             return None
@@ -282,7 +282,7 @@
             (
                 each
                 for each in targets.candidates
-                if self._is_free(each, known, now) and is_usable(each)
+                if self._is_free(each, preferred, now) and is_usable(each)
             ),
             key=lambda each: self._sort_key(each, now),
             default=None,
@@ -290,11 +290,11 @@
         if best is None:
             return None
         target = best.entry.id
-        return Destination(best.owner, target, known or (target,), is_remote)
+        return Destination(best.owner, target, preferred or (target,), is_remote)
 
-    def _is_free(self, candidate, known, now):
+    def _is_free(self, candidate, preferred, now):
         free = candidate.capacity.free(now)
-        return free > 0 and can_take_slot(candidate.entry, free, known)
+        return free > 0 and can_take_slot(candidate.entry, free, preferred)
 
     def _sort_key(self, candidate, now):
         """Return the sort key of a free target, the lowest first."""
@@ -318,12 +318,15 @@
 
         :param region_wait: seconds that the request would wait in this region.
         """
-        known = set()
+        affinity_ids = set()
 
         def is_faster(candidate):
             if not eligible.is_usable(candidate):
                 return False
-            owner, is_affinity_target = candidate.owner, candidate.entry.id in known
+            owner, is_affinity_target = (
+                candidate.owner,
+                candidate.entry.id in affinity_ids,
+            )
             in_time = self._estimates.is_in_time(
                 eligible.call, owner, is_affinity_target
             )
@@ -333,11 +336,11 @@
             (_spare_slots(each.summary(eligible.now)), each)
             for each in eligible.other_region_targets
         ]
-        for capacity, targets in sorted(spare_slots, key=lambda each: -each[0]):
-            if capacity <= 0.0:
+        for spare, targets in sorted(spare_slots, key=lambda each: -each[0]):
+            if spare <= 0.0:
                 return None
             affinity_targets = eligible.affinity_targets(targets)
-            known.update(_ids(affinity_targets))
+            affinity_ids.update(_ids(affinity_targets))
             destination = self._best(
                 eligible, targets, affinity_targets, is_faster, True
             )
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -14,7 +14,7 @@
     TargetResponse,
 )
 
-#: Responses are buffered, so that a truncated one is never passed on as complete.
+#: Limit because responses are buffered, so that truncated ones are not passed on.
 MAX_RESPONSE_BYTES = 64 << 20
 #: Responses to earlier requests that are skipped before the connection is dropped.
 MAX_STALE_RESPONSES = 4
--- a/src/heathercleat/steering/request/fingerprint.py
+++ b/src/heathercleat/steering/request/fingerprint.py
@@ -1,8 +1,8 @@
-"""Digests that identify repeated requests and their senders."""
+"""Digests that identify retried requests and their senders."""
 
 from hashlib import blake2b
 
-#: Headers included in the digest; others may differ between repeats of a request.
+#: Headers included in the digest; others may differ between retries of a request.
 DIGEST_HEADERS = (b"host", b"authorization", b"cookie")
 DIGEST_BYTES = 8
 #: Headers that identify a sender.
@@ -10,7 +10,7 @@
 
 
 def fingerprint(method, path, headers, body):
-    """Return a hexadecimal digest, equal for all repeats of a request.
+    """Return a hexadecimal digest, equal for all retries of a request.
 
     :param path: the request target with its query, as bytes.
     :param headers: pairs of bytes, names in lower case.
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -35,7 +35,7 @@
     """Steers requests of clients.
 
     :param destinations: the :class:`DestinationSelector`, which selects destinations.
-    :param attempt_log: the :class:`Dispatcher`, which makes the attempts.
+    :param dispatcher: the :class:`Dispatcher`, which makes the attempts.
     :param shift: the :class:`RegionShiftLimit`.
     :param budget: function that returns the :class:`RetryBudget` of a service.
     :param response_times: the :class:`ResponseTimes`.
@@ -76,10 +76,10 @@
         :raises CallerDisconnectedError: if the client disconnected.
         """
         self._budget(call.service).record_request(self._clock.now())
-        return await _Run(self, call).run()
+        return await _RequestAttempts(self, call).run()
 
 
-class _Run:
+class _RequestAttempts:
     """The attempts of one request."""
 
     def __init__(self, steering, call):
@@ -137,7 +137,7 @@
             return result
 
     def _next_destination(self, now):
-        """Return the next :class:`Place`, or ``None`` to give up."""
+        """Return the next :class:`Destination`, or ``None`` to give up."""
         if now >= self._call.deadline or self._unsent_count >= MAX_UNSENT_ATTEMPTS:
             return None
         if now >= self._call.give_up_at and self._unsent_count:
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -31,7 +31,8 @@
     def affinity_until(self, call):
         """Return the instant until which only affinity targets are used.
 
-        That is now if other targets, which respond more slowly, would be in time too.
+        It is the arrival of the request if other targets, which respond more slowly,
+        would be in time too.
         """
         route = call.route.name
         longest = RESPONSE_TIME_FACTOR * self._response_times.elsewhere(route)
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -4,7 +4,7 @@
 
 
 class RequestKind(Enum):
-    """RequestKind of the requests of a route; only safe ones may run more than once."""
+    """Kind of requests; only safe ones may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
--- a/src/heathercleat/steering/version/split.py
+++ b/src/heathercleat/steering/version/split.py
@@ -4,7 +4,7 @@
 class Splitter:
     """Smooth weighted round robin, which has less variance than a random choice.
 
-    :param shares: the :class:`Share` of each service.
+    :param shares: the :class:`ServiceShare` of each service.
     """
 
     __slots__ = ("_current_weights", "_shares")
