--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -12,7 +12,7 @@
         """End the wait."""
 
 
-class StreamCut:
+class StreamInterrupter:
     """A wait for a response, interrupted by closing the upstream connection.
 
     :param stream: the :class:`HttpStream` to the target or the owner.
@@ -31,15 +31,15 @@
 class ClientHead:
     """Parsed headers of a client request.
 
-    :param wait: timeout of the client in seconds.
+    :param timeout: seconds for which the client waits for the response.
     :param affinity: affinity key of the object that is requested, or ``None``.
     """
 
-    __slots__ = ("request_id", "wait", "affinity")
+    __slots__ = ("request_id", "timeout", "affinity")
 
-    def __init__(self, request_id, wait, affinity):
+    def __init__(self, request_id, timeout, affinity):
         self.request_id = request_id
-        self.wait = wait
+        self.timeout = timeout
         self.affinity = affinity
 
 
@@ -59,7 +59,7 @@
     :param affinity_until: until when only the affinity targets may run the request.
     :param is_client_retry: whether the client retries a refused request.
     :param affinity: affinity key of the requested object, or ``None``.
-    :param client_wait: timeout that the client sent, in seconds; ``None`` at the owner.
+    :param client_wait: timeout of the client in seconds; ``None`` at the owner.
     :param fingerprint: equal for all retries of a request; see
         :mod:`heathercleat.steering.request.fingerprint`.
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
@@ -132,5 +132,5 @@
         self.attempt_started_at = 0.0
         self.stop_estimate = None
         self.is_disconnected = False
-        #: The :class:`Interruptible` for a disconnect of the client, or ``None``.
+        #: The :class:`Interruptible` to end when the client disconnects, or ``None``.
         self.on_disconnect = None
