--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -24,9 +24,9 @@
 
 #: Expected wait while there is no local slot; a lease may still provide one.
 UNBOUNDED_WAIT = float("inf")
-PUMP_INTERVAL = 0.02
+QUEUE_INTERVAL_SECONDS = 0.02
 #: Minimum of the mean delay after which a refused caller may retry, in seconds.
-MIN_RETURN = 1.0
+MIN_RETRY_DELAY_SECONDS = 1.0
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
         self._queues = {}
         self._waiter_came = Signal()
         self._on_handed_over = None
-        holder.on_lease_gained(self.pump)
+        holder.on_lease_gained(self.admit_queued)
 
     def on_handed_over(self, callback):
         """Call ``await callback(vm, use)`` when a request ends after a handover.
@@ -78,7 +78,7 @@
         """
         self._on_handed_over = callback
 
-    def waiting(self, service):
+    def waiting_count(self, service):
         """Return the number of requests queued for a service."""
         return len(self._queue(service).waiters)
 
@@ -91,26 +91,28 @@
         """
         queue = self._queue(request.service.name)
         if not queue.waiters:
-            permit = self._try(request, avoid, self.expected_wait(request.service))
+            permit = self._try_claim(
+                request, avoid, self.expected_wait(request.service)
+            )
             if permit is not None:
                 self._log_permit(request, permit, 0.0)
                 return permit
         return await self._wait(queue, request, avoid)
 
-    def enter(self, lease_id, deadline):
+    def admit_leased(self, lease_id, deadline):
         """Return a permit for a request that another VM forwards under a lease.
 
         :return: the permit, or ``None`` if the lease has expired or has no free slot.
         """
         if not self._membership.may_act():
             return None
-        use = self._ledger.enter(lease_id, deadline)
+        use = self._ledger.claim_leased(lease_id, deadline)
         if use is None:
             return None
         target = self._ledger.targets[use.target].target
         return LocalPermit(use, target, self._stalls.active_time())
 
-    async def release(self, request, permit, certain):
+    async def release(self, request, permit, is_finished):
         """Release the slot of a permit.
 
         :param certain: whether the target has certainly finished with the request.
@@ -119,21 +121,21 @@
             self._holder.release(permit.lease)
         else:
             held = self._stalls.active_time() - permit.taken_at
-            self._queue(request.service.name).observe(held)
-            receiver = self._ledger.release(permit.use, certain)
+            self._queue(request.service.name).record_hold(held)
+            receiver = self._ledger.release(permit.use, is_finished)
             if receiver is not None:
                 await spawn(self._on_handed_over, receiver, permit.use, daemon=True)
-        await self.pump(request.service.name)
+        await self.admit_queued(request.service.name)
 
-    async def pump(self, service):
+    async def admit_queued(self, service):
         """Assign free slots to the queued requests of a service, in order."""
         queue = self._queue(service)
         now = self._clock.now()
         for waiter in list(queue.waiters):
-            patience = max(
-                now - waiter.since, self.expected_wait(waiter.request.service)
+            max_round_trip = max(
+                now - waiter.queued_at, self.expected_wait(waiter.request.service)
             )
-            permit = self._try(waiter.request, waiter.avoid, patience)
+            permit = self._try_claim(waiter.request, waiter.avoid, max_round_trip)
             if permit is None:
                 return
             queue.remove(waiter)
@@ -147,35 +149,35 @@
         which triggers no call.
         """
         while True:
-            waited_for = [each for each in self._queues.items() if each[1].waiters]
-            for service, queue in waited_for:
-                await self.pump(service)
-                await self._seek(queue, queue.waiters and queue.waiters[0])
-            if not waited_for:
+            busy_queues = [each for each in self._queues.items() if each[1].waiters]
+            for service, queue in busy_queues:
+                await self.admit_queued(service)
+                await self._request_leases(queue, queue.waiters and queue.waiters[0])
+            if not busy_queues:
                 self._waiter_came.clear()
                 await self._waiter_came.wait()
-            await sleep(PUMP_INTERVAL)
+            await sleep(QUEUE_INTERVAL_SECONDS)
 
     def expected_wait(self, service):
         """Return the seconds that a request arriving now would wait for a local slot.
 
         It is infinite while there is no such slot.
         """
-        return self._wait_with(service, self._local_slots(service))
+        return self._estimate_wait(service, self._local_slots(service))
 
-    def _drain_time(self, service):
+    def _wait_with_leases(self, service):
         """Return the expected wait of a new last waiter, in seconds, with leases."""
         slots = self._local_slots(service) + self._leased_slots(service)
-        return self._wait_with(service, slots)
+        return self._estimate_wait(service, slots)
 
-    def _waits_in_vain(self, queue, service, longest):
+    def _would_time_out(self, queue, service, max_wait):
         """Return whether a new last waiter would time out in the queue.
 
         Unless a search for leases found too few slots, more leases may be granted.
         """
-        if self._holder.last_shortfall_at(service.name) < queue.empty_at:
+        if self._holder.last_shortfall_at(service.name) < queue.last_empty_at:
             return False
-        return longest < self._drain_time(service) < UNBOUNDED_WAIT
+        return max_wait < self._wait_with_leases(service) < UNBOUNDED_WAIT
 
     def _local_slots(self, service):
         if not self._membership.may_act():
@@ -184,44 +186,44 @@
         return sum(
             entry.limit(now)
             for entry in self._ledger.of_service(service.name)
-            if not entry.blocked and not self._health.is_slow(entry)
+            if not entry.block_reason and not self._health.is_slow(entry)
         )
 
     def _leased_slots(self, service):
-        return sum(lease.slots for lease in self._holder.held(service.name))
+        return sum(lease.slots for lease in self._holder.leases_for(service.name))
 
-    def _wait_with(self, service, slots):
+    def _estimate_wait(self, service, slots):
         queue = self._queue(service.name)
         if not slots:
             return UNBOUNDED_WAIT
-        return (len(queue.waiters) + 1) * queue.mean_hold / slots
+        return (len(queue.waiters) + 1) * queue.mean_hold_seconds / slots
 
-    def _try(self, request, avoid, patience):
-        permit = self._try_local(request, avoid)
+    def _try_claim(self, request, avoid, max_round_trip):
+        permit = self._claim_local(request, avoid)
         if permit is not None:
             return permit
-        lease = self._holder.take(request.service.name, avoid, patience)
+        lease = self._holder.claim(request.service.name, avoid, max_round_trip)
         return None if lease is None else LeasedPermit(lease)
 
-    def _try_local(self, request, avoid):
+    def _claim_local(self, request, avoid):
         entries = self._free_entries(request, avoid)
         slow = [entry for entry in entries if self._health.is_slow(entry)]
         for entry in slow:
-            if self._health.take_trial(entry):
-                return self._take(entry, request)
+            if self._health.start_trial(entry):
+                return self._claim(entry, request)
         fast = [entry for entry in entries if entry not in slow]
-        return self._take(min(fast, key=self._health.cost, default=None), request)
+        return self._claim(min(fast, key=self._health.cost, default=None), request)
 
-    def _try_slow(self, request, avoid):
+    def _claim_slow(self, request, avoid):
         """Return a permit for a slow target that can respond before the deadline."""
         entries = [
             entry
             for entry in self._free_entries(request, avoid)
             if self._health.is_slow(entry)
-            and self._clock.now() + self._health.of(entry.target.name).latency
+            and self._clock.now() + self._health.health_of(entry.target.name).latency
             < request.deadline
         ]
-        return self._take(min(entries, key=self._health.cost, default=None), request)
+        return self._claim(min(entries, key=self._health.cost, default=None), request)
 
     def _free_entries(self, request, avoid):
         if not self._membership.may_act():
@@ -233,10 +235,10 @@
             if entry.target.name not in avoid and entry.free(now)
         ]
 
-    def _take(self, entry, request):
+    def _claim(self, entry, request):
         if entry is None:
             return None
-        use = self._ledger.take(entry, request.deadline)
+        use = self._ledger.claim(entry, request.deadline)
         if use is None:
             return None
         return LocalPermit(use, entry.target, self._stalls.active_time())
@@ -244,32 +246,34 @@
     async def _wait(self, queue, request, avoid):
         waiter = Waiter(request, avoid, self._clock.now())
         stalled = self._stalls.total_seconds()
-        longest = queue.longest_wait(request.service, waiter.since, stalled)
-        if queue.waiters and self._waits_in_vain(queue, request.service, longest):
-            return self._last_resort(waiter, "wait too long")
-        if not await self._make_place(queue, waiter):
-            return self._last_resort(waiter, "queue full")
+        max_wait = queue.max_wait(request.service, waiter.queued_at, stalled)
+        if queue.waiters and self._would_time_out(queue, request.service, max_wait):
+            return self._claim_slow_or_refuse(waiter, "wait too long")
+        if not await self._enqueue(queue, waiter):
+            return self._claim_slow_or_refuse(waiter, "queue full")
         self._vm.journal.write(
             Event.ROUTE_QUEUED,
             request=request.id,
             service=request.service.name,
             queue=len(queue.waiters),
-            expected_wait=self._round(self.expected_wait(request.service)),
+            expected_wait=self._round_wait(self.expected_wait(request.service)),
         )
-        limit = min(request.deadline, waiter.since + longest)
+        limit = min(request.deadline, waiter.queued_at + max_wait)
         try:
-            await self._seek(queue, waiter)
+            await self._request_leases(queue, waiter)
             await self._wait_until(waiter, limit)
             if waiter.permit is None and not waiter.evicted:
                 # A stall of this process may have used up the time to wait.
-                await self.pump(request.service.name)
+                await self.admit_queued(request.service.name)
         except BaseException:
-            await self._abandon(queue, waiter)
+            await self._cancel_waiter(queue, waiter)
             raise
         queue.remove(waiter)
         if waiter.permit is None:
-            return self._last_resort(waiter, "evicted" if waiter.evicted else "waited")
-        self._log_permit(request, waiter.permit, self._clock.now() - waiter.since)
+            return self._claim_slow_or_refuse(
+                waiter, "evicted" if waiter.evicted else "waited"
+            )
+        self._log_permit(request, waiter.permit, self._clock.now() - waiter.queued_at)
         return waiter.permit
 
     async def _wait_until(self, waiter, limit):
@@ -281,21 +285,21 @@
         if waiter.request.ends_with_caller:
             watcher = await spawn(self._watch_caller, waiter)
         try:
-            await timeout_after(limit - waiter.since, waiter.signal.wait)
+            await timeout_after(limit - waiter.queued_at, waiter.signal.wait)
         except TaskTimeout:
             return
         finally:
             if watcher is not None:
                 await watcher.cancel()
-        if waiter.left:
+        if waiter.caller_left:
             raise CallerDisconnectedError
 
     async def _watch_caller(self, waiter):
         if await waiter.request.stream.wait_closed():
-            waiter.left = True
+            waiter.caller_left = True
             await waiter.signal.set()
 
-    async def _make_place(self, queue, waiter):
+    async def _enqueue(self, queue, waiter):
         """Add ``waiter`` to the queue and return whether it was accepted.
 
         A full queue evicts the request of lowest weight, then of latest deadline.
@@ -304,49 +308,51 @@
         await self._waiter_came.set()
         if len(queue.waiters) <= waiter.request.service.queue_limit:
             return True
-        victim = min(queue.waiters, key=lambda each: each.rank)
-        queue.remove(victim)
-        if victim is waiter:
+        evicted_waiter = min(queue.waiters, key=lambda each: each.eviction_rank)
+        queue.remove(evicted_waiter)
+        if evicted_waiter is waiter:
             return False
-        victim.evicted = True
-        await victim.signal.set()
+        evicted_waiter.evicted = True
+        await evicted_waiter.signal.set()
         return True
 
-    def _last_resort(self, waiter, reason):
+    def _claim_slow_or_refuse(self, waiter, reason):
         """Return a permit for a slow target.
 
         :param reason: logged as the reason of the refusal.
         :raises RequestError: if no slow target is usable.
         """
-        permit = self._try_slow(waiter.request, waiter.avoid)
+        permit = self._claim_slow(waiter.request, waiter.avoid)
         if permit is None:
             raise self._refusal(waiter.request, reason)
-        self._log_permit(waiter.request, permit, self._clock.now() - waiter.since)
+        self._log_permit(waiter.request, permit, self._clock.now() - waiter.queued_at)
         return permit
 
-    async def _abandon(self, queue, waiter):
+    async def _cancel_waiter(self, queue, waiter):
         queue.remove(waiter)
         if waiter.permit is not None:
-            await self.release(waiter.request, waiter.permit, certain=True)
+            await self.release(waiter.request, waiter.permit, is_finished=True)
 
-    async def _seek(self, queue, waiter):
+    async def _request_leases(self, queue, waiter):
         if waiter:
             want = len(queue.waiters)
-            await self._holder.seek(waiter.request.service, want, waiter.avoid)
+            await self._holder.request_leases(
+                waiter.request.service, want, waiter.avoid
+            )
 
     def _refusal(self, request, reason):
         wait = self.expected_wait(request.service)
-        mean = max(MIN_RETURN, 0.0 if wait == UNBOUNDED_WAIT else wait)
+        mean = max(MIN_RETRY_DELAY_SECONDS, 0.0 if wait == UNBOUNDED_WAIT else wait)
         retry_at = self._clock.wall() + uniform(0.5 * mean, 1.5 * mean)
         self._vm.journal.write(
             Event.ROUTE_REFUSED,
             request=request.id,
             service=request.service.name,
             reason=reason,
-            queue=self.waiting(request.service.name),
+            queue=self.waiting_count(request.service.name),
             local=self._local_slots(request.service),
             leased=self._leased_slots(request.service),
-            expected_wait=self._round(wait),
+            expected_wait=self._round_wait(wait),
             retry_at=round(retry_at, 3),
         )
         if request.deadline <= self._clock.now():
@@ -360,8 +366,8 @@
         common = {
             "request": request.id,
             "service": service,
-            "waited": self._round(waited),
-            "queue": self.waiting(service),
+            "waited": self._round_wait(waited),
+            "queue": self.waiting_count(service),
         }
         if isinstance(permit, LeasedPermit):
             lease = permit.lease
@@ -392,5 +398,5 @@
         return queue
 
     @staticmethod
-    def _round(seconds):
+    def _round_wait(seconds):
         return None if seconds == UNBOUNDED_WAIT else round(seconds, 4)
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -13,22 +13,22 @@
 #: Lifetime of a cache entry in seconds; a drain may be noticed this much later.
 CACHE_TTL_SECONDS = 0.2
 #: Maximum number of failure domains besides the best one.
-MAX_FAR_DOMAINS = 3
+MAX_FALLBACK_DOMAINS = 3
 #: Weight of a VM that is not the home of any target; a slot has weight 1.
-LEAST_WEIGHT = 0.01
+MIN_WEIGHT = 0.01
 
 
 @dataclass(slots=True)
 class DomainVms:
     """The entry VMs of one failure domain, weighted by the slots they are the home of.
 
-    ``weighted`` has pairs of VM and weight; ``cumulative`` has the running sums of the
+    ``weighted`` has pairs of VM and weight; ``cumulative_weights`` has the running sums of the
     weights, for :func:`random.choices`.
     """
 
     domain: str
     weighted: list
-    cumulative: list
+    cumulative_weights: list
 
 
 @dataclass(slots=True)
@@ -57,15 +57,15 @@
 
         :param avoided: failure domains to rank last.
         """
-        place = service.name, domain, avoided
-        known = self._candidates.get(place)
+        cache_key = service.name, domain, avoided
+        cached = self._candidates.get(cache_key)
         now = self._clock.now()
         state = self._state()
-        if known is None or known.state != state or known.expires_at <= now:
+        if cached is None or cached.state != state or cached.expires_at <= now:
             domains = list(self._build(service, domain, avoided))
-            known = Candidates(domains, state, now + CACHE_TTL_SECONDS)
-            self._candidates[place] = known
-        return known.domains
+            cached = Candidates(domains, state, now + CACHE_TTL_SECONDS)
+            self._candidates[cache_key] = cached
+        return cached.domains
 
     def _state(self):
         vm = self._vm
@@ -77,27 +77,27 @@
         Those without targets come last.
         """
         reach = DomainRanking(self._vm.text, self._clock.wall(), avoided)
-        found = 0
+        count = 0
         for other in reach.rank_domains(service, domain):
             entries = self._vm.entry_vms(other)
             if not entries:
                 continue
-            weighted = self._weigh(service, other, entries)
-            sums = accumulate(weight or LEAST_WEIGHT for _, weight in weighted)
+            weighted = self._weigh_vms(service, other, entries)
+            sums = accumulate(weight or MIN_WEIGHT for _, weight in weighted)
             yield DomainVms(other, weighted, list(sums))
-            found += 1
-            if found > MAX_FAR_DOMAINS:
+            count += 1
+            if count > MAX_FALLBACK_DOMAINS:
                 return
 
-    def _weigh(self, service, domain, entries):
+    def _weigh_vms(self, service, domain, entries):
         names = tuple(entry.name for entry in entries)
-        place = service.name, domain
+        cache_key = service.name, domain
         state = self._vm.version, names
-        known = self._weights.get(place)
-        if known is None or known[0] != state:
-            known = state, _count_slots(self._vm.text, service, domain, names)
-            self._weights[place] = known
-        weights = known[1]
+        cached = self._weights.get(cache_key)
+        if cached is None or cached[0] != state:
+            cached = state, _count_slots(self._vm.text, service, domain, names)
+            self._weights[cache_key] = cached
+        weights = cached[1]
         return [(entry, weights[entry.name]) for entry in entries]
 
 
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -22,23 +22,23 @@
 
 #: Consecutive failures after which a target is ejected.
 MAX_FAILURES = 3
-FIRST_EJECTION = 1.0
-LONGEST_EJECTION = 30.0
+INITIAL_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 30.0
 LATENCY_WEIGHT = 0.1
-PROBE_INTERVAL = 1.0
-PROBE_TIMEOUT = 1.0
-CHECK_INTERVAL = 0.1
+PROBE_INTERVAL_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 0.1
 MAX_PROBE_BYTES = 4096
-MIN_WARM_UP = 1.0
+MIN_WARM_UP_SECONDS = 1.0
 #: A target is slow if its latency exceeds that of the fastest other target of the
 #: service by this factor and these seconds.
 SLOW_FACTOR = 3.0
-SLOW_LEAST = 0.05
+MIN_SLOW_EXCESS_SECONDS = 0.05
 #: Seconds between requests that test whether a slow target has recovered.
-TRIAL_INTERVAL = 3.0
+TRIAL_INTERVAL_SECONDS = 3.0
 #: Consecutive failed probes after which a target counts as unreachable, unless it has
 #: answered a request recently.
-MAX_SILENT_PROBES = 2
+MAX_FAILED_PROBES = 2
 
 
 @dataclass(slots=True)
@@ -53,10 +53,10 @@
     ejected_until: float = 0.0
     latency: float = 0.0
     probe_state: str = "ready"
-    silent_probes: int = 0
+    failed_probes: int = 0
     answered_at: float = 0.0
     slow: bool = False
-    trial_at: float = 0.0
+    next_trial_at: float = 0.0
 
 
 class HealthTracker:
@@ -72,7 +72,7 @@
         self._clock = clock
         self._targets = {}
 
-    def of(self, name):
+    def health_of(self, name):
         """Return the :class:`TargetHealth` of a target, created on first use."""
         health = self._targets.get(name)
         if health is None:
@@ -83,35 +83,35 @@
         """Return the relative cost of a request; the cheapest free target is used."""
         limit = max(1, entry.target.limit)
         load = (entry.used(self._clock.now()) + 1) / limit
-        return load * (self.of(entry.target.name).latency + 0.001)
+        return load * (self.health_of(entry.target.name).latency + 0.001)
 
     def record_success(self, target, seconds):
         """Record a complete response that took ``seconds``."""
-        health = self.of(target.name)
+        health = self.health_of(target.name)
         health.failures = 0
         health.ejections = 0
         health.answered_at = self._clock.now()
         health.latency += LATENCY_WEIGHT * (seconds - health.latency)
-        self._judge_speed(target, health, seconds)
+        self._update_slow(target, health, seconds)
 
     def is_slow(self, entry):
         """Return whether a target is so slow that it is only used as a last resort."""
-        health = self.of(entry.target.name)
+        health = self.health_of(entry.target.name)
         if not health.slow:
             return False
         # The other targets may have become as slow since its last response.
-        limit = self._slow_limit(entry.target)
+        limit = self._slow_threshold(entry.target)
         return limit is not None and health.latency > limit
 
-    def take_trial(self, entry):
+    def start_trial(self, entry):
         """Return whether to send a trial request to a slow target now.
 
         Starts a new interval if so.
         """
-        health, now = self.of(entry.target.name), self._clock.now()
-        if now < health.trial_at:
+        health, now = self.health_of(entry.target.name), self._clock.now()
+        if now < health.next_trial_at:
             return False
-        health.trial_at = now + TRIAL_INTERVAL
+        health.next_trial_at = now + TRIAL_INTERVAL_SECONDS
         return True
 
     def record_refusal(self, target):
@@ -125,14 +125,16 @@
 
         :param reason: the kind of failure; ``"status"`` for an error response.
         """
-        health = self.of(target.name)
+        health = self.health_of(target.name)
         health.failures += 1
         now = self._clock.now()
         if health.failures < MAX_FAILURES or now < health.ejected_until:
             return
         if reason == "status" and not self._may_eject(target):
             return
-        length = min(LONGEST_EJECTION, FIRST_EJECTION * 2**health.ejections)
+        length = min(
+            MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**health.ejections
+        )
         health.ejections += 1
         health.failures = 0
         health.ejected_until = now + uniform(0.8, 1.2) * length
@@ -144,7 +146,7 @@
             ejections=health.ejections,
             seconds=round(health.ejected_until - now, 3),
         )
-        self.check(now)
+        self.update_blocked(now)
 
     async def run(self):
         """Apply drains and ejections and probe each homed target, forever."""
@@ -152,25 +154,25 @@
         async with TaskGroup() as group:
             while True:
                 now = self._clock.now()
-                self.check(now)
+                self.update_blocked(now)
                 for name, entry in list(self._ledger.targets.items()):
-                    if probed_at.get(name, 0.0) + PROBE_INTERVAL <= now:
+                    if probed_at.get(name, 0.0) + PROBE_INTERVAL_SECONDS <= now:
                         probed_at[name] = now
                         await group.spawn(self._probe, entry.target, daemon=True)
-                await sleep(CHECK_INTERVAL)
+                await sleep(CHECK_INTERVAL_SECONDS)
 
-    def check(self, now):
+    def update_blocked(self, now):
         """Block the targets that must get no new requests and unblock the others."""
         text = self._vm.text
         if text is None:
             return
         wall = self._clock.wall()
         for entry in self._ledger.targets.values():
-            self._set_blocked(entry, self._reason(entry, text, now, wall))
+            self._set_block_reason(entry, self._block_reason(entry, text, now, wall))
 
-    def _judge_speed(self, target, health, seconds):
+    def _update_slow(self, target, health, seconds):
         """Update whether a target is slow after a response that took ``seconds``."""
-        limit = self._slow_limit(target)
+        limit = self._slow_threshold(target)
         if limit is None:
             health.slow = False
         elif health.slow and seconds <= limit:
@@ -181,23 +183,26 @@
                 self._warm_up(entry)
             self._log_speed(Event.TARGET_FAST, target, seconds, limit)
         elif not health.slow and health.latency > limit:
-            health.slow, health.trial_at = True, self._clock.now() + TRIAL_INTERVAL
+            health.slow, health.next_trial_at = (
+                True,
+                self._clock.now() + TRIAL_INTERVAL_SECONDS,
+            )
             self._log_speed(Event.TARGET_SLOW, target, health.latency, limit)
 
-    def _slow_limit(self, target):
+    def _slow_threshold(self, target):
         """Return the latency in seconds above which a target is slow.
 
         It is ``None`` while no other target of the service has a latency.
         """
         latencies = [
-            self.of(entry.target.name).latency
+            self.health_of(entry.target.name).latency
             for entry in self._ledger.of_service(target.service)
-            if entry.target.name != target.name and not entry.blocked
+            if entry.target.name != target.name and not entry.block_reason
         ]
         fastest = min((each for each in latencies if each), default=None)
         if fastest is None:
             return None
-        return SLOW_FACTOR * fastest + SLOW_LEAST
+        return SLOW_FACTOR * fastest + MIN_SLOW_EXCESS_SECONDS
 
     def _log_speed(self, event, target, seconds, limit):
         self._vm.journal.write(
@@ -208,33 +213,37 @@
             limit=round(limit, 4),
         )
 
-    def _reason(self, entry, text, now, wall):
+    def _block_reason(self, entry, text, now, wall):
         drain = text.find_drain(entry.target, wall)
         if drain is not None:
             return f"drain {drain.id}"
-        health = self.of(entry.target.name)
+        health = self.health_of(entry.target.name)
         if now < health.ejected_until:
             return "ejected"
         if health.probe_state != "ready":
             return health.probe_state
-        recent = now - health.answered_at < PROBE_INTERVAL
-        if health.silent_probes >= MAX_SILENT_PROBES and not recent:
+        recent = now - health.answered_at < PROBE_INTERVAL_SECONDS
+        if health.failed_probes >= MAX_FAILED_PROBES and not recent:
             return "unreachable"
         return None
 
-    def _set_blocked(self, entry, reason):
-        if entry.blocked == reason:
+    def _set_block_reason(self, entry, reason):
+        if entry.block_reason == reason:
             return
-        came_back = reason is None and not entry.blocked.startswith("drain")
-        name, before_, entry.blocked = entry.target.name, entry.blocked, reason
-        if came_back:
+        has_recovered = reason is None and not entry.block_reason.startswith("drain")
+        name, before_, entry.block_reason = (
+            entry.target.name,
+            entry.block_reason,
+            reason,
+        )
+        if has_recovered:
             self._warm_up(entry)
         event = Event.TARGET_RETURNED if reason is None else Event.TARGET_DRAINING
         self._vm.journal.write(event, target=name, reason=reason, before=before_)
 
     def _warm_up(self, entry):
         service = self._vm.text.services.get(entry.target.service)
-        seconds = max(MIN_WARM_UP, service.warm_up if service else 0.0)
+        seconds = max(MIN_WARM_UP_SECONDS, service.warm_up if service else 0.0)
         entry.start_warm_up(self._clock.now(), seconds)
 
     def _may_eject(self, target):
@@ -243,22 +252,24 @@
         If requests fail on most targets, the requests are the likely cause.
         """
         entries = self._ledger.of_service(target.service)
-        blocked = sum(1 for entry in entries if entry.blocked)
+        blocked = sum(1 for entry in entries if entry.block_reason)
         return len(entries) == 1 or (blocked + 1) * 2 <= len(entries)
 
     async def _probe(self, target):
-        health = self.of(target.name)
+        health = self.health_of(target.name)
         try:
-            deadline = self._clock.now() + PROBE_TIMEOUT
-            answer = await before(deadline, self._clock, self._ask(target, deadline))
+            deadline = self._clock.now() + PROBE_TIMEOUT_SECONDS
+            answer = await before(
+                deadline, self._clock, self._send_probe(target, deadline)
+            )
             state = msgpack.unpackb(answer.body)["state"]
         except (TimeoutError, ValueError, KeyError, TypeError, *CONNECTION_ERRORS):
-            health.silent_probes += 1
+            health.failed_probes += 1
             return
-        health.silent_probes = 0
+        health.failed_probes = 0
         health.probe_state = state
 
-    async def _ask(self, target, deadline):
+    async def _send_probe(self, target, deadline):
         source = self._vm.settings.address
         stream = await connect(target.host, target.port, deadline, self._clock, source)
         try:
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -15,14 +15,18 @@
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
 from heathercleat.process.capacity.occupancy import OccupancyBound, occupied_until
-from heathercleat.process.capacity.slots import CANCEL_GRACE, CLOCK_SKEW, Hold
+from heathercleat.process.capacity.slots import (
+    CANCEL_GRACE_SECONDS,
+    MAX_CLOCK_SKEW_SECONDS,
+    Hold,
+)
 from heathercleat.process.clock import from_wall, to_wall
 from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
 from heathercleat.version.version_transition import VersionTransition
 
-CHECK_INTERVAL = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 #: Seconds between attempts to report to the new home that a request has ended.
-TELL_INTERVAL = 0.25
+REPORT_INTERVAL_SECONDS = 0.25
 #: Seconds for which a handover is kept while other VMs don't respond; an unresponsive
 #: VM is declared dead within this time.
 HANDOVER_RETENTION_SECONDS = DEAD_AFTER + HOME_LEASE_SECONDS
@@ -62,7 +66,7 @@
         self._clock = clock
         self._acquiring = set()
         self._contested = set()
-        self._kept = {}
+        self._pending = {}
         self._released = set()
         self._transition = VersionTransition()
         self._desired_state = None
@@ -72,18 +76,18 @@
         """Acquire targets as the configuration and the membership change, forever."""
         while True:
             if self._vm.text is not None:
-                self._follow_text()
+                self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
                 if self._vm.directory.known and self._membership.may_act():
                     await self._acquire_missing()
-                    await self._publisher.follow(dict(self._holds()))
-            await sleep(CHECK_INTERVAL)
+                    await self._publisher.follow(dict(self._hold_ends()))
+            await sleep(CHECK_INTERVAL_SECONDS)
 
     def drop_all(self):
         """Stop being the home of every target, without a handover."""
         self._vm.journal.write(Event.HOMES_DROPPED, targets=len(self._ledger.targets))
         self._ledger.drop_all()
-        self._kept.clear()
+        self._pending.clear()
         self._released.clear()
 
     def hand_over(self, receiver, names):
@@ -102,9 +106,9 @@
         for name in names:
             handed_over = self._ledger.hand_over(name, receiver)
             if handed_over is None:
-                for kept in self._take_kept(name):
-                    targets.setdefault(name, []).extend(kept.holds)
-                    levels.setdefault(name, []).extend(kept.levels)
+                for pending in self._pop_pending(name):
+                    targets.setdefault(name, []).extend(pending.holds)
+                    levels.setdefault(name, []).extend(pending.levels)
                 continue
             targets[name] = [
                 [hold.use_id, to_wall(self._clock, hold.until), hold.failure_domain]
@@ -119,20 +123,20 @@
                 receiver=receiver,
                 uses=len(handed_over.holds),
             )
-        vouched = [astuple(each) for each in self._records.vouched(names)]
-        return Handover(targets, levels, vouched)
+        bounds = [astuple(each) for each in self._records.bounds_for(names)]
+        return Handover(targets, levels, bounds)
 
     async def report_released(self, receiver, use):
         """Report to the new home of a target that a handed-over request has ended.
 
         Retries until the new home responds or its hold for the request has expired.
         """
-        while not await self._tell_released(receiver, use):
-            if self._clock.now() >= use.deadline + CANCEL_GRACE:
+        while not await self._send_released(receiver, use):
+            if self._clock.now() >= use.deadline + CANCEL_GRACE_SECONDS:
                 return
-            await sleep(TELL_INTERVAL)
+            await sleep(REPORT_INTERVAL_SECONDS)
 
-    async def _tell_released(self, receiver, use):
+    async def _send_released(self, receiver, use):
         member = self._membership.members.get(receiver)
         if member is None:
             return True
@@ -147,11 +151,11 @@
 
         The report may arrive before this VM has adopted the target.
         """
-        if target in self._acquiring or target in self._kept:
+        if target in self._acquiring or target in self._pending:
             self._released.add((target, use_id))
         self._ledger.release_hold(target, use_id)
 
-    def _follow_text(self):
+    def _apply_configuration(self):
         """Apply the limits of the configuration.
 
         While a new version spreads, the smaller of the old and new limits apply.
@@ -202,9 +206,9 @@
         self._acquiring = set(names)
         self._contested = set()
         try:
-            handovers = await self._ask_all(names)
+            handovers = await self._request_handovers(names)
             # The earlier homes keep no copy of what they handed over.
-            self._keep(handovers)
+            self._add_pending(handovers)
             if None in handovers or not self._membership.may_act():
                 return
             for service, target in missing:
@@ -212,41 +216,43 @@
                     self._adopt(service, target, handovers)
         finally:
             self._acquiring = set()
-            self._released = {each for each in self._released if each[0] in self._kept}
+            self._released = {
+                each for each in self._released if each[0] in self._pending
+            }
 
-    async def _ask_all(self, names):
+    async def _request_handovers(self, names):
         """Request a handover from every running VM.
 
         :return: a list, with ``None`` for each VM that doesn't respond.
         """
-        question = AcquireTargets(self._vm.name, names)
+        request = AcquireTargets(self._vm.name, names)
         async with TaskGroup() as group:
             tasks = [
-                await group.spawn(self._ask, member.host, question)
+                await group.spawn(self._request_handover, member.host, request)
                 for member in self._membership.running()
             ]
         return [task.result for task in tasks]
 
-    async def _ask(self, host, question):
+    async def _request_handover(self, host, request):
         try:
-            return await self._links.call(host, question)
+            return await self._links.call(host, request)
         except PeerError:
             return None
 
-    def _keep(self, handovers):
+    def _add_pending(self, handovers):
         until = self._clock.now() + HANDOVER_RETENTION_SECONDS
         for handover in handovers:
             if handover is None:
                 continue
             for name, holds in handover.targets.items():
-                kept = PendingHandover(holds, handover.levels[name], until)
-                self._kept.setdefault(name, []).append(kept)
+                pending = PendingHandover(holds, handover.levels[name], until)
+                self._pending.setdefault(name, []).append(pending)
 
-    def _take_kept(self, name):
+    def _pop_pending(self, name):
         now = self._clock.now()
         return [
             replace(each, holds=list(self._unreleased(name, each.holds)))
-            for each in self._kept.pop(name, ())
+            for each in self._pending.pop(name, ())
             if now < each.until
         ]
 
@@ -258,16 +264,18 @@
 
     def _adopt(self, service, target, handovers):
         holds, levels = [], []
-        kept = self._take_kept(target.name)
-        for each in kept:
+        pending = self._pop_pending(target.name)
+        for each in pending:
             for use_id, wall, domain in each.holds:
-                until = from_wall(self._clock, wall) + CLOCK_SKEW
+                until = from_wall(self._clock, wall) + MAX_CLOCK_SKEW_SECONDS
                 holds.append(Hold(until, use_id, domain))
             for wall, level in each.levels:
-                levels.append((from_wall(self._clock, wall) + CLOCK_SKEW, level))
-        if not kept:
+                levels.append(
+                    (from_wall(self._clock, wall) + MAX_CLOCK_SKEW_SECONDS, level)
+                )
+        if not pending:
             until = self._occupied_until(service, target, handovers)
-            until += CLOCK_SKEW + CANCEL_GRACE
+            until += MAX_CLOCK_SKEW_SECONDS + CANCEL_GRACE_SECONDS
             holds = [Hold(until) for _ in range(target.slots)]
         self._ledger.adopt(
             self._transition.target(target),
@@ -279,23 +287,23 @@
             Event.HOME_ADOPTED,
             target=target.name,
             service=service.name,
-            handed_over=bool(kept),
+            handed_over=bool(pending),
             held=len(holds),
-            seconds=round(self._held_for(holds), 3),
+            seconds=round(self._hold_seconds(holds), 3),
         )
 
     def _occupied_until(self, service, target, handovers):
-        vouched = list(self._records.vouched([target.name]))
+        bounds = list(self._records.bounds_for([target.name]))
         for handover in handovers:
-            told = (OccupancyBound(*fields) for fields in handover.vouched)
-            vouched.extend(each for each in told if each.target == target.name)
-        return occupied_until(self._clock, service, vouched)
+            reported = (OccupancyBound(*fields) for fields in handover.vouched)
+            bounds.extend(each for each in reported if each.target == target.name)
+        return occupied_until(self._clock, service, bounds)
 
-    def _held_for(self, holds):
+    def _hold_seconds(self, holds):
         now = self._clock.now()
         return max((hold.until - now for hold in holds), default=0.0)
 
-    def _holds(self):
+    def _hold_ends(self):
         """Yield each homed target and the instant until which holds may occupy it."""
         for name, entry in self._ledger.targets.items():
             yield name, max((hold.until for hold in entry.holds), default=0.0)
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -23,19 +23,19 @@
 from heathercleat.process.clock import DISTANT_PAST, from_wall, to_wall
 
 #: Seconds for which a lease is granted or renewed.
-LEASE_TTL = 1.0
+LEASE_TTL_SECONDS = 1.0
 #: Seconds before expiry at which a lease in use is renewed.
-RENEW_BEFORE = 0.5
+RENEW_BEFORE_SECONDS = 0.5
 #: Seconds after which unused slots are returned to their home.
-IDLE_AFTER = 0.05
+IDLE_AFTER_SECONDS = 0.05
 #: Minimum seconds for which a VM without a free slot isn't asked again; up to twice as
 #: long with jitter.
-FULL_FOR = 0.05
+MIN_FULL_SECONDS = 0.05
 #: Slots of a service that are not leased to other failure domains.
 LOCAL_RESERVE = 1
 #: Maximum number of failure domains, nearest first, that a search includes.
 MAX_DOMAINS = 6
-CHECK_INTERVAL = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(slots=True)
@@ -64,21 +64,21 @@
     @property
     def idle_at(self):
         """Return the instant at which slots beyond the peak count as idle."""
-        return self.peak_from + IDLE_AFTER
+        return self.peak_from + IDLE_AFTER_SECONDS
 
-    def take(self):
+    def claim(self):
         """Use one slot."""
         self.in_use += 1
         self.peak = max(self.peak, self.in_use)
 
-    def trim(self, now):
+    def shrink_to_peak(self, now):
         """Reduce the lease to its recent peak and return whether that freed slots."""
         unused = self.slots > self.peak
         self.slots = min(self.slots, self.peak)
         self.peak, self.peak_from = self.in_use, now
         return unused
 
-    def has_room(self, now):
+    def has_free_slot(self, now):
         """Return whether a slot is free for a request that arrives before expiry."""
         return self.in_use < self.slots and now + self.distance < self.expires_at
 
@@ -90,11 +90,11 @@
     :param health: the health of the targets; slow targets are not leased.
     """
 
-    def __init__(self, vm, ledger, membership, waiting, health, clock):
+    def __init__(self, vm, ledger, membership, waiting_count, health, clock):
         self._vm = vm
         self._ledger = ledger
         self._membership = membership
-        self._waiting = waiting
+        self._waiting_count = waiting_count
         self._health = health
         self._clock = clock
 
@@ -105,7 +105,9 @@
         """
         lease = self._find(request, holder, failure_domain)
         if lease is None:
-            full_until = self._clock.wall() + uniform(FULL_FOR, 2 * FULL_FOR)
+            full_until = self._clock.wall() + uniform(
+                MIN_FULL_SECONDS, 2 * MIN_FULL_SECONDS
+            )
             self._vm.journal.write(
                 Event.LEASE_DENIED,
                 service=request.service,
@@ -131,7 +133,7 @@
         """
         lease = None
         if self._membership.may_act():
-            lease = self._ledger.renew(lease_id, self._clock.now() + LEASE_TTL)
+            lease = self._ledger.renew(lease_id, self._clock.now() + LEASE_TTL_SECONDS)
         if lease is None:
             return LeaseGrant(0, "", 0, 0.0, 0.0)
         self._shrink(lease)
@@ -140,11 +142,11 @@
     def _shrink(self, lease):
         """Reclaim half of a lease if requests are queued for the service here."""
         target = self._ledger.targets[lease.target].target
-        if lease.slots > 1 and self._waiting(target.service):
+        if lease.slots > 1 and self._waiting_count(target.service):
             lease.slots -= lease.slots // 2
 
     def _find(self, request, holder, failure_domain):
-        if not self._membership.may_act() or self._waiting(request.service):
+        if not self._membership.may_act() or self._waiting_count(request.service):
             return None
         now = self._clock.now()
         entries = [
@@ -160,7 +162,7 @@
             return None
         entry = max(entries, key=lambda entry: entry.grantable(failure_domain, now))
         want = min(request.want, room)
-        expires_at = now + LEASE_TTL
+        expires_at = now + LEASE_TTL_SECONDS
         return self._ledger.grant(entry, holder, failure_domain, want, expires_at)
 
     def _to_grant(self, lease):
@@ -177,17 +179,17 @@
         self._directory = directory
         self._clock = clock
         self._leases = {}
-        self._seeking = set()
+        self._searching = set()
         self._full_until = {}
-        self._short_at = {}
-        self._on_room = None
-        self._gained = Signal()
+        self._last_shortfall_at = {}
+        self._on_lease_gained = None
+        self._lease_gained = Signal()
 
     def on_lease_gained(self, callback):
         """Call ``await callback(service_name)`` whenever a lease is granted."""
-        self._on_room = callback
+        self._on_lease_gained = callback
 
-    def held(self, service):
+    def leases_for(self, service):
         """Return the leases held for a service."""
         return self._leases.get(service, [])
 
@@ -196,9 +198,9 @@
 
         It is negative infinity if that has never happened.
         """
-        return self._short_at.get(service, DISTANT_PAST)
+        return self._last_shortfall_at.get(service, DISTANT_PAST)
 
-    def take(self, service, avoid, patience):
+    def claim(self, service, avoid, max_round_trip):
         """Use a slot of the nearest lease that has a free one.
 
         :param avoid: names of targets not to use.
@@ -206,37 +208,37 @@
         :return: the :class:`HeldLease`, or ``None``.
         """
         now = self._clock.now()
-        fitting = [
+        usable = [
             lease
-            for lease in self.held(service)
-            if lease.has_room(now)
+            for lease in self.leases_for(service)
+            if lease.has_free_slot(now)
             and lease.target not in avoid
-            and 2 * lease.distance <= patience
+            and 2 * lease.distance <= max_round_trip
         ]
-        lease = min(fitting, key=lambda lease: lease.distance, default=None)
+        lease = min(usable, key=lambda lease: lease.distance, default=None)
         if lease is not None:
-            lease.take()
+            lease.claim()
         return lease
 
     def release(self, lease):
         """Release a slot of a lease."""
         lease.in_use -= 1
 
-    def end(self, lease):
+    def discard(self, lease):
         """Drop a lease that its granter no longer accepts."""
         held = self._leases.get(lease.service, [])
         if lease in held:
             held.remove(lease)
 
-    async def seek(self, service, want, avoid=()):
+    async def request_leases(self, service, want, avoid=()):
         """Start a search for ``want`` slots unless one is running for the service.
 
         :param avoid: names of targets not to lease.
         """
-        if service.name in self._seeking:
+        if service.name in self._searching:
             return
-        self._seeking.add(service.name)
-        await spawn(self._seek, service, want, list(avoid), daemon=True)
+        self._searching.add(service.name)
+        await spawn(self._search, service, want, list(avoid), daemon=True)
 
     async def run(self):
         """Renew leases in use, return idle slots and drop expired leases, forever."""
@@ -246,21 +248,21 @@
                 for lease in list(leases):
                     await self._maintain(lease, leases, now)
             if not any(self._leases.values()):
-                self._gained.clear()
-                await self._gained.wait()
-            await sleep(CHECK_INTERVAL)
+                self._lease_gained.clear()
+                await self._lease_gained.wait()
+            await sleep(CHECK_INTERVAL_SECONDS)
 
     async def _maintain(self, lease, leases, now):
         if now >= lease.expires_at:
             leases.remove(lease)
             return
         # A pending renewal could restore the slots that are returned meanwhile.
-        if not lease.renewing and now >= lease.idle_at and lease.trim(now):
+        if not lease.renewing and now >= lease.idle_at and lease.shrink_to_peak(now):
             item = LeaseReturn(lease.id, lease.slots)
             await spawn(self._call, lease.host, item, daemon=True)
         if not lease.slots:
             leases.remove(lease)
-        elif not lease.renewing and lease.expires_at - now < RENEW_BEFORE:
+        elif not lease.renewing and lease.expires_at - now < RENEW_BEFORE_SECONDS:
             lease.renewing = True
             await spawn(self._renew, lease, daemon=True)
 
@@ -271,20 +273,20 @@
             lease.slots = grant.slots
             lease.expires_at = from_wall(self._clock, grant.expires_at)
         elif grant is not None:
-            self.end(lease)
+            self.discard(lease)
 
-    async def _seek(self, service, want, avoid):
+    async def _search(self, service, want, avoid):
         try:
             for entry, distance in self._candidates(service):
                 if want <= 0:
                     return
-                want -= await self._ask(service, entry, distance, want, avoid)
+                want -= await self._request_lease(service, entry, distance, want, avoid)
             if want > 0:
-                self._short_at[service.name] = self._clock.now()
+                self._last_shortfall_at[service.name] = self._clock.now()
         finally:
-            self._seeking.discard(service.name)
+            self._searching.discard(service.name)
 
-    async def _ask(self, service, entry, distance, want, avoid):
+    async def _request_lease(self, service, entry, distance, want, avoid):
         """Request a lease from one VM and return the number of granted slots."""
         request = LeaseRequest(service.name, want, avoid)
         grant = await self._call(entry.host, request)
@@ -296,7 +298,7 @@
             return 0
         lease = self._to_lease(service, entry, distance, grant)
         self._leases.setdefault(service.name, []).append(lease)
-        await self._gained.set()
+        await self._lease_gained.set()
         self._vm.journal.write(
             Event.LEASE_TAKEN,
             service=service.name,
@@ -306,8 +308,8 @@
             slots=lease.slots,
             want=want,
         )
-        if self._on_room is not None:
-            await self._on_room(service.name)
+        if self._on_lease_gained is not None:
+            await self._on_lease_gained(service.name)
         return lease.slots
 
     def _to_lease(self, service, entry, distance, grant):
@@ -332,9 +334,9 @@
 
     def _candidates(self, service):
         """Yield ``(VM, distance)`` of VMs that may grant a lease, nearest first."""
-        yield from self._with_room(service, self._reachable(self._homes(service)))
+        yield from self._skip_full(service, self._reachable(self._find_homes(service)))
 
-    def _homes(self, service):
+    def _find_homes(self, service):
         text, here = self._vm.text, self._vm.settings.failure_domain
         domains = {target.failure_domain for target in service.targets.values()}
         for domain in text.nearest(here, domains)[:MAX_DOMAINS]:
@@ -355,7 +357,7 @@
             if self._links.to(entry.host).is_reachable:
                 yield entry, distance
 
-    def _with_room(self, service, homes):
+    def _skip_full(self, service, homes):
         for entry, distance in homes:
             full_until = self._full_until.get((service.name, entry.name), 0.0)
             if full_until <= self._clock.now():
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -33,18 +33,18 @@
 class OccupancyBound:
     """The bound that a monitor knows for a target of a failed home.
 
-    The target may be occupied until ``until``, in epoch seconds. ``gone`` means that
+    The target may be occupied until ``until``, in epoch seconds. ``has_exited`` means that
     the process of the home has exited, and its own requests with it.
     """
 
     target: str
     home: str
     until: float
-    gone: bool
+    has_exited: bool
 
 
 @dataclass(slots=True)
-class Told:
+class AcknowledgedEdition:
     """The edition of the bounds that an incarnation of a monitor acknowledged."""
 
     incarnation: int
@@ -65,10 +65,10 @@
         self._links = links
         self._clock = clock
         self._until = {}
-        self._held = {}
+        self._inherited_until = {}
         self._editions = {}
         self._edition = 0
-        self._told = {}
+        self._acknowledged = {}
         self._lock = Lock()
 
     async def ensure(self, target, deadline):
@@ -82,11 +82,11 @@
         async with self._lock:
             if self._until.get(target, 0.0) < deadline:
                 self._set(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
-            if not await self._tell_all(self._editions[target]):
+            if not await self._announce_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
 
-    async def follow(self, holds):
+    async def update(self, holds):
         """Announce the targets homed here if they or the monitors have changed.
 
         :param holds: ``{target name: instant}`` until which requests admitted by
@@ -95,59 +95,65 @@
         async with self._lock:
             for target in [name for name in self._until if name not in holds]:
                 del self._until[target]
-                self._held.pop(target, None)
+                self._inherited_until.pop(target, None)
                 del self._editions[target]
                 self._edition += 1
             for target, until in holds.items():
-                if until > self._held.get(target, DISTANT_PAST):
-                    self._held[target] = until
+                if until > self._inherited_until.get(target, DISTANT_PAST):
+                    self._inherited_until[target] = until
                     self._set(target, max(until, self._until.get(target, DISTANT_PAST)))
-            if self._until or self._told:
-                await self._tell_all(self._edition)
+            if self._until or self._acknowledged:
+                await self._announce_all(self._edition)
 
     def _set(self, target, until):
         self._edition += 1
         self._until[target] = until
         self._editions[target] = self._edition
 
-    async def _tell_all(self, edition):
+    async def _announce_all(self, edition):
         """Announce an edition to the monitors that have not acknowledged it.
 
         :return: whether all of them acknowledged.
         """
         monitors = self._membership.responsive_monitors()
         names = {member.vm for member in monitors}
-        self._told = {name: told for name, told in self._told.items() if name in names}
-        missing = [each for each in monitors if not self._knows(each, edition)]
+        self._acknowledged = {
+            name: acknowledged
+            for name, acknowledged in self._acknowledged.items()
+            if name in names
+        }
+        missing = [
+            each for each in monitors if not self._has_acknowledged(each, edition)
+        ]
         if not missing:
             return True
         async with TaskGroup() as group:
-            tasks = [await group.spawn(self._tell, member) for member in missing]
+            tasks = [await group.spawn(self._announce, member) for member in missing]
         return all(task.result for task in tasks)
 
-    def _knows(self, member, edition):
-        told = self._told.get(member.vm)
+    def _has_acknowledged(self, member, edition):
+        acknowledged = self._acknowledged.get(member.vm)
         return (
-            told is not None
-            and told.incarnation == member.incarnation
-            and told.edition >= edition
+            acknowledged is not None
+            and acknowledged.incarnation == member.incarnation
+            and acknowledged.edition >= edition
         )
 
-    async def _tell(self, member):
+    async def _announce(self, member):
         edition = self._edition
         covers = {
             target: [
                 to_wall(self._clock, until),
-                to_wall(self._clock, self._held.get(target, until)),
+                to_wall(self._clock, self._inherited_until.get(target, until)),
             ]
             for target, until in self._until.items()
         }
         try:
-            cover = OccupancyNotice(self._vm.name, self._vm.incarnation, covers)
-            await self._links.call(member.host, cover)
+            notice = OccupancyNotice(self._vm.name, self._vm.incarnation, covers)
+            await self._links.call(member.host, notice)
         except PeerError:
             return False
-        self._told[member.vm] = Told(member.incarnation, edition)
+        self._acknowledged[member.vm] = AcknowledgedEdition(member.incarnation, edition)
         return True
 
 
@@ -174,43 +180,48 @@
         """Remove all bounds, after a pause in which announcements were missed."""
         self._records.clear()
 
-    def vouched(self, targets):
+    def bounds_for(self, targets):
         """Yield the :class:`OccupancyBound` of each target for each failed home."""
         for vm, (incarnation, covers) in self._records.items():
             if not self._membership.heard_until_end(vm, incarnation):
                 continue
-            gone = self._is_gone(vm, incarnation)
+            has_exited = self._has_exited(vm, incarnation)
             for target in targets:
                 if target in covers:
-                    until, held = covers[target]
-                    yield OccupancyBound(target, vm, held if gone else until, gone)
+                    until, inherited_until = covers[target]
+                    yield OccupancyBound(
+                        target, vm, inherited_until if has_exited else until, has_exited
+                    )
 
-    def _is_gone(self, vm, incarnation):
+    def _has_exited(self, vm, incarnation):
         # Another VM may have become the home shortly before it failed as well.
         return self._membership.is_gone(vm, incarnation) and self._membership.all_gone(
             UNCERTAIN_HOME_SECONDS
         )
 
 
-def occupied_until(clock, service, vouched):
+def occupied_until(clock, service, bounds):
     """Return the instant until which a target without a handover may be occupied.
 
-    :param vouched: the :class:`OccupancyBound` of every monitor that has one; without
+    :param bounds: the :class:`OccupancyBound` of every monitor that has one; without
         any, the longest timeout of the service applies.
     """
     now = clock.now()
-    longest = now + service.longest_timeout
+    latest = now + service.longest_timeout
     homes = {}
-    for each in vouched:
+    for each in bounds:
         known = homes.get(each.home)
-        if known is None or (each.gone, each.until) > (known.gone, known.until):
+        if known is None or (each.has_exited, each.until) > (
+            known.has_exited,
+            known.until,
+        ):
             homes[each.home] = each
     if not homes:
-        return longest
+        return latest
     occupied = max(_occupied(clock, each, now) for each in homes.values())
-    return min(longest, occupied)
+    return min(latest, occupied)
 
 
-def _occupied(clock, vouched, now):
-    least = now if vouched.gone else now + MAX_UNANNOUNCED_SECONDS
-    return max(from_wall(clock, vouched.until), least)
+def _occupied(clock, bound, now):
+    earliest = now if bound.has_exited else now + MAX_UNANNOUNCED_SECONDS
+    return max(from_wall(clock, bound.until), earliest)
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -6,29 +6,29 @@
 
 #: Weight of a new observation in the moving average of slot holding times.
 HOLD_WEIGHT = 0.1
-FIRST_HOLD = 0.02
+INITIAL_HOLD_SECONDS = 0.02
 #: Maximum wait in a standing queue, in mean holding times.
-STANDING_HOLDS = 1.5
+MAX_STANDING_HOLDS = 1.5
 
 
 @dataclass(slots=True)
 class Waiter:
     """A queued request.
 
-    ``signal`` is set when ``permit``, ``evicted`` or ``left`` is; ``left`` means that
+    ``signal`` is set when ``permit``, ``evicted`` or ``caller_left`` is; ``caller_left`` means that
     the caller has disconnected.
     """
 
     request: object
     avoid: frozenset
-    since: float
+    queued_at: float
     signal: Signal = field(default_factory=Signal)
     permit: object = None
     evicted: bool = False
-    left: bool = False
+    caller_left: bool = False
 
     @property
-    def rank(self):
+    def eviction_rank(self):
         """Return the eviction order: low weight first, then latest deadline."""
         return self.request.kind.weight, -self.request.deadline
 
@@ -38,9 +38,9 @@
 
     def __init__(self):
         self._waiters = []
-        self._mean_hold = FIRST_HOLD
-        self._empty_at = 0.0
-        self._stalled_before = 0.0
+        self._mean_hold_seconds = INITIAL_HOLD_SECONDS
+        self._last_empty_at = 0.0
+        self._stalled_at_empty = 0.0
 
     @property
     def waiters(self):
@@ -48,20 +48,20 @@
         return self._waiters
 
     @property
-    def mean_hold(self):
+    def mean_hold_seconds(self):
         """Return the moving average of the seconds for which requests hold a slot."""
-        return self._mean_hold
+        return self._mean_hold_seconds
 
     @property
-    def empty_at(self):
+    def last_empty_at(self):
         """Return the instant at which a request last found the queue empty."""
-        return self._empty_at
+        return self._last_empty_at
 
-    def observe(self, seconds):
+    def record_hold(self, seconds):
         """Record for how many seconds a request held its slot."""
-        self._mean_hold += HOLD_WEIGHT * (seconds - self._mean_hold)
+        self._mean_hold_seconds += HOLD_WEIGHT * (seconds - self._mean_hold_seconds)
 
-    def longest_wait(self, service, now, stalled):
+    def max_wait(self, service, now, stalled):
         """Return the maximum wait of a new request, in seconds.
 
         A queue that empties regularly absorbs bursts, and the full wait of the service
@@ -72,11 +72,11 @@
             towards the age of a standing queue.
         """
         if not self._waiters:
-            self._empty_at, self._stalled_before = now, stalled
-        standing = now - self._empty_at - (stalled - self._stalled_before)
+            self._last_empty_at, self._stalled_at_empty = now, stalled
+        standing = now - self._last_empty_at - (stalled - self._stalled_at_empty)
         if standing <= service.queue_wait:
             return service.queue_wait
-        return min(service.queue_wait, STANDING_HOLDS * self._mean_hold)
+        return min(service.queue_wait, MAX_STANDING_HOLDS * self._mean_hold_seconds)
 
     def push(self, waiter):
         """Insert a waiter in order of its deadline."""
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -20,13 +20,13 @@
 from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.process.membership.peer_links import CALL_TIMEOUT
 
-CHECK_INTERVAL = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 #: Seconds for which look-ups wait for the first poll after a start.
-FIRST_ROUND = CHECK_INTERVAL + CALL_TIMEOUT
+FIRST_POLL_TIMEOUT_SECONDS = CHECK_INTERVAL_SECONDS + CALL_TIMEOUT
 #: Seconds for which homes are polled after a change, even if they are ready.
 MIN_POLL_SECONDS = 10.0
 #: Usable share of the slots at which a domain counts as ready for all its callers.
-ENOUGH = 0.5
+READY_SHARE = 0.5
 #: Seconds for which a domain may be unready before callers are sent elsewhere; a
 #: handover takes less time, and callers use a look-up for longer.
 DIVERT_DELAY_SECONDS = 0.5
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class KnownShares:
+class CachedShares:
     """Cached shares of a service's callers that each failure domain can serve."""
 
     shares: dict
@@ -59,15 +59,15 @@
         self._membership = membership
         self._links = links
         self._clock = clock
-        self._told = {}
-        self._known = {}
+        self._reported = {}
+        self._cached = {}
         self._ready_at = {}
-        self._watched_state = None
-        self._watch_until = 0.0
-        self._asked = Signal()
+        self._polled_state = None
+        self._poll_until = 0.0
+        self._polled = Signal()
 
     @property
-    def _here(self):
+    def _local_domain(self):
         return self._vm.settings.failure_domain
 
     def usable(self):
@@ -80,7 +80,7 @@
 
         :param service: a :class:`Service` of the current configuration.
         """
-        return self._shares(service)[self._here]
+        return self._shares(service)[self._local_domain]
 
     def avoided(self, service, position):
         """Return the failure domains that can't serve a caller of this domain now.
@@ -91,64 +91,66 @@
         shares = self._shares(service)
         ready_at = self._ready_at.get(service.name, DISTANT_PAST)
         if (
-            position < shares[self._here]
+            position < shares[self._local_domain]
             or self._clock.now() < ready_at + DIVERT_DELAY_SECONDS
         ):
             return frozenset()
         return frozenset(name for name, each in shares.items() if position >= each)
 
     async def wait_first_round(self):
-        """Wait until the homes have been polled once, at most for ``FIRST_ROUND``.
+        """Wait until the homes have been polled once, at most for ``FIRST_POLL_TIMEOUT_SECONDS``.
 
         Otherwise a VM that has just started could send callers to homes that are
         starting as well.
         """
-        if self._asked.is_set():
+        if self._polled.is_set():
             return
-        async with ignore_after(FIRST_ROUND):
-            await self._asked.wait()
-        await self._asked.set()
+        async with ignore_after(FIRST_POLL_TIMEOUT_SECONDS):
+            await self._polled.wait()
+        await self._polled.set()
 
     async def run(self):
         """Poll the homes while their readiness may change, forever."""
         while True:
-            if self._vm.text is not None and self._is_watching():
-                await self._ask_homes()
-            await sleep(CHECK_INTERVAL)
+            if self._vm.text is not None and self._is_polling():
+                await self._poll_homes()
+            await sleep(CHECK_INTERVAL_SECONDS)
 
-    def _is_watching(self):
+    def _is_polling(self):
         now = self._clock.now()
         state = self._vm.version, self._membership.digest
-        if state != self._watched_state:
-            self._watched_state = state
-            self._watch_until = now + MIN_POLL_SECONDS
-        return now < self._watch_until or not self._is_ready()
+        if state != self._polled_state:
+            self._polled_state = state
+            self._poll_until = now + MIN_POLL_SECONDS
+        return now < self._poll_until or not self._is_ready()
 
     def _is_ready(self):
         services = self._vm.text.services.values()
         return all(self.share(service) >= 1 for service in services)
 
-    async def _ask_homes(self):
+    async def _poll_homes(self):
         hosts = dict(self._hosts())
-        self._told = {name: told for name, told in self._told.items() if name in hosts}
+        self._reported = {
+            name: reported for name, reported in self._reported.items() if name in hosts
+        }
         async with TaskGroup() as group:
             for name, host in hosts.items():
-                await group.spawn(self._ask, name, host)
-        if self._vm.directory.known:
-            await self._asked.set()
+                await group.spawn(self._poll, name, host)
+        if self._vm.directory.cached:
+            await self._polled.set()
 
-    async def _ask(self, name, host):
+    async def _poll(self, name, host):
         try:
             answer = await self._links.call(host, FetchReadiness())
         except PeerError:
             return
         if isinstance(answer, Readiness):
-            self._told[name] = answer.usable
+            self._reported[name] = answer.usable
 
     def _hosts(self):
         """Yield the name and host of each home to poll."""
         members = self._membership.members
-        for name in set(self._homes(self._here).values()):
+        for name in set(self._homes(self._local_domain).values()):
             if name != self._vm.name:
                 yield name, members[name].host
         if self._is_ready():
@@ -160,12 +162,14 @@
     def _near_domains(self):
         """Return the nearest other failure domains."""
         text = self._vm.text
-        others = (domain for domain in text.failure_domains if domain != self._here)
-        return text.nearest(self._here, others)[:MAX_DOMAINS]
+        others = (
+            domain for domain in text.failure_domains if domain != self._local_domain
+        )
+        return text.nearest(self._local_domain, others)[:MAX_DOMAINS]
 
     def _homes(self, domain):
         """Return ``{target name: VM name}`` of a failure domain."""
-        if domain == self._here:
+        if domain == self._local_domain:
             names = self._membership.live()
         else:
             entries = self._vm.directory.staying_in(domain)
@@ -174,17 +178,17 @@
 
     def _shares(self, service):
         now = self._clock.now()
-        known = self._known.get(service.name)
-        if known is None or known.expires_at <= now:
-            shares = {self._here: self._share(service, self._here)}
-            if shares[self._here] >= 1:
+        cached = self._cached.get(service.name)
+        if cached is None or cached.expires_at <= now:
+            shares = {self._local_domain: self._share(service, self._local_domain)}
+            if shares[self._local_domain] >= 1:
                 self._ready_at[service.name] = now
             else:
                 for domain in self._near_domains():
                     shares[domain] = self._share(service, domain)
-            known = KnownShares(shares, now + SHARE_CACHE_TTL_SECONDS)
-            self._known[service.name] = known
-        return known.shares
+            cached = CachedShares(shares, now + SHARE_CACHE_TTL_SECONDS)
+            self._cached[service.name] = cached
+        return cached.shares
 
     def _share(self, service, domain):
         wall = self._clock.wall()
@@ -200,7 +204,7 @@
             min(slots, self._usable_of(home, service, slots, domain))
             for home, slots in totals.items()
         )
-        return min(1.0, usable / (ENOUGH * total))
+        return min(1.0, usable / (READY_SHARE * total))
 
     def _usable_of(self, home, service, slots, domain):
         """Return the usable slots of a home.
@@ -211,10 +215,10 @@
         """
         if home == self._vm.name:
             return self._usable_here(service)
-        told = self._told.get(home)
-        if told is None:
-            return 0 if domain == self._here else slots
-        return told.get(service.name, 0)
+        reported = self._reported.get(home)
+        if reported is None:
+            return 0 if domain == self._local_domain else slots
+        return reported.get(service.name, 0)
 
     def _usable_here(self, service):
         if not self._membership.may_act():
@@ -227,7 +231,7 @@
 
     def _usable_at(self, target):
         entry = self._ledger.targets.get(target.name)
-        if entry is None or entry.blocked:
+        if entry is None or entry.block_reason:
             return 0
         now = self._clock.now()
         held = sum(1 for hold in entry.holds if hold.until > now)
--- a/src/heathercleat/process/capacity/retry_budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -13,10 +13,10 @@
     :param saved: maximum balance, which is also the initial one.
     """
 
-    def __init__(self, share=RETRY_RATIO, saved=MAX_BALANCE):
-        self._share = share
-        self._limit = saved
-        self._balance = saved
+    def __init__(self, ratio=RETRY_RATIO, max_balance=MAX_BALANCE):
+        self._ratio = ratio
+        self._max_balance = max_balance
+        self._balance = max_balance
 
     @property
     def balance(self):
@@ -25,7 +25,7 @@
 
     def deposit(self):
         """Add the share of a first attempt to the budget."""
-        self._balance = min(self._limit, self._balance + self._share)
+        self._balance = min(self._max_balance, self._balance + self._ratio)
 
     def withdraw(self):
         """Spend one retry and return whether the budget allowed it."""
--- a/src/heathercleat/process/capacity/shift_window.py
+++ b/src/heathercleat/process/capacity/shift_window.py
@@ -22,7 +22,7 @@
         """Return ``(instant, level)`` pairs of the changes within the window."""
         return list(self._points)
 
-    def adjust(self, cap, window):
+    def reconfigure(self, cap, window):
         """Change the cap and the window; earlier rises still count."""
         self._cap = cap
         self._window = window
@@ -32,7 +32,7 @@
         if points:
             self._points = deque(points)
 
-    def room(self, level, now):
+    def headroom(self, level, now):
         """Record ``level`` and return by how many slots it may rise now."""
         self.record(level, now)
         lowest = min(point[1] for point in self._points)
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -13,11 +13,11 @@
 from heathercleat.process.capacity.shift_window import ShiftWindow
 
 #: Seconds for which a cancelled request may still occupy its target.
-CANCEL_GRACE = 0.25
+CANCEL_GRACE_SECONDS = 0.25
 #: Maximum difference in seconds between the clocks of two VMs.
-CLOCK_SKEW = 0.25
+MAX_CLOCK_SKEW_SECONDS = 0.25
 #: Bits of the random first id, so that the ids of two homes of a target differ.
-FIRST_ID_BITS = 48
+INITIAL_ID_BITS = 48
 
 
 @dataclass(slots=True)
@@ -82,8 +82,8 @@
 class TargetSlots:
     """The slots of one homed target and their current uses.
 
-    ``closed`` is set when this VM is no longer the home. ``blocked`` is the reason why
-    the target gets no new requests, or ``None``. ``links`` limits the slots that each
+    ``is_closed`` is set when this VM is no longer the home. ``block_reason`` is the reason why
+    the target gets no new requests, or ``None``. ``link_limits`` limits the slots that each
     other failure domain may use.
     """
 
@@ -91,19 +91,21 @@
     uses: dict = field(default_factory=dict)
     leases: dict = field(default_factory=dict)
     holds: list = field(default_factory=list)
-    links: dict = field(default_factory=dict)
+    link_limits: dict = field(default_factory=dict)
     shift: ShiftWindow | None = None
-    closed: bool = False
-    blocked: str | None = None
-    warm_from: float = 0.0
-    warm_at: float = 0.0
+    is_closed: bool = False
+    block_reason: str | None = None
+    warm_up_started_at: float = 0.0
+    warm_up_ends_at: float = 0.0
 
     def limit(self, now):
         """Return the slots that may be used at ``now``; fewer during warm-up."""
         limit = self.target.limit
-        if now >= self.warm_at:
+        if now >= self.warm_up_ends_at:
             return limit
-        share = (now - self.warm_from) / (self.warm_at - self.warm_from)
+        share = (now - self.warm_up_started_at) / (
+            self.warm_up_ends_at - self.warm_up_started_at
+        )
         return max(1, ceil(limit * share)) if limit else 0
 
     def used(self, now):
@@ -115,14 +117,14 @@
 
     def free(self, now):
         """Return the slots available to new requests; 0 if the target is blocked."""
-        if self.closed or self.blocked:
+        if self.is_closed or self.block_reason:
             return 0
         return max(0, self.limit(now) - self.used(now))
 
     def start_warm_up(self, now, seconds):
         """Raise the limit linearly from one slot to all over ``seconds``."""
-        self.warm_from = now
-        self.warm_at = now + seconds
+        self.warm_up_started_at = now
+        self.warm_up_ends_at = now + seconds
 
     def foreign(self, now, failure_domain=None):
         """Return the slots used by other failure domains through leases and holds.
@@ -148,10 +150,10 @@
         if failure_domain == self.target.failure_domain:
             return free
         if self.shift is not None:
-            free = min(free, self.shift.room(self.foreign(now), now))
-        link = self.links.get(failure_domain)
-        if link is not None:
-            free = min(free, link - self.foreign(now, failure_domain))
+            free = min(free, self.shift.headroom(self.foreign(now), now))
+        link_limit = self.link_limits.get(failure_domain)
+        if link_limit is not None:
+            free = min(free, link_limit - self.foreign(now, failure_domain))
         return max(0, free)
 
     def _is_foreign(self, sender, failure_domain):
@@ -183,7 +185,7 @@
         self._clock = clock
         self._targets = {}
         self._by_service = {}
-        self._next_id = randbits(FIRST_ID_BITS)
+        self._next_id = randbits(INITIAL_ID_BITS)
         self._handed_over = {}
 
     @property
@@ -195,7 +197,7 @@
         """Return the homed :class:`TargetSlots` of a service."""
         return self._by_service.get(service, ())
 
-    def adopt(self, target, holds, links=None, levels=()):
+    def adopt(self, target, holds, link_limits=None, levels=()):
         """Become the home of ``target`` and return its :class:`TargetSlots`.
 
         :param holds: a :class:`Hold` for each slot that may still be occupied.
@@ -205,16 +207,16 @@
         entry = TargetSlots(
             target,
             holds=list(holds),
-            links=links or {},
+            link_limits=link_limits or {},
             shift=_shift_window(target),
         )
         if entry.shift is not None:
             entry.shift.resume(levels)
         self._targets[target.name] = entry
-        self._index()
+        self._build_index()
         return entry
 
-    def update(self, target, links):
+    def update(self, target, link_limits):
         """Update a homed target from a new version of the configuration."""
         entry = self._targets[target.name]
         cap = target.shift_cap
@@ -222,10 +224,10 @@
             entry.shift = _shift_window(target)
             entry.record_spill(self._clock.now())
         else:
-            entry.shift.adjust(cap.slots, cap.window)
+            entry.shift.reconfigure(cap.slots, cap.window)
         entry.target = target
-        entry.links = links
-        self._index()
+        entry.link_limits = link_limits
+        self._build_index()
 
     def hand_over(self, name, receiver):
         """Stop being the home of a target.
@@ -237,9 +239,9 @@
         entry = self._targets.pop(name, None)
         if entry is None:
             return None
-        self._index()
+        self._build_index()
         now = self._clock.now()
-        entry.closed = True
+        entry.is_closed = True
         entry.record_spill(now)
         for use in entry.uses.values():
             self._handed_over[use.id] = receiver
@@ -249,11 +251,11 @@
     def drop_all(self):
         """Stop being the home of every target, after this VM was declared dead."""
         for entry in self._targets.values():
-            entry.closed = True
+            entry.is_closed = True
         self._targets.clear()
         self._by_service.clear()
 
-    def take(self, entry, deadline):
+    def claim(self, entry, deadline):
         """Claim a free slot for a request of this VM.
 
         :return: the :class:`SlotUse`, or ``None`` if no slot is free.
@@ -291,7 +293,7 @@
         :return: the lease, or ``None`` if it has expired or its target is blocked.
         """
         lease = self.find_lease(lease_id)
-        if lease is None or self._targets[lease.target].blocked:
+        if lease is None or self._targets[lease.target].block_reason:
             return None
         lease.expires_at = expires_at
         return lease
@@ -305,7 +307,7 @@
                 return lease
         return None
 
-    def enter(self, lease_id, deadline):
+    def claim_leased(self, lease_id, deadline):
         """Claim a slot of a lease for a request of its holder.
 
         :return: the :class:`SlotUse`, or ``None`` if the lease has expired or is full,
@@ -314,7 +316,7 @@
         lease = self.find_lease(lease_id)
         if lease is None or lease.uses >= lease.slots:
             return None
-        if self._targets[lease.target].blocked:
+        if self._targets[lease.target].block_reason:
             return None
         lease.uses += 1
         use = SlotUse(self._new_id(), lease.target, deadline, lease)
@@ -337,11 +339,11 @@
         entry.prune(now)
         entry.record_spill(now)
 
-    def release(self, use, certain):
+    def release(self, use, is_finished):
         """Release the slot of a request.
 
         :param certain: whether the target has certainly finished with the request; if
-            not, the slot stays occupied for ``CANCEL_GRACE``.
+            not, the slot stays occupied for ``CANCEL_GRACE_SECONDS``.
         :return: the name of the new home if the target was handed over, or ``None``.
         """
         receiver = self._handed_over.pop(use.id, None)
@@ -351,8 +353,8 @@
         now = self._clock.now()
         if use.lease is not None:
             use.lease.uses -= 1
-        if not certain:
-            self._linger(entry, use, now)
+        if not is_finished:
+            self._hold_slot(entry, use, now)
         entry.record_spill(now)
         return receiver
 
@@ -364,19 +366,19 @@
         entry.holds = [hold for hold in entry.holds if hold.use_id != use_id]
         entry.record_spill(self._clock.now())
 
-    def _linger(self, entry, use, now):
+    def _hold_slot(self, entry, use, now):
         # Without this, the holder could use the slot of the lease again while the
         # target still processes the cancelled request.
         if use.lease is not None:
             use.lease.slots -= 1
         domain = use.lease.failure_domain if use.lease is not None else None
-        entry.holds.append(Hold(now + CANCEL_GRACE, failure_domain=domain))
+        entry.holds.append(Hold(now + CANCEL_GRACE_SECONDS, failure_domain=domain))
 
     def _new_id(self):
         self._next_id += 1
         return self._next_id
 
-    def _index(self):
+    def _build_index(self):
         self._by_service = {}
         for entry in self._targets.values():
             self._by_service.setdefault(entry.target.service, []).append(entry)
@@ -386,7 +388,7 @@
     """Yield a :class:`Hold` for each slot of a target that may still be occupied."""
     for use in entry.uses.values():
         domain = use.lease.failure_domain if use.lease is not None else None
-        yield Hold(use.deadline + CANCEL_GRACE, use.id, domain)
+        yield Hold(use.deadline + CANCEL_GRACE_SECONDS, use.id, domain)
     for lease in entry.leases.values():
         for _ in range(lease.occupied(now) - lease.uses):
             yield Hold(lease.expires_at, None, lease.failure_domain)
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -54,13 +54,13 @@
     entry = vm.ledger.targets.get(target.name)
     leases = [
         lease
-        for lease in vm.lease_holder.held(target.service)
-        if lease.target == target.name and lease.has_room(now)
+        for lease in vm.lease_holder.leases_for(target.service)
+        if lease.target == target.name and lease.has_free_slot(now)
     ]
     if drain is not None:
         return {**place, "state": f"drained by {drain.id}", "free": 0}
     if entry is not None:
-        state = entry.blocked or "homed here"
+        state = entry.block_reason or "homed here"
         if vm.health.is_slow(entry):
             state = "homed here, slow"
         cost = round(vm.health.cost(entry), 6)
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -108,7 +108,7 @@
             self._foreign.labels(name).set(sum(entry.foreign(now) for entry in entries))
             self._ready.labels(name).set(vm.readiness.share(service))
             self._slow.labels(name).set(sum(map(vm.health.is_slow, entries)))
-            self._waiting.labels(name).set(vm.admission.waiting(name))
+            self._waiting.labels(name).set(vm.admission.waiting_count(name))
         self._version.set(vm.version)
         self._peers.set(vm.control_bytes)
         self._dropped.set(vm.dropped_log_lines)
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -43,7 +43,7 @@
         "used": entry.used(now),
         "free": entry.free(now),
         "foreign": entry.foreign(now),
-        "blocked": entry.blocked,
+        "blocked": entry.block_reason,
         "slow": vm.health.is_slow(entry),
     }
 
@@ -55,7 +55,7 @@
         "service": name,
         "slots": sum(entry.target.limit for entry in entries),
         "free": sum(entry.free(now) for entry in entries),
-        "waiting": vm.admission.waiting(name),
+        "waiting": vm.admission.waiting_count(name),
         "ready_share": vm.readiness.share(service),
-        "leased": sum(lease.slots for lease in vm.lease_holder.held(name)),
+        "leased": sum(lease.slots for lease in vm.lease_holder.leases_for(name)),
     }
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -42,7 +42,7 @@
 #: Seconds after the expiry of the last look-up until a leaving VM stops listening.
 LEAVE_MARGIN = 1.0
 #: Seconds between two checks for a drain of this VM, or for the end of its requests.
-CHECK_INTERVAL = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 MILLISECONDS = 1000
 
 
@@ -127,7 +127,7 @@
             self,
             self.ledger,
             self.membership,
-            self.admission.waiting,
+            self.admission.waiting_count,
             self.health,
             clock,
         )
@@ -243,7 +243,7 @@
     def configuration_changed(self, text):
         """Apply a new version of the configuration."""
         self._blocks = build_client_blocks(text.client_blocks, text.failure_domains)
-        self.health.check(self._clock.now())
+        self.health.update_blocked(self._clock.now())
 
     def count_peer_bytes(self, count):
         """Add the bytes of a closed connection to :attr:`control_bytes`."""
@@ -294,7 +294,9 @@
             await group.spawn(self._shut_down)
             await group.spawn(self._listeners.run)
             for run in self._loops():
-                await group.spawn(run_supervised, run, self._journal, CHECK_INTERVAL)
+                await group.spawn(
+                    run_supervised, run, self._journal, CHECK_INTERVAL_SECONDS
+                )
         await self.links.close()
         await self.pool.close()
         seconds = round(self._clock.now() - self._left_at, 3)
@@ -334,7 +336,7 @@
         """Wait for a shutdown request, then finish the requests in progress."""
         while not self._leave_requested:
             await self._follow_own_drain()
-            await sleep(CHECK_INTERVAL)
+            await sleep(CHECK_INTERVAL_SECONDS)
         self._left_at = self._clock.now()
         self._journal.write(
             Event.VM_LEAVING,
@@ -347,7 +349,7 @@
         # A request that arrived later could be interrupted by the end of the process.
         await self._listeners.close_to_callers()
         while self._listeners.is_busy:
-            await sleep(CHECK_INTERVAL)
+            await sleep(CHECK_INTERVAL_SECONDS)
 
     async def _follow_own_drain(self):
         """Leave when a drain of this VM begins, and rejoin when it ends."""
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -114,7 +114,7 @@
     requests sent to their home need no lease.
     """
     drawn = choices(
-        domain.weighted, cum_weights=domain.cumulative, k=DRAWS_EACH * count
+        domain.weighted, cum_weights=domain.cumulative_weights, k=DRAWS_EACH * count
     )
     # In a small domain, the draws may yield too few distinct VMs.
     distinct = {entry.name: (entry, weight) for entry, weight in drawn}
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -93,7 +93,7 @@
 async def _permit(vm, call, tried):
     if call.lease_id is None:
         return await vm.admission.acquire(call, tried)
-    permit = None if tried else vm.admission.enter(call.lease_id, call.deadline)
+    permit = None if tried else vm.admission.admit_leased(call.lease_id, call.deadline)
     if permit is None:
         raise RequestError(ResultCode.NO_ROOM, "the lease has no room here")
     return permit
@@ -102,7 +102,7 @@
 async def _attempt(vm, call, permit, deliver):
     started_at = vm.stalls.active_time()
     ended = False
-    certain = False
+    is_finished = False
 
     async def end():
         # Release the slot before the caller receives the end of the response: it may
@@ -110,7 +110,7 @@
         nonlocal ended
         ended = True
         _note_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
-        await _settle(vm, call, permit, attempt, certain=True)
+        await _settle(vm, call, permit, attempt, is_finished=True)
 
     upstream = _upstream(vm, call, permit)
     attempt = Attempt(call, upstream, vm.pool, vm.clock, end)
@@ -122,20 +122,20 @@
         error = failure
         if isinstance(failure, TimeoutError):
             error = attempt.timed_out()
-        certain = error.not_run
+        is_finished = error.not_run
         if not ended:
             _note_failure(vm, permit, error)
         raise error from None
     finally:
         if not ended:
-            await _settle(vm, call, permit, attempt, certain, whole=False)
+            await _settle(vm, call, permit, attempt, is_finished, whole=False)
 
 
-async def _settle(vm, call, permit, attempt, certain, whole=True):
+async def _settle(vm, call, permit, attempt, is_finished, whole=True):
     """Release the connection and the slot, even if a deadline passes meanwhile."""
     async with disable_cancellation():
         await attempt.finish(whole)
-        await vm.admission.release(call, permit, certain)
+        await vm.admission.release(call, permit, is_finished)
 
 
 async def _cover(vm, call, permit):
@@ -145,7 +145,7 @@
     try:
         await vm.occupancy_publisher.ensure(permit.target.name, call.deadline)
     except BaseException:
-        await vm.admission.release(call, permit, certain=True)
+        await vm.admission.release(call, permit, is_finished=True)
         raise
 
 
@@ -222,7 +222,7 @@
 def _note_failure(vm, permit, error):
     if isinstance(permit, LeasedPermit):
         # The granter refused the request or is unreachable.
-        vm.lease_holder.end(permit.lease)
+        vm.lease_holder.discard(permit.lease)
     elif error.blame is not None:
         vm.health.record_failure(permit.target, error.blame)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from heathercleat.process.capacity.admission import Admission
 from heathercleat.process.capacity.health import MAX_FAILURES, HealthTracker
 from heathercleat.process.capacity.leases import HeldLease, LeaseHolder
-from heathercleat.process.capacity.queue import STANDING_HOLDS, ServiceQueue
+from heathercleat.process.capacity.queue import MAX_STANDING_HOLDS, ServiceQueue
 from heathercleat.process.capacity.retry_budget import RetryBudget
 from heathercleat.process.capacity.slots import Hold, SlotLedger
 from heathercleat.process.clock import DISTANT_PAST, SystemClock
@@ -45,16 +45,16 @@
     def on_lease_gained(self, callback):
         pass
 
-    def held(self, service):
+    def leases_for(self, service):
         return [self.lease]
 
     def last_shortfall_at(self, service):
         return SystemClock().now() if self.fell_short else DISTANT_PAST
 
-    def take(self, service, avoid, patience):
+    def claim(self, service, avoid, max_round_trip):
         return None
 
-    async def seek(self, service, want, avoid):
+    async def request_leases(self, service, want, avoid):
         pass
 
 
@@ -105,7 +105,7 @@
         permits = [await admission.acquire(make_call(vm)) for _ in range(2)]
         waiting = await spawn(admission.acquire, make_call(vm))
         await sleep(0.01)
-        assert admission.waiting("lookup") == 1
+        assert admission.waiting_count("lookup") == 1
         await admission.release(make_call(vm), permits[0], True)
         return await waiting.join()
 
@@ -186,7 +186,7 @@
     async def act():
         waiting = [await spawn(admission.acquire, make_call(vm)) for _ in range(3)]
         await sleep(0.05)
-        assert admission.waiting("lookup") == 3
+        assert admission.waiting_count("lookup") == 3
         for task in waiting:
             await task.cancel()
 
@@ -208,7 +208,7 @@
     async def act():
         tasks = [await spawn(ask) for _ in range(BURST)]
         await sleep(0)
-        waiting = admission.waiting("lookup")
+        waiting = admission.waiting_count("lookup")
         for task in tasks:
             await task.cancel()
         return waiting
@@ -280,10 +280,10 @@
         call.stream = FakeCallerStream()
         waiting = await spawn(admission.acquire, call)
         await sleep(0.01)
-        assert admission.waiting("lookup") == 1
+        assert admission.waiting_count("lookup") == 1
         await call.stream.leave()
         await sleep(0.01)
-        assert admission.waiting("lookup") == 0
+        assert admission.waiting_count("lookup") == 0
         with pytest.raises(TaskError) as caught:
             await waiting.join()
         return caught.value.__cause__
@@ -312,12 +312,12 @@
 def test_standing_queue_shortens_the_wait():
     service = parse_text(to_source(make_text())).services["lookup"]
     queue = ServiceQueue()
-    assert queue.longest_wait(service, now=100.0, stalled=0.0) == service.queue_wait
+    assert queue.max_wait(service, now=100.0, stalled=0.0) == service.queue_wait
     queue.push(type("Waiting", (), {"request": type("R", (), {"deadline": 1.0})})())
-    assert queue.longest_wait(service, now=100.1, stalled=0.0) == service.queue_wait
-    assert queue.longest_wait(service, now=101.0, stalled=0.9) == service.queue_wait
-    shorter = queue.longest_wait(service, now=101.0, stalled=0.0)
-    assert shorter == pytest.approx(STANDING_HOLDS * queue.mean_hold)
+    assert queue.max_wait(service, now=100.1, stalled=0.0) == service.queue_wait
+    assert queue.max_wait(service, now=101.0, stalled=0.9) == service.queue_wait
+    shorter = queue.max_wait(service, now=101.0, stalled=0.0)
+    assert shorter == pytest.approx(MAX_STANDING_HOLDS * queue.mean_hold_seconds)
 
 
 def test_failing_target_is_ejected_and_returns_with_one_slot():
@@ -326,10 +326,10 @@
     target = ledger.targets["t2"].target
     for _ in range(MAX_FAILURES):
         health.record_failure(target, "lost")
-    assert ledger.targets["t2"].blocked == "ejected"
+    assert ledger.targets["t2"].block_reason == "ejected"
     clock.time += 2.0
-    health.check(clock.time)
-    assert ledger.targets["t2"].blocked is None
+    health.update_blocked(clock.time)
+    assert ledger.targets["t2"].block_reason is None
     assert ledger.targets["t2"].limit(clock.time) == 1
 
 
@@ -338,9 +338,9 @@
     vm, ledger, health, _ = make_parts(clock)
     for _ in range(MAX_FAILURES):
         health.record_failure(ledger.targets["t2"].target, "lost")
-    health.of("t2").probe_state = "ready"
-    health.check(clock.time + 0.1)
-    assert ledger.targets["t2"].blocked == "ejected"
+    health.health_of("t2").probe_state = "ready"
+    health.update_blocked(clock.time + 0.1)
+    assert ledger.targets["t2"].block_reason == "ejected"
 
 
 def test_retries_are_a_share_of_the_requests():
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -82,13 +82,13 @@
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
-    assert list(records.vouched(["t"])) == []
+    assert list(records.bounds_for(["t"])) == []
     membership.record_heartbeat(heartbeat())
     clock.time += 2.0
     membership.record(record(state="dead"))
-    assert list(records.vouched(["t", "u"])) == [vouched(150.0)]
+    assert list(records.bounds_for(["t", "u"])) == [vouched(150.0)]
     records.clear()
-    assert list(records.vouched(["t"])) == []
+    assert list(records.bounds_for(["t"])) == []
 
 
 def test_monitor_that_stopped_hearing_the_home_does_not_vouch():
@@ -98,7 +98,7 @@
     membership.record_heartbeat(heartbeat())
     clock.time += 60.0
     membership.record(record(state="dead"))
-    assert list(records.vouched(["t"])) == []
+    assert list(records.bounds_for(["t"])) == []
 
 
 def test_life_replaced_by_a_restart_is_vouched_for():
@@ -108,7 +108,7 @@
     membership.record_heartbeat(heartbeat())
     clock.time += 1.0
     membership.record_heartbeat(heartbeat(incarnation=2))
-    assert list(records.vouched(["t"])) == [vouched(150.0)]
+    assert list(records.bounds_for(["t"])) == [vouched(150.0)]
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     find_gone(membership, clock)
-    assert list(records.vouched(["t"])) == [vouched(110.0, gone=True)]
+    assert list(records.bounds_for(["t"])) == [vouched(110.0, gone=True)]
 
 
 def test_home_that_is_gone_does_not_vouch_for_another_that_may_run():
@@ -152,12 +152,12 @@
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     membership.record(record(vm="north-a-3", state="dead"))
     find_gone(membership, clock)
-    assert list(records.vouched(["t"])) == [vouched(150.0)]
+    assert list(records.bounds_for(["t"])) == [vouched(150.0)]
 
 
 def test_cover_tells_what_earlier_homes_may_occupy_apart():
     links, clock, _, publisher = make_parts()
-    run(publisher.follow, {"t": 103.0})
+    run(publisher.update, {"t": 103.0})
     run(publisher.ensure, "t", clock.time + 10)
     assert covers_sent(links)[-1]["t"] == [clock.time + 15, 103.0]
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -121,7 +121,7 @@
     target = parse_text(json.dumps(make_text())).services["lookup"].targets[TARGET]
     ledgers = [SlotLedger(ManualClock()) for _ in range(2)]
     first, second = (
-        ledger.take(ledger.adopt(target, []), DISTANT_PAST) for ledger in ledgers
+        ledger.claim(ledger.adopt(target, []), DISTANT_PAST) for ledger in ledgers
     )
     assert first.id != second.id
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,7 +5,11 @@
 
 from heathercleat import parse_text
 from heathercleat.connection.messages import Accepted, LeaseGrant, LeaseReturn
-from heathercleat.process.capacity.leases import IDLE_AFTER, HeldLease, LeaseHolder
+from heathercleat.process.capacity.leases import (
+    IDLE_AFTER_SECONDS,
+    HeldLease,
+    LeaseHolder,
+)
 from heathercleat.process.capacity.slots import SlotLedger
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.configuration.platform import VmEntry, VmList
@@ -29,19 +33,19 @@
 def test_lease_keeps_the_most_slots_that_were_in_use_at_once(taken, released, kept):
     lease = make_lease()
     for _ in range(taken):
-        lease.take()
+        lease.claim()
     lease.in_use -= released
-    assert lease.trim(100 + IDLE_AFTER) is (kept < GRANTED)
+    assert lease.shrink_to_peak(100 + IDLE_AFTER_SECONDS) is (kept < GRANTED)
     assert lease.slots == kept
 
 
 def test_next_interval_counts_from_what_is_in_use():
     lease = make_lease()
-    lease.take()
-    lease.take()
+    lease.claim()
+    lease.claim()
     lease.in_use -= 1
-    lease.trim(101)
-    assert lease.trim(102)
+    lease.shrink_to_peak(101)
+    assert lease.shrink_to_peak(102)
     assert lease.slots == 1
 
 
@@ -50,11 +54,11 @@
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(cap=None), [])
     lease = ledger.grant(entry, "vm", HOME, 4, clock.time + 1)
-    ledger.enter(lease.id, clock.time + 1)
+    ledger.claim_leased(lease.id, clock.time + 1)
     assert entry.free(clock.time) == 0
     ledger.return_lease(lease.id, 1)
     assert entry.free(clock.time) == 3
-    assert ledger.enter(lease.id, clock.time + 1) is None
+    assert ledger.claim_leased(lease.id, clock.time + 1) is None
 
 
 def make_holder(answers):
@@ -83,9 +87,9 @@
         return [item for _, item in links.calls if isinstance(item, LeaseReturn)]
 
     async def act():
-        await holder.seek(service, GRANTED)
-        await until(lambda: holder.held("lookup"))
-        lease = holder.take("lookup", (), 1.0)
+        await holder.request_leases(service, GRANTED)
+        await until(lambda: holder.leases_for("lookup"))
+        lease = holder.claim("lookup", (), 1.0)
         loop = await spawn(holder.run, daemon=True)
         await until(returned)
         assert returned() == [LeaseReturn(7, 1)]
@@ -95,4 +99,4 @@
 
     run(act)
     assert returned()[-1] == LeaseReturn(7, 0)
-    assert holder.held("lookup") == []
+    assert holder.leases_for("lookup") == []
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -3,7 +3,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from heathercleat.process.capacity.shift_window import ShiftWindow
-from heathercleat.process.capacity.slots import CANCEL_GRACE, Hold, SlotLedger
+from heathercleat.process.capacity.slots import CANCEL_GRACE_SECONDS, Hold, SlotLedger
 from heathercleat.version.text import ShiftCap, Target
 from tests.fakes import ManualClock
 
@@ -32,7 +32,7 @@
     """Drives a ledger the way its own VM, lease holders and time do.
 
     ``running`` counts what the target really carries: a cancelled request keeps its
-    slot for up to ``CANCEL_GRACE`` seconds.
+    slot for up to ``CANCEL_GRACE_SECONDS`` seconds.
     """
 
     def __init__(self):
@@ -47,7 +47,7 @@
 
     @rule()
     def take(self):
-        use = self.ledger.take(self.entry, self.clock.time + 30)
+        use = self.ledger.claim(self.entry, self.clock.time + 30)
         if use is not None:
             self.uses.append(use)
 
@@ -67,7 +67,7 @@
     @rule(data=st.data())
     def enter(self, data):
         lease = data.draw(st.sampled_from(self.leases))
-        use = self.ledger.enter(lease.id, self.clock.time + 30)
+        use = self.ledger.claim_leased(lease.id, self.clock.time + 30)
         if use is not None:
             self.uses.append(use)
 
@@ -94,7 +94,7 @@
         self.ledger.release(use, certain)
         self.note_foreign()
         if not certain:
-            self.lingering.append(self.clock.time + CANCEL_GRACE)
+            self.lingering.append(self.clock.time + CANCEL_GRACE_SECONDS)
 
     @rule(seconds=st.floats(0.01, 4))
     def wait(self, seconds):
@@ -154,10 +154,10 @@
 
 def test_shift_window_lets_the_level_rise_again_after_the_window():
     window = ShiftWindow(cap=2, window=10.0)
-    assert window.room(0, now=0.0) == 2
+    assert window.headroom(0, now=0.0) == 2
     window.record(2, now=0.0)
-    assert window.room(2, now=9.9) == 0
-    assert window.room(2, now=10.1) == 2
+    assert window.headroom(2, now=9.9) == 0
+    assert window.headroom(2, now=10.1) == 2
 
 
 def test_spill_goes_on_at_its_level_after_a_handover():
@@ -204,6 +204,6 @@
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(), [])
     lease = ledger.grant(entry, "vm", HOME, 2, clock.time + 1)
-    entry.blocked = "drain d1"
-    assert ledger.enter(lease.id, clock.time + 1) is None
+    entry.block_reason = "drain d1"
+    assert ledger.claim_leased(lease.id, clock.time + 1) is None
     assert ledger.renew(lease.id, clock.time + 9) is None
--- a/tests/test_slow_targets.py
+++ b/tests/test_slow_targets.py
@@ -7,7 +7,7 @@
 from heathercleat.connection.messages import LeaseRequest
 from heathercleat.events import Event
 from heathercleat.process.capacity.admission import Admission
-from heathercleat.process.capacity.health import TRIAL_INTERVAL, HealthTracker
+from heathercleat.process.capacity.health import TRIAL_INTERVAL_SECONDS, HealthTracker
 from heathercleat.process.capacity.leases import LeaseGranter, LeaseHolder
 from heathercleat.process.capacity.slots import SlotLedger
 from heathercleat.process.membership.directory import Directory
@@ -49,7 +49,7 @@
             vm,
             self.ledger,
             FakeMembership(),
-            self.admission.waiting,
+            self.admission.waiting_count,
             self.health,
             self.clock,
         )
@@ -115,10 +115,10 @@
 
 
 def test_slow_target_is_tried_now_and_then(parts):
-    parts.clock.time += TRIAL_INTERVAL
+    parts.clock.time += TRIAL_INTERVAL_SECONDS
     assert parts.place() == "t3"
     assert parts.place() != "t3"
-    parts.clock.time += TRIAL_INTERVAL
+    parts.clock.time += TRIAL_INTERVAL_SECONDS
     assert parts.place() == "t3"
 
 
@@ -136,7 +136,7 @@
 
 
 def test_request_that_is_tried_again_avoids_the_target_even_as_a_trial(parts):
-    parts.clock.time += TRIAL_INTERVAL
+    parts.clock.time += TRIAL_INTERVAL_SECONDS
     permit = run(
         parts.admission.acquire,
         make_call(parts.vm, clock=parts.clock),
