--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -22,8 +22,8 @@
 class DomainVms:
     """The entry VMs of one failure domain, weighted by the slots they are the home of.
 
-    ``weighted`` has pairs of VM and weight; ``cumulative_weights`` has the running sums of the
-    weights, for :func:`random.choices`.
+    ``weighted`` has pairs of VM and weight; ``cumulative_weights`` has the running sums
+    of the weights, for :func:`random.choices`.
     """
 
     domain: str
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -33,8 +33,8 @@
 class OccupancyBound:
     """The bound that a monitor knows for a target of a failed home.
 
-    The target may be occupied until ``until``, in epoch seconds. ``has_exited`` means that
-    the process of the home has exited, and its own requests with it.
+    The target may be occupied until ``until``, in epoch seconds. ``has_exited`` is true
+    if the process of the home has exited, and its own requests with it.
     """
 
     target: str
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -15,8 +15,7 @@
 class Waiter:
     """A queued request.
 
-    ``signal`` is set when ``permit``, ``evicted`` or ``caller_left`` is; ``caller_left`` means that
-    the caller has disconnected.
+    ``signal`` is set together with ``permit``, ``evicted`` or ``caller_left``.
     """
 
     request: object
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -98,7 +98,7 @@
         return frozenset(name for name, each in shares.items() if position >= each)
 
     async def wait_first_round(self):
-        """Wait until the homes have been polled once, at most for ``FIRST_POLL_TIMEOUT_SECONDS``.
+        """Wait until the homes have been polled once, or for a limited time.
 
         Otherwise a VM that has just started could send callers to homes that are
         starting as well.
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -82,9 +82,9 @@
 class TargetSlots:
     """The slots of one homed target and their current uses.
 
-    ``is_closed`` is set when this VM is no longer the home. ``block_reason`` is the reason why
-    the target gets no new requests, or ``None``. ``link_limits`` limits the slots that each
-    other failure domain may use.
+    ``is_closed`` is set when this VM is no longer the home. ``block_reason`` tells why
+    the target gets no new requests; it is ``None`` if it does. ``link_limits`` limits
+    the slots that each other failure domain may use.
     """
 
     target: object
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -63,7 +63,7 @@
         return Handover(told, dict.fromkeys(told, []), [])
 
     def acquire(self):
-        self.homes._follow_text()
+        self.homes._apply_configuration()
         run(self.homes._acquire_missing)
 
     def wait(self, seconds):
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -67,7 +67,7 @@
         self.ledger.adopt(target, [Hold(self.clock.time + 5.0)] * held)
 
     def ask_homes(self):
-        run(self.board._ask_homes)
+        run(self.board._poll_homes)
         self.clock.time += SHARE_CACHE_TTL_SECONDS
 
 
@@ -116,7 +116,7 @@
         waiting = await spawn(parts.board.wait_first_round)
         await sleep(0)
         assert not waiting.terminated
-        await parts.board._ask_homes()
+        await parts.board._poll_homes()
         await waiting.join()
 
     run(act)
