--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -17,9 +17,9 @@
     Edit,
     cancel_drain,
     headroom_after,
+    parse_drain,
     plan_drain,
     schedule_drain,
-    to_drain,
 )
 from heathercleat.process.explain import explain
 from heathercleat.process.status import status_of
@@ -149,7 +149,7 @@
 
     async def _plan(self, query, body):
         call = loads(body)
-        drain = to_drain(call["id"], call["scope"], call["name"], call["at"])
+        drain = parse_drain(call["id"], call["scope"], call["name"], call["at"])
         base = self._base_of(call)
         current = await self._document_at(base)
         now = self._vm.clock.wall()
@@ -161,7 +161,7 @@
                 "slots": room.slots,
                 "left": room.remaining,
                 "least": room.minimum,
-                "enough": room.enough,
+                "enough": room.is_enough,
             }
             for room in headroom_after(text, drain, now)
         ]
--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -18,14 +18,14 @@
 from heathercleat.process.configuration.platform import ABSENT, Condition, Write
 from heathercleat.request.call import Outcome
 
-BATCH_WAIT = 0.003
+BATCH_WAIT_SECONDS = 0.003
 MAX_BATCH = 64
 BUCKET_SECONDS = 3600
 #: Zero-padded width of a bucket in a key, so that keys sort by time.
 BUCKET_DIGITS = 8
 CLAIM_PREFIX = "once/"
 #: Maximum size of a response body in an outcome row, in bytes.
-MAX_KEPT_BODY = 16 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024
 
 
 class RowState(Enum):
@@ -74,7 +74,7 @@
         self._platform = platform
         self._instance_id = instance_id
         self._pending = deque()
-        self._arrived = Signal()
+        self._has_pending = Signal()
         self._transactions = 0
 
     @property
@@ -104,7 +104,7 @@
 
         An outcome that is too large or can't be written is not stored.
         """
-        if len(outcome.body) > MAX_KEPT_BODY:
+        if len(outcome.body) > MAX_STORED_BODY_BYTES:
             return
         row = ClaimRow(RowState.DONE, self._instance_id, outcome)
         try:
@@ -115,9 +115,9 @@
     async def run(self):
         """Write queued rows in batches, forever."""
         while True:
-            await self._arrived.wait()
-            self._arrived.clear()
-            await sleep(BATCH_WAIT)
+            await self._has_pending.wait()
+            self._has_pending.clear()
+            await sleep(BATCH_WAIT_SECONDS)
             while self._pending:
                 batch = [self._pending.popleft() for _ in self._next_batch()]
                 await self._write_batch(batch)
@@ -127,10 +127,10 @@
 
     async def _insert(self, ticket, key, state):
         row_key = _row_key(ticket, key)
-        mine = ClaimRow(state, self._instance_id)
+        new_row = ClaimRow(state, self._instance_id)
         try:
-            if not await self._write(row_key, _pack(mine), ABSENT):
-                return mine
+            if not await self._write(row_key, _pack(new_row), ABSENT):
+                return new_row
         except PlatformError:
             # The write may have succeeded although its response was lost.
             row = await self._platform.read(row_key)
@@ -146,7 +146,7 @@
         """Queue a write, wait for it and return whether there was a conflict."""
         pending = PendingWrite(key, value, version, Signal())
         self._pending.append(pending)
-        await self._arrived.set()
+        await self._has_pending.set()
         await pending.done.wait()
         if pending.error is not None:
             raise pending.error
--- a/src/heathercleat/process/at_most_once/deduplication.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -9,10 +9,10 @@
 from heathercleat.errors import RequestError
 
 #: Seconds for which an outcome is kept after its ticket has expired.
-RETENTION = 600.0
+RETENTION_SECONDS = 600.0
 #: Seconds after its expiry during which the outcomes of a ticket are reported. This is
 #: shorter than the retention to allow for clock skew and adjustments.
-ANSWERABLE = 300.0
+MAX_REPORTED_AGE_SECONDS = 300.0
 MAX_ENTRIES = 100_000
 
 
@@ -53,7 +53,7 @@
     def __init__(self, clock):
         self._clock = clock
         self._entries = {}
-        self._sweep_at = 0.0
+        self._next_removal_at = 0.0
 
     def __len__(self):
         return len(self._entries)
@@ -66,7 +66,7 @@
         :raises RequestError: if the request must not run.
         """
         now = self._clock.wall()
-        self._sweep(now)
+        self._remove_expired(now)
         known = self._entries.get((ticket.id, key))
         if known is None:
             return self._begin_new(ticket, key, digest, now), True
@@ -100,37 +100,37 @@
         """
         entry = self._entries.get((ticket_id, key))
         if entry is None:
-            check_age(expires_at, self._clock.wall())
-            entry = Entry(b"", expires_at + RETENTION, EntryState.CLOSED)
+            check_ticket_age(expires_at, self._clock.wall())
+            entry = Entry(b"", expires_at + RETENTION_SECONDS, EntryState.CLOSED)
             self._entries[ticket_id, key] = entry
         elif entry.state is EntryState.NOT_RUN:
             entry.state = EntryState.CLOSED
         return entry
 
     def _begin_new(self, ticket, key, digest, now):
-        check_age(ticket.expires_at, now)
+        check_ticket_age(ticket.expires_at, now)
         if now >= ticket.expires_at:
             raise RequestError(ResultCode.TICKET_EXPIRED, "the ticket has expired")
         if len(self._entries) >= MAX_ENTRIES:
             raise RequestError(ResultCode.NO_ROOM, "too many outcomes are kept")
-        entry = Entry(digest, ticket.expires_at + RETENTION)
+        entry = Entry(digest, ticket.expires_at + RETENTION_SECONDS)
         self._entries[ticket.id, key] = entry
         return entry
 
-    def _sweep(self, now):
-        if now < self._sweep_at:
+    def _remove_expired(self, now):
+        if now < self._next_removal_at:
             return
-        self._sweep_at = now + 1.0
-        old = [
-            place
-            for place, entry in self._entries.items()
+        self._next_removal_at = now + 1.0
+        expired = [
+            entry_key
+            for entry_key, entry in self._entries.items()
             if entry.keep_until <= now and entry.state is not EntryState.RUNNING
         ]
-        for place in old:
-            del self._entries[place]
+        for entry_key in expired:
+            del self._entries[entry_key]
 
 
-def check_age(expires_at, now):
+def check_ticket_age(expires_at, now):
     """Reject a ticket whose entries may already have been removed.
 
     A key without an entry would otherwise appear not to have run.
@@ -138,6 +138,6 @@
     :param expires_at: expiry of the ticket, in epoch seconds, as is ``now``.
     :raises RequestError: if the ticket is too old.
     """
-    if now >= expires_at + ANSWERABLE:
+    if now >= expires_at + MAX_REPORTED_AGE_SECONDS:
         message = "the ticket is too old to know its outcome"
         raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -10,14 +10,14 @@
 from heathercleat.errors import PlatformError
 from heathercleat.events import Event
 from heathercleat.process.at_most_once.claims import CLAIM_PREFIX, bucket_end
-from heathercleat.process.at_most_once.deduplication import RETENTION
+from heathercleat.process.at_most_once.deduplication import RETENTION_SECONDS
 from heathercleat.process.configuration.platform import Condition, Write
 from heathercleat.version.hashing import rank_by_weight
 
 #: Seconds between two sweeps.
-SWEEP_INTERVAL = 60.0
+SWEEP_INTERVAL_SECONDS = 60.0
 #: Seconds between two batches; with the batch size, this limits the load on the table.
-BATCH_INTERVAL = 0.1
+BATCH_INTERVAL_SECONDS = 0.1
 #: Maximum number of rows removed in one transaction.
 BATCH_ROWS = 64
 
@@ -38,7 +38,7 @@
     async def run(self):
         """Sweep periodically while this VM is the sweeper, forever."""
         while True:
-            await sleep(SWEEP_INTERVAL)
+            await sleep(SWEEP_INTERVAL_SECONDS)
             if not self._is_sweeper():
                 continue
             try:
@@ -58,7 +58,7 @@
             removed += count
             if count < BATCH_ROWS:
                 break
-            await sleep(BATCH_INTERVAL)
+            await sleep(BATCH_INTERVAL_SECONDS)
         if removed:
             self._vm.journal.write(Event.CLAIMS_SWEPT, rows=removed)
         return removed
@@ -74,7 +74,7 @@
         """
         rows = await self._platform.read_range(CLAIM_PREFIX, BATCH_ROWS)
         now = self._clock.wall()
-        old = [row for row in rows if bucket_end(row.key) + RETENTION <= now]
+        old = [row for row in rows if bucket_end(row.key) + RETENTION_SECONDS <= now]
         if not old:
             return 0
         # If a row changes meanwhile, the batch is left for the next sweep.
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -282,7 +282,7 @@
         :raises CallerDisconnectedError: if the caller disconnects meanwhile.
         """
         watcher = None
-        if waiter.request.ends_with_caller:
+        if waiter.request.cancels_on_disconnect:
             watcher = await spawn(self._watch_caller, waiter)
         try:
             await timeout_after(limit - waiter.queued_at, waiter.signal.wait)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -21,7 +21,10 @@
     Hold,
 )
 from heathercleat.process.clock import from_wall, to_wall
-from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
+from heathercleat.process.membership.member import (
+    DEAD_AFTER_SECONDS,
+    HOME_LEASE_SECONDS,
+)
 from heathercleat.version.version_transition import VersionTransition
 
 CHECK_INTERVAL_SECONDS = 0.1
@@ -29,7 +32,7 @@
 REPORT_INTERVAL_SECONDS = 0.25
 #: Seconds for which a handover is kept while other VMs don't respond; an unresponsive
 #: VM is declared dead within this time.
-HANDOVER_RETENTION_SECONDS = DEAD_AFTER + HOME_LEASE_SECONDS
+HANDOVER_RETENTION_SECONDS = DEAD_AFTER_SECONDS + HOME_LEASE_SECONDS
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,7 +81,7 @@
             if self._vm.text is not None:
                 self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
-                if self._vm.directory.known and self._membership.may_act():
+                if self._vm.directory.is_known and self._membership.may_act():
                     await self._acquire_missing()
                     await self._publisher.follow(dict(self._hold_ends()))
             await sleep(CHECK_INTERVAL_SECONDS)
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -347,7 +347,7 @@
 
     def _homes_in(self, domain, service):
         placement = self._vm.text.placement
-        homes = self._directory.homes_in(domain, placement, service)
+        homes = self._directory.assigned_homes(domain, placement, service)
         if domain == self._vm.settings.failure_domain:
             return self._vm.local_homes(service) or homes
         return homes
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -183,7 +183,7 @@
     def bounds_for(self, targets):
         """Yield the :class:`OccupancyBound` of each target for each failed home."""
         for vm, (incarnation, covers) in self._records.items():
-            if not self._membership.heard_until_end(vm, incarnation):
+            if not self._membership.was_monitored_until_end(vm, incarnation):
                 continue
             has_exited = self._has_exited(vm, incarnation)
             for target in targets:
@@ -195,9 +195,9 @@
 
     def _has_exited(self, vm, incarnation):
         # Another VM may have become the home shortly before it failed as well.
-        return self._membership.is_gone(vm, incarnation) and self._membership.all_gone(
-            UNCERTAIN_HOME_SECONDS
-        )
+        return self._membership.has_exited(
+            vm, incarnation
+        ) and self._membership.have_all_exited(UNCERTAIN_HOME_SECONDS)
 
 
 def occupied_until(clock, service, bounds):
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -18,11 +18,11 @@
 from heathercleat.connection.messages import FetchReadiness, Readiness
 from heathercleat.errors import PeerError
 from heathercleat.process.clock import DISTANT_PAST
-from heathercleat.process.membership.peer_links import CALL_TIMEOUT
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT_SECONDS
 
 CHECK_INTERVAL_SECONDS = 0.25
 #: Seconds for which look-ups wait for the first poll after a start.
-FIRST_POLL_TIMEOUT_SECONDS = CHECK_INTERVAL_SECONDS + CALL_TIMEOUT
+FIRST_POLL_TIMEOUT_SECONDS = CHECK_INTERVAL_SECONDS + CALL_TIMEOUT_SECONDS
 #: Seconds for which homes are polled after a change, even if they are ready.
 MIN_POLL_SECONDS = 10.0
 #: Usable share of the slots at which a domain counts as ready for all its callers.
@@ -136,7 +136,7 @@
         async with TaskGroup() as group:
             for name, host in hosts.items():
                 await group.spawn(self._poll, name, host)
-        if self._vm.directory.cached:
+        if self._vm.directory.is_known:
             await self._polled.set()
 
     async def _poll(self, name, host):
@@ -172,7 +172,7 @@
         if domain == self._local_domain:
             names = self._membership.live()
         else:
-            entries = self._vm.directory.staying_in(domain)
+            entries = self._vm.directory.available_in(domain)
             names = [entry.name for entry in entries]
         return self._vm.text.placement.homes(domain, names)
 
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -19,7 +19,7 @@
 from heathercleat.version.text import Drain, DrainScope
 
 #: Maximum number of attempts to write an edit or to learn whether it took effect.
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,8 +66,8 @@
         """
         edit.document.parse()
         data = edit.document.pack()
-        tried = False
-        for _ in range(MAX_TRIES):
+        may_have_written = False
+        for _ in range(MAX_ATTEMPTS):
             try:
                 version = await self._find(edit.id)
                 if version is not None:
@@ -75,14 +75,14 @@
                 await self._platform.put_object(object_key(data), data)
                 row = await self._platform.read(HEAD_KEY)
                 await self._check_base(edit, row)
-                tried = True
+                may_have_written = True
                 if await self._write(edit, data, row):
                     return edit.base_version + 1
             except PlatformError as error:
                 last = error
             else:
                 last = None
-        if last is None or not tried:
+        if last is None or not may_have_written:
             raise last or PlatformError("the head row changes all the time")
         message = f"the platform did not say whether edit {edit.id} took effect"
         raise HeathercleatError(ResultCode.EDIT_UNKNOWN, message)
@@ -120,13 +120,13 @@
         raise ConflictError(version, await self._difference(edit, version))
 
     async def _difference(self, edit, version):
-        theirs = await self.show(version) if version else Document("", {})
-        known = Document("", {})
+        latest = await self.show(version) if version else Document("", {})
+        base = Document("", {})
         if 0 < edit.base_version < version:
-            known = await self.show(edit.base_version)
+            base = await self.show(edit.base_version)
         lines = unified_diff(
-            known.source.splitlines(),
-            theirs.source.splitlines(),
+            base.source.splitlines(),
+            latest.source.splitlines(),
             f"version {edit.base_version}",
             f"version {version}",
             lineterm="",
@@ -162,7 +162,7 @@
     minimum: int
 
     @property
-    def enough(self):
+    def is_enough(self):
         """Return whether the remaining slots reach the minimum."""
         return self.remaining >= self.minimum
 
@@ -214,15 +214,19 @@
         message = f'there is a drain "{drain.id}" already; cancel it or use another id'
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
     _check_name(text, drain)
-    short = [room for room in headroom_after(text, drain, now) if not room.enough]
-    if short:
+    insufficient = [
+        headroom
+        for headroom in headroom_after(text, drain, now)
+        if not headroom.is_enough
+    ]
+    if insufficient:
         figures = "; ".join(
-            f"{room.service} would keep {room.remaining} of {room.slots} slots, "
-            f"fewer than {room.minimum}"
-            for room in short
+            f"{headroom.service} would keep {headroom.remaining} of {headroom.slots} slots, "
+            f"fewer than {headroom.minimum}"
+            for headroom in insufficient
         )
         raise HeathercleatError(ResultCode.HEADROOM_REFUSED, figures)
-    drains = dict(_drains_kept(document, text, now))
+    drains = dict(_active_drains(document, text, now))
     drains[drain.id] = [drain.scope.value, drain.name, drain.at]
     return Document(document.source, drains)
 
@@ -239,10 +243,10 @@
         message = f'no drain "{drain_id}" was planned; "drain list" shows them all'
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
     text = document.parse()
-    drains = dict(_drains_kept(document, text, now))
+    drains = dict(_active_drains(document, text, now))
     ended = drains.pop(drain_id, None)
     drain = text.drains[drain_id]
-    ramp_seconds = _lead_of(text, drain)
+    ramp_seconds = _ramp_seconds(text, drain)
     if (
         ended is not None
         and ramp_seconds
@@ -252,21 +256,24 @@
     return Document(document.source, drains)
 
 
-def _drains_kept(document, text, now):
+def _active_drains(document, text, now):
     """Yield ``(id, fields)`` of each drain whose callers have not all returned."""
     for id_, fields in document.drains.items():
         drain = text.drains[id_]
-        if drain.until is None or departed_share(drain, _lead_of(text, drain), now) > 0:
+        if (
+            drain.until is None
+            or departed_share(drain, _ramp_seconds(text, drain), now) > 0
+        ):
             yield id_, fields
 
 
-def _lead_of(text, drain):
+def _ramp_seconds(text, drain):
     if drain.scope is not DrainScope.FAILURE_DOMAIN:
         return 0.0
     return text.ramps.ramp_seconds(drain.name)
 
 
-def to_drain(id_, scope, name, at):
+def parse_drain(id_, scope, name, at):
     """Return a :class:`Drain` from the arguments of an operator's command.
 
     :param at: start of the drain, in epoch seconds.
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -21,7 +21,7 @@
 )
 from heathercleat.errors import FindingsError, PeerError, PlatformError
 from heathercleat.events import Event
-from heathercleat.process.membership.directory import vm_list
+from heathercleat.process.membership.directory import parse_vm_list
 from heathercleat.process.membership.member import MemberState
 from heathercleat.version.document import (
     HEAD_KEY,
@@ -32,13 +32,13 @@
 from heathercleat.version.hashing import rank_by_weight
 
 #: Number of VMs of a failure domain that poll the platform.
-READERS = 2
-READ_INTERVAL = 0.5
+READER_COUNT = 2
+POLL_INTERVAL_SECONDS = 0.5
 #: Seconds between polls of a VM that is not a reader, in case the readers fail.
-FALLBACK_INTERVAL = 30.0
+FALLBACK_POLL_INTERVAL_SECONDS = 30.0
 #: Number of VMs of other failure domains that a reader contacts after each poll.
 GOSSIP_FANOUT = 1
-FETCH_TIMEOUT = 5.0
+FETCH_TIMEOUT_SECONDS = 5.0
 
 
 class ConfigurationManager:
@@ -61,7 +61,7 @@
         self._text = None
         self._fetching = set()
         self._platform_failures = 0
-        self._read_at = 0.0
+        self._polled_at = 0.0
 
     @property
     def version(self):
@@ -84,7 +84,7 @@
         return unpack_document(self._data) if self._data else None
 
     @property
-    def platform_answers(self):
+    def is_platform_available(self):
         """Return whether the last call to the platform succeeded."""
         return self._platform_failures == 0
 
@@ -170,14 +170,14 @@
         """Poll the platform and gossip with other failure domains, forever."""
         await self._start()
         while True:
-            if self._is_reader() or self._fallback_due():
+            if self._is_reader() or self._is_fallback_due():
                 before = self._version, self._directory.serial
-                self._read_at = self._clock.now()
+                self._polled_at = self._clock.now()
                 await self.read_platform()
                 if before != (self._version, self._directory.serial):
                     await self.announce()
                 await self._gossip()
-            await sleep(uniform(0.8, 1.2) * READ_INTERVAL)
+            await sleep(uniform(0.8, 1.2) * POLL_INTERVAL_SECONDS)
 
     async def _start(self):
         """Fetch the latest version from the seeds and the platform."""
@@ -192,12 +192,17 @@
     def _is_reader(self):
         live = self._membership.live()
         return (
-            self._vm.name in rank_by_weight("readers", live)[:READERS] or len(live) <= 1
+            self._vm.name in rank_by_weight("readers", live)[:READER_COUNT]
+            or len(live) <= 1
         )
 
-    def _fallback_due(self):
-        interval = FALLBACK_INTERVAL if self._text is not None else READ_INTERVAL
-        return self._clock.now() - self._read_at > interval
+    def _is_fallback_due(self):
+        interval = (
+            FALLBACK_POLL_INTERVAL_SECONDS
+            if self._text is not None
+            else POLL_INTERVAL_SECONDS
+        )
+        return self._clock.now() - self._polled_at > interval
 
     async def _read_head(self):
         row = await self._platform.read(HEAD_KEY)
@@ -221,21 +226,23 @@
 
     async def _exchange(self, host):
         """Exchange versions with a peer and fetch what is newer there."""
-        mine = Announcement(self._version, self._directory.serial)
+        local = Announcement(self._version, self._directory.serial)
         try:
-            theirs = await self._links.call(host, mine)
+            remote = await self._links.call(host, local)
         except PeerError:
             return
-        await self.fetch_if_newer(host, theirs.version, theirs.vm_serial)
+        await self.fetch_if_newer(host, remote.version, remote.vm_serial)
 
     async def _fetch(self, host):
         try:
-            answer = await self._links.call(host, FetchConfiguration(), FETCH_TIMEOUT)
+            answer = await self._links.call(
+                host, FetchConfiguration(), FETCH_TIMEOUT_SECONDS
+            )
             if isinstance(answer, Configuration) and answer.version:
                 self.adopt(answer.version, answer.document, host)
-            vms = await self._links.call(host, VmListRequest(), FETCH_TIMEOUT)
+            vms = await self._links.call(host, VmListRequest(), FETCH_TIMEOUT_SECONDS)
             if isinstance(vms, VmListResponse) and vms.serial >= 0:
-                self.adopt_vms(vm_list(vms.serial, vms.entries))
+                self.adopt_vms(parse_vm_list(vms.serial, vms.entries))
         except PeerError:
             return
         finally:
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -20,7 +20,7 @@
 from heathercleat.errors import PlatformError
 
 ABSENT = 0
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 MSGPACK = {"content-type": "application/msgpack"}
 
 
@@ -125,7 +125,7 @@
         self._clock = clock
         self._timeout = timeout
         self._fence = fence
-        self._connection = PersistentConnection(self._connect, MAX_ANSWER_BYTES)
+        self._connection = PersistentConnection(self._connect, MAX_RESPONSE_BYTES)
 
     async def transact(self, conditions, writes):
         """Apply all writes if every condition holds, and return a :class:`Commit`."""
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -27,11 +27,11 @@
         "vms": lookup["vms"],
         "ready_share": vm.readiness.share(service),
         "expected_wait": None if wait == float("inf") else wait,
-        "places": list(_places(vm, service)),
+        "places": list(_describe_targets(vm, service)),
     }
 
 
-def _places(vm, service):
+def _describe_targets(vm, service):
     """Yield the JSON object of each target of a service, nearest first."""
     text, here = vm.text, vm.settings.failure_domain
     targets = sorted(
@@ -39,12 +39,12 @@
         key=lambda target: (text.distance(here, target.failure_domain), target.name),
     )
     for target in targets:
-        yield _place(vm, target, text.distance(here, target.failure_domain))
+        yield _describe_target(vm, target, text.distance(here, target.failure_domain))
 
 
-def _place(vm, target, distance):
+def _describe_target(vm, target, distance):
     now = vm.clock.now()
-    place = {
+    description = {
         "target": target.name,
         "failure_domain": target.failure_domain,
         "distance": distance,
@@ -58,14 +58,18 @@
         if lease.target == target.name and lease.has_free_slot(now)
     ]
     if drain is not None:
-        return {**place, "state": f"drained by {drain.id}", "free": 0}
+        return {**description, "state": f"drained by {drain.id}", "free": 0}
     if entry is not None:
         state = entry.block_reason or "homed here"
         if vm.health.is_slow(entry):
             state = "homed here, slow"
         cost = round(vm.health.cost(entry), 6)
-        return {**place, "state": state, "free": entry.free(now), "cost": cost}
+        return {**description, "state": state, "free": entry.free(now), "cost": cost}
     if leases:
         free = sum(lease.slots - lease.in_use for lease in leases)
-        return {**place, "state": f"leased from {leases[0].granter}", "free": free}
-    return {**place, "state": "ask its home for a lease", "free": None}
+        return {
+            **description,
+            "state": f"leased from {leases[0].granter}",
+            "free": free,
+        }
+    return {**description, "state": "ask its home for a lease", "free": None}
--- a/src/heathercleat/process/fence.py
+++ b/src/heathercleat/process/fence.py
@@ -9,7 +9,7 @@
 from curio import sleep
 
 #: Seconds; longer than the deadline of any call.
-FOREVER = 3600.0
+FENCED_DELAY_SECONDS = 3600.0
 
 
 class Fence:
@@ -21,7 +21,7 @@
     def __init__(self, networks=()):
         self._networks = [ip_network(network) for network in networks]
 
-    def covers(self, host):
+    def contains(self, host):
         """Return whether ``host``, an IP address, is in one of the networks."""
         if not self._networks:
             return False
@@ -29,6 +29,6 @@
         return any(address in network for network in self._networks)
 
     async def wait_if_fenced(self, host):
-        """Return at once, or after ``FOREVER`` if ``host`` is fenced."""
-        if self.covers(host):
-            await sleep(FOREVER)
+        """Return at once, or after ``FENCED_DELAY_SECONDS`` if ``host`` is fenced."""
+        if self.contains(host):
+            await sleep(FENCED_DELAY_SECONDS)
--- a/src/heathercleat/process/logs.py
+++ b/src/heathercleat/process/logs.py
@@ -8,9 +8,9 @@
 from time import sleep
 
 LOGGER_NAME = "heathercleat"
-LIBRARY_LOGGER = "curio"
-BUFFER_LINES = 50_000
-WRITE_INTERVAL = 0.05
+CURIO_LOGGER_NAME = "curio"
+MAX_BUFFERED_LINES = 50_000
+WRITE_INTERVAL_SECONDS = 0.05
 FLUSH_SECONDS = 0.5
 
 
@@ -68,7 +68,7 @@
 
     def handle(self, record):
         """Buffer or drop ``record``; no lock is needed because appends are atomic."""
-        if len(self._records) >= BUFFER_LINES:
+        if len(self._records) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return
         self._records.append(record)
@@ -83,7 +83,7 @@
         """Wake the thread that is blocked in :meth:`wait`."""
         self._filled.set()
 
-    def take(self):
+    def pop_all(self):
         """Remove and return the buffered records."""
         self._filled.clear()
         return [self._records.popleft() for _ in range(len(self._records))]
@@ -106,7 +106,7 @@
         self._logger.setLevel(level)
         self._logger.propagate = False
         self._logger.handlers = [self._handler]
-        self._take_library_lines()
+        self._capture_curio_logs()
         self._stopping = False
         self._thread = Thread(target=self._run, daemon=True)
 
@@ -125,26 +125,26 @@
         self._handler.interrupt()
         self._thread.join(FLUSH_SECONDS)
 
-    def _take_library_lines(self):
+    def _capture_curio_logs(self):
         """Handle the errors that curio logs in the same way.
 
         Its warnings are ignored: they concern only results that arrive just after a
         timeout and are used nevertheless.
         """
-        library = getLogger(LIBRARY_LOGGER)
-        library.setLevel(ERROR)
-        library.propagate = False
-        library.handlers = [self._handler]
+        curio_logger = getLogger(CURIO_LOGGER_NAME)
+        curio_logger.setLevel(ERROR)
+        curio_logger.propagate = False
+        curio_logger.handlers = [self._handler]
 
     def _run(self):
         while not self._stopping:
             self._handler.wait()
-            sleep(WRITE_INTERVAL)
+            sleep(WRITE_INTERVAL_SECONDS)
             self._write()
         self._write()
 
     def _write(self):
-        lines = [self._formatter.format(record) for record in self._handler.take()]
+        lines = [self._formatter.format(record) for record in self._handler.pop_all()]
         if not lines:
             return
         try:
--- a/src/heathercleat/process/membership/directory.py
+++ b/src/heathercleat/process/membership/directory.py
@@ -16,7 +16,7 @@
         self._by_name = {}
 
     @property
-    def known(self):
+    def is_known(self):
         """Return whether a list has been received."""
         return self._list is not None
 
@@ -49,16 +49,16 @@
         """Return the entries of one failure domain."""
         return self._by_domain.get(failure_domain, [])
 
-    def staying_in(self, failure_domain):
+    def available_in(self, failure_domain):
         """Return the entries of one failure domain that are not leaving."""
         return [entry for entry in self.vms_in(failure_domain) if not entry.leaving]
 
-    def homes_in(self, failure_domain, placement, service):
+    def assigned_homes(self, failure_domain, placement, service):
         """Return the distinct VMs to which a placement assigns a service's targets.
 
         :param placement: the :class:`Placement` of the current configuration.
         """
-        names = [entry.name for entry in self.staying_in(failure_domain)]
+        names = [entry.name for entry in self.available_in(failure_domain)]
         homes = placement.homes_of(service, failure_domain, names)
         return [self._by_name[name] for name in homes]
 
@@ -70,6 +70,6 @@
         ]
 
 
-def vm_list(serial, fields):
+def parse_vm_list(serial, fields):
     """Return a :class:`VmList` from the fields of a :class:`Vms` message."""
     return VmList(serial, tuple(VmEntry(*entry) for entry in fields))
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -5,12 +5,12 @@
 from heathercleat.connection.messages import Heartbeat, HeartbeatAck
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.membership.member import DEAD_AFTER, MemberState
+from heathercleat.process.membership.member import DEAD_AFTER_SECONDS, MemberState
 
-HEARTBEAT_INTERVAL = 0.25
+HEARTBEAT_INTERVAL_SECONDS = 0.25
 #: Seconds between probes of a VM that closed its connection, and number of probes.
-LOOK_INTERVAL = 0.3
-LOOKS = 4
+PROBE_INTERVAL_SECONDS = 0.3
+MAX_PROBES = 4
 
 
 class Heartbeats:
@@ -35,7 +35,7 @@
             self._membership.record_tick()
             await self._start_tasks()
             await self.detect_failures()
-            await sleep(HEARTBEAT_INTERVAL)
+            await sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     async def send(self, name, host):
         """Send one heartbeat to a monitor and process its acknowledgement.
@@ -63,28 +63,28 @@
             await spawn(membership.announce, daemon=True)
             return
         member.acked_at = max(member.acked_at, sent_at)
-        member.silent_from = self._clock.now()
+        member.silent_since = self._clock.now()
         if ack.digest != membership.digest:
             await membership.exchange_views(host)
         await self._vm.fetch_if_newer(host, ack.version, ack.vm_serial)
 
-    async def end(self, member):
+    async def record_exit(self, member):
         """Record that the process of a VM has exited."""
-        member.gone = True
+        member.has_exited = True
         if member.state is not MemberState.DEAD:
             self._membership.declare_dead(member)
             await self._membership.announce()
 
     async def detect_failures(self):
         """Declare monitored VMs dead whose heartbeats have timed out."""
-        if not self._membership.settled:
+        if not self._membership.is_settled:
             return
         now = self._clock.now()
-        self._membership.forget_old()
+        self._membership.remove_old()
         for member in self._membership.monitored():
-            if now - member.heard_at <= DEAD_AFTER:
+            if now - member.heartbeat_silent_since <= DEAD_AFTER_SECONDS:
                 continue
-            if self._heard_otherwise(member, now):
+            if self._has_recent_ack(member, now):
                 continue
             self._membership.declare_dead(member)
             await spawn(self._membership.announce, daemon=True)
@@ -97,7 +97,7 @@
         """
         for member in self._membership.monitored():
             if member.vm == name:
-                await spawn(self._look_for_end, member, daemon=True)
+                await spawn(self._probe_suspect, member, daemon=True)
 
     async def _start_tasks(self):
         """Start a heartbeat task for each new monitor and cancel those of others."""
@@ -106,29 +106,31 @@
             await self._tasks.pop(host).cancel(blocking=False)
         for host, name in hosts.items():
             if host not in self._tasks:
-                self._tasks[host] = await spawn(self._beat, name, host, daemon=True)
+                self._tasks[host] = await spawn(
+                    self._send_heartbeats, name, host, daemon=True
+                )
 
-    async def _beat(self, name, host):
+    async def _send_heartbeats(self, name, host):
         while True:
             try:
                 await self.send(name, host)
             except PeerError:
                 pass
-            await sleep(HEARTBEAT_INTERVAL)
+            await sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    async def _look_for_end(self, suspected):
-        for _ in range(LOOKS):
-            await sleep(LOOK_INTERVAL)
+    async def _probe_suspect(self, suspected):
+        for _ in range(MAX_PROBES):
+            await sleep(PROBE_INTERVAL_SECONDS)
             if await self._membership.exchange_views(suspected.host):
                 return
             member = self._membership.members.get(suspected.vm)
             if member is None or member.incarnation != suspected.incarnation:
                 return
             if self._links.to(member.host).is_refused:
-                await self.end(member)
+                await self.record_exit(member)
                 return
 
-    def _heard_otherwise(self, member, now):
+    def _has_recent_ack(self, member, now):
         # A monitored VM may also be a monitor of this VM. Then a recent
         # acknowledgement shows that it is alive.
-        return member.acked_at > now - HEARTBEAT_INTERVAL
+        return member.acked_at > now - HEARTBEAT_INTERVAL_SECONDS
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -8,7 +8,7 @@
 #: Seconds for which an acknowledged heartbeat permits a VM to act as a home.
 HOME_LEASE_SECONDS = 1.0
 #: Seconds without a heartbeat after which a monitor declares a VM dead.
-DEAD_AFTER = 1.5
+DEAD_AFTER_SECONDS = 1.5
 
 
 class MemberState(Enum):
@@ -19,7 +19,7 @@
     DEAD = "dead"
 
 
-RANK = {MemberState.LIVE: 0, MemberState.LEAVING: 1, MemberState.DEAD: 2}
+STATE_PRECEDENCE = {MemberState.LIVE: 0, MemberState.LEAVING: 1, MemberState.DEAD: 2}
 
 
 @dataclass(slots=True)
@@ -28,14 +28,14 @@
 
     Instants are of ``clock.now()``:
 
-    - ``heard_at``: last heartbeat from this VM, moved forward by pauses of this process
+    - ``heartbeat_silent_since``: last heartbeat from this VM, moved forward by pauses of this process
     - ``acked_at``: when the last heartbeat that this VM acknowledged was sent
-    - ``silent_from``: last heartbeat or acknowledgement, moved forward by pauses
-    - ``beat_at``: last heartbeat from this VM
+    - ``silent_since``: last heartbeat or acknowledgement, moved forward by pauses
+    - ``last_heartbeat_at``: last heartbeat from this VM
     - ``died_at``: when this VM was declared dead
 
-    ``heard_before`` is the previous incarnation if its heartbeats were received until
-    it ended, or ``None``. ``gone`` means that the host refused connections: the process
+    ``previous_incarnation`` is the previous incarnation if its heartbeats were received until
+    it ended, or ``None``. ``has_exited`` means that the host refused connections: the process
     has exited, and its requests with it.
     """
 
@@ -43,23 +43,26 @@
     host: str
     incarnation: int
     state: MemberState
-    heard_at: float
+    heartbeat_silent_since: float
     acked_at: float
-    silent_from: float
-    beat_at: float = DISTANT_PAST
+    silent_since: float
+    last_heartbeat_at: float = DISTANT_PAST
     died_at: float = DISTANT_PAST
-    heard_before: int | None = None
-    gone: bool = False
+    previous_incarnation: int | None = None
+    has_exited: bool = False
 
     @property
-    def heard_to_the_end(self):
+    def has_heartbeats_until_end(self):
         """Return whether heartbeats were received until shortly before the end.
 
         A monitor would have declared the VM dead by then.
         """
-        return self.died_at - self.beat_at <= DEAD_AFTER + HOME_LEASE_SECONDS
+        return (
+            self.died_at - self.last_heartbeat_at
+            <= DEAD_AFTER_SECONDS + HOME_LEASE_SECONDS
+        )
 
     @property
-    def rank(self):
+    def precedence(self):
         """Return the precedence of a record: by incarnation, then by state."""
-        return self.incarnation, RANK[self.state]
+        return self.incarnation, STATE_PRECEDENCE[self.state]
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -3,7 +3,7 @@
 Each VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 doesn't grow with the number of VMs. A VM may act as a home only while its monitors have
 acknowledged a heartbeat within ``HOME_LEASE_SECONDS``. A monitor declares a VM dead
-after ``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore loses
+after ``DEAD_AFTER_SECONDS`` without a heartbeat, which is longer. A paused VM therefore loses
 its permission to act as a home before another VM takes over.
 """
 
@@ -23,15 +23,15 @@
 
 #: Seconds without a message from a monitor after which its acknowledgement is no longer
 #: required.
-SILENT_AFTER = 3.0
+SILENT_AFTER_SECONDS = 3.0
 #: Minimum gap in seconds between two ticks that counts as a pause of this process.
-PAUSE_GAP = 0.75
+PAUSE_GAP_SECONDS = 0.75
 #: Seconds after a start or a pause during which this VM may not act as a home or
 #: declare others dead.
 SETTLE_SECONDS = 0.5
 #: Seconds for which the record of a dead VM is kept, to reject outdated records.
-DEAD_KEPT = 3600.0
-MONITORS = 3
+DEAD_RETENTION_SECONDS = 3600.0
+MONITOR_COUNT = 3
 
 
 class Membership:
@@ -49,7 +49,7 @@
         self._digest = 0
         self._settled_at = clock.now() + SETTLE_SECONDS
         self._last_tick = clock.now()
-        self._on_presumed_dead = None
+        self._on_new_incarnation = None
         self._on_pause = None
         self._add_self(MemberState.LIVE)
 
@@ -72,12 +72,12 @@
         """Call ``callback()`` after each pause of this process."""
         self._on_pause = callback
 
-    def on_presumed_dead(self, callback):
+    def on_new_incarnation(self, callback):
         """Call ``callback()`` after a new incarnation has begun.
 
         That follows a long pause, or a record that declares this VM dead.
         """
-        self._on_presumed_dead = callback
+        self._on_new_incarnation = callback
 
     def live(self):
         """Return the sorted names of the live VMs, which may be homes."""
@@ -96,14 +96,14 @@
         ]
 
     @property
-    def settled(self):
+    def is_settled(self):
         """Return whether ``SETTLE_SECONDS`` have passed since a pause or the start."""
         return self._clock.now() >= self._settled_at
 
     def may_act(self):
         """Return whether this VM may admit requests as the home of targets."""
         now = self._clock.now()
-        if now < self._settled_at or now - self._last_tick > PAUSE_GAP:
+        if now < self._settled_at or now - self._last_tick > PAUSE_GAP_SECONDS:
             return False
         return all(
             member.acked_at + HOME_LEASE_SECONDS > now
@@ -125,7 +125,7 @@
         """Return the members that send heartbeats to this VM."""
         return self._neighbours(-1)
 
-    def heard_until_end(self, name, incarnation):
+    def was_monitored_until_end(self, name, incarnation):
         """Return whether this VM received heartbeats of an incarnation until it ended.
 
         An incarnation ends when it is declared dead or a later one begins. This VM may
@@ -135,19 +135,23 @@
         if member is None:
             return False
         if member.incarnation == incarnation:
-            return member.state is MemberState.DEAD and member.heard_to_the_end
-        return member.heard_before == incarnation
+            return member.state is MemberState.DEAD and member.has_heartbeats_until_end
+        return member.previous_incarnation == incarnation
 
-    def is_gone(self, name, incarnation):
+    def has_exited(self, name, incarnation):
         """Return whether the process of an ended incarnation has certainly exited."""
         member = self._members.get(name)
-        return member is not None and member.incarnation == incarnation and member.gone
+        return (
+            member is not None
+            and member.incarnation == incarnation
+            and member.has_exited
+        )
 
-    def all_gone(self, seconds):
+    def have_all_exited(self, seconds):
         """Return whether all VMs declared dead in the last ``seconds`` have exited."""
         since = self._clock.now() - seconds
         return all(
-            member.gone
+            member.has_exited
             for member in self._members.values()
             if member.state is MemberState.DEAD and member.died_at >= since
         )
@@ -162,22 +166,22 @@
         if item.failure_domain != self._vm.settings.failure_domain:
             return False
         if item.vm == self._vm.name:
-            return self._record_self(item)
+            return self._refute(item)
         now = self._clock.now()
         known = self._members.get(item.vm)
-        fresh = Member(
+        updated = Member(
             item.vm, item.host, item.incarnation, MemberState(item.state), now, now, now
         )
-        if known is not None and fresh.rank <= known.rank:
+        if known is not None and updated.precedence <= known.precedence:
             return False
         if known is not None:
-            self._carry_over(known, fresh, now)
-        if fresh.state is MemberState.DEAD:
-            fresh.died_at = now
-        self._members[item.vm] = fresh
-        self._changed()
+            self._copy_state(known, updated, now)
+        if updated.state is MemberState.DEAD:
+            updated.died_at = now
+        self._members[item.vm] = updated
+        self._update_digest()
         self._vm.journal.write(
-            _EVENTS[fresh.state],
+            _EVENTS[updated.state],
             member=item.vm,
             incarnation=item.incarnation,
             live=len(self.live()),
@@ -194,12 +198,12 @@
         if member is None or heartbeat.incarnation < member.incarnation:
             return member is not None
         if heartbeat.incarnation > member.incarnation:
-            self.record(self._next_life(member, heartbeat.incarnation))
+            self.record(self._next_incarnation(member, heartbeat.incarnation))
             member = self._members[heartbeat.vm]
         if member.state is MemberState.DEAD:
             return True
-        member.heard_at = member.beat_at = self._clock.now()
-        member.silent_from = member.heard_at
+        member.heartbeat_silent_since = member.last_heartbeat_at = self._clock.now()
+        member.silent_since = member.heartbeat_silent_since
         return False
 
     async def announce(self):
@@ -236,24 +240,24 @@
         self._add_self(MemberState.LIVE)
         await self.announce()
 
-    def _carry_over(self, known, fresh, now):
+    def _copy_state(self, known, updated, now):
         """Copy to a new record the state that is not part of a message."""
-        if known.incarnation == fresh.incarnation:
-            fresh.beat_at = known.beat_at
-            fresh.heard_before = known.heard_before
+        if known.incarnation == updated.incarnation:
+            updated.last_heartbeat_at = known.last_heartbeat_at
+            updated.previous_incarnation = known.previous_incarnation
             return
         if known.state is not MemberState.DEAD:
             known.died_at = now
-        if known.heard_to_the_end:
-            fresh.heard_before = known.incarnation
+        if known.has_heartbeats_until_end:
+            updated.previous_incarnation = known.incarnation
 
-    def _next_life(self, member, incarnation):
+    def _next_incarnation(self, member, incarnation):
         domain = self._vm.settings.failure_domain
         state = MemberState.LIVE.value
         return MemberRecord(member.vm, member.host, domain, incarnation, state)
 
     def _neighbours(self, step):
-        """Return up to ``MONITORS`` neighbours on the ring.
+        """Return up to ``MONITOR_COUNT`` neighbours on the ring.
 
         :param step: 1 for successors, -1 for predecessors.
         """
@@ -261,29 +265,31 @@
         if len(ring) <= 1:
             return []
         index = ring.index(self._vm.name)
-        count = min(MONITORS, len(ring) - 1)
+        count = min(MONITOR_COUNT, len(ring) - 1)
         names = [ring[(index + step * (1 + i)) % len(ring)] for i in range(count)]
         return [self._members[name] for name in names]
 
     def _is_silent(self, member, now):
         if self._links.to(member.host).is_refused:
             return True
-        return member.silent_from + SILENT_AFTER <= now
+        return member.silent_since + SILENT_AFTER_SECONDS <= now
 
     def record_tick(self):
         """Record that this process runs, and handle a pause since the last call."""
         now = self._clock.now()
         gap = now - self._last_tick
         self._last_tick = now
-        if gap <= PAUSE_GAP:
+        if gap <= PAUSE_GAP_SECONDS:
             return
         # Heartbeats missed during the pause say nothing about the senders. Time without
         # heartbeats before it still counts: otherwise frequent stalls would prevent
         # failure detection.
         self._settled_at = now + SETTLE_SECONDS
         for member in self._members.values():
-            member.heard_at = min(now, member.heard_at + gap)
-            member.silent_from = min(now, member.silent_from + gap)
+            member.heartbeat_silent_since = min(
+                now, member.heartbeat_silent_since + gap
+            )
+            member.silent_since = min(now, member.silent_since + gap)
         self._vm.journal.write(Event.VM_PAUSED, gap=round(gap, 3))
         if self._on_pause is not None:
             self._on_pause()
@@ -294,16 +300,17 @@
         """Start a new incarnation, after a pause or after being declared dead."""
         self._vm.renew_incarnation()
         self._add_self(self._members[self._vm.name].state)
-        if self._on_presumed_dead is not None:
-            self._on_presumed_dead()
+        if self._on_new_incarnation is not None:
+            self._on_new_incarnation()
 
-    def forget_old(self):
-        """Remove the records of VMs that have been dead for ``DEAD_KEPT``."""
+    def remove_old(self):
+        """Remove the records of VMs that have been dead for ``DEAD_RETENTION_SECONDS``."""
         now = self._clock.now()
         old = [
             name
             for name, member in self._members.items()
-            if member.state is MemberState.DEAD and now - member.heard_at > DEAD_KEPT
+            if member.state is MemberState.DEAD
+            and now - member.heartbeat_silent_since > DEAD_RETENTION_SECONDS
         ]
         for name in old:
             del self._members[name]
@@ -312,16 +319,16 @@
         """Declare a member dead, as one of its monitors."""
         member.state = MemberState.DEAD
         member.died_at = self._clock.now()
-        self._changed()
+        self._update_digest()
         self._vm.journal.write(
             Event.MEMBER_DEAD,
             member=member.vm,
             incarnation=member.incarnation,
-            silent=round(self._clock.now() - member.heard_at, 3),
-            gone=member.gone,
+            silent=round(self._clock.now() - member.heartbeat_silent_since, 3),
+            gone=member.has_exited,
         )
 
-    def _record_self(self, item):
+    def _refute(self, item):
         """Refute a record that declares this incarnation dead.
 
         :return: whether a new incarnation was started.
@@ -340,7 +347,7 @@
         self._members[name] = Member(
             name, settings.address, self._vm.incarnation, state, now, now, now
         )
-        self._changed()
+        self._update_digest()
 
     def _to_record(self, member):
         return MemberRecord(
@@ -351,7 +358,7 @@
             member.state.value,
         )
 
-    def _changed(self):
+    def _update_digest(self):
         running = [
             member
             for member in self._members.values()
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -8,9 +8,9 @@
 from heathercleat.errors import PeerError
 
 #: Default timeout of a call to a peer, in seconds.
-CALL_TIMEOUT = 0.5
+CALL_TIMEOUT_SECONDS = 0.5
 #: Seconds for which an unresponsive peer is not called again.
-BACKOFF = 0.25
+BACKOFF_SECONDS = 0.25
 
 
 class PeerLink:
@@ -26,14 +26,14 @@
         self._clock = clock
         self._lock = Lock()
         self._stream = None
-        self._refused = False
+        self._is_refused = False
         self._retry_at = 0.0
         self._bytes = 0
 
     @property
     def is_refused(self):
         """Return whether the last call failed because the connection was refused."""
-        return self._refused
+        return self._is_refused
 
     @property
     def is_reachable(self):
@@ -48,7 +48,7 @@
             return self._bytes
         return self._bytes + stream.bytes_sent + stream.bytes_received
 
-    async def call(self, item, timeout=CALL_TIMEOUT):
+    async def call(self, item, timeout=CALL_TIMEOUT_SECONDS):
         """Send a message and return the response.
 
         :param timeout: timeout in seconds, including the wait for earlier calls.
@@ -60,8 +60,8 @@
         try:
             answer = await before(deadline, self._clock, self._call(item))
         except (OSError, EOFError, ValueError) as error:
-            self._refused = isinstance(error, ConnectionRefusedError)
-            self._retry_at = self._clock.now() + BACKOFF
+            self._is_refused = isinstance(error, ConnectionRefusedError)
+            self._retry_at = self._clock.now() + BACKOFF_SECONDS
             raise PeerError(f"{self._host}: {error!r}") from None
         if isinstance(answer, Refused):
             raise PeerError(f"{self._host}: {answer.reason}")
@@ -86,7 +86,7 @@
             finally:
                 if not done:
                     await self.close()
-            self._refused = False
+            self._is_refused = False
             return answer
 
     async def _open(self):
@@ -148,7 +148,7 @@
             link = self._links[host] = PeerLink(self._vm, host, self._clock)
         return link
 
-    async def call(self, host, item, timeout=CALL_TIMEOUT):
+    async def call(self, host, item, timeout=CALL_TIMEOUT_SECONDS):
         """Call the VM on ``host``; see :meth:`PeerLink.call`."""
         return await self.to(host).call(item, timeout)
 
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -34,7 +34,7 @@
 from heathercleat.events import Event
 from heathercleat.process.at_most_once.deduplication import EntryState
 
-HELLO_SECONDS = 2.0
+HELLO_TIMEOUT_SECONDS = 2.0
 
 
 class PeerService:
@@ -50,7 +50,7 @@
             ViewExchange: self._view_exchange,
             AcquireTargets: self._acquire,
             SlotReleased: self._released,
-            OccupancyNotice: self._cover,
+            OccupancyNotice: self._occupancy_notice,
             LeaseRequest: self._lease_request,
             LeaseRenewal: self._lease_renewal,
             LeaseReturn: self._lease_return,
@@ -68,14 +68,16 @@
         """
         stream, hello = MessageStream(sock), None
         try:
-            hello = await timeout_after(HELLO_SECONDS, self._authenticate, stream)
+            hello = await timeout_after(
+                HELLO_TIMEOUT_SECONDS, self._authenticate, stream
+            )
             if hello is None:
                 self._vm.journal.write(Event.PEER_REJECTED, address=address[0])
                 await stream.send(Refused(ResultCode.BAD_REQUEST.number, "wrong key"))
                 return
             await stream.send(Accepted())
             while (item := await stream.receive()) is not None:
-                if self._vm.fence.covers(address[0]):
+                if self._vm.fence.contains(address[0]):
                     return
                 await stream.send(await self._answer(item, hello))
         except (OSError, ValueError, TypeError, TaskTimeout) as error:
@@ -132,7 +134,7 @@
         self._vm.homes.record_released(item.target, item.use_id)
         return Accepted()
 
-    async def _cover(self, item, hello):
+    async def _occupancy_notice(self, item, hello):
         self._vm.occupancy_records.record(item.vm, item.incarnation, item.covers)
         return Accepted()
 
--- a/src/heathercleat/process/membership/peer_tokens.py
+++ b/src/heathercleat/process/membership/peer_tokens.py
@@ -3,7 +3,7 @@
 from heathercleat.connection.peer import sign, verify
 
 #: Seconds for which a token is valid.
-TOKEN_SECONDS = 10.0
+TOKEN_TTL_SECONDS = 10.0
 _PURPOSE = b"forward"
 
 
@@ -25,14 +25,14 @@
         """Return a valid token of this VM."""
         now = self._clock.now()
         if now >= self._renew_at:
-            expires_at = int(self._clock.wall() + TOKEN_SECONDS)
+            expires_at = int(self._clock.wall() + TOKEN_TTL_SECONDS)
             key = self._get_keys()[0]
             signature = sign(key, _PURPOSE, self._name, expires_at).hex()
             self._token = f"{self._name};{expires_at};{signature}"
-            self._renew_at = now + TOKEN_SECONDS / 2
+            self._renew_at = now + TOKEN_TTL_SECONDS / 2
         return self._token
 
-    def forget(self):
+    def invalidate(self):
         """Discard the current token, after a change of the keys."""
         self._renew_at = 0.0
 
@@ -40,8 +40,10 @@
         """Return whether ``token`` is signed with a shared key and has not expired."""
         try:
             name, expires_at, signature = token.split(";")
-            given = bytes.fromhex(signature)
-            fresh = int(expires_at) > self._clock.wall()
+            received = bytes.fromhex(signature)
+            is_unexpired = int(expires_at) > self._clock.wall()
         except ValueError:
             return False
-        return fresh and verify(self._get_keys(), given, _PURPOSE, name, expires_at)
+        return is_unexpired and verify(
+            self._get_keys(), received, _PURPOSE, name, expires_at
+        )
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -114,7 +114,7 @@
         self._dropped.set(vm.dropped_log_lines)
         self._live.set(len(vm.membership.live()))
         self._may_act.set(vm.membership.may_act())
-        self._platform.set(vm.configuration.platform_answers)
+        self._platform.set(vm.configuration.is_platform_available)
 
     def _counter(self, name, text, labels):
         return Counter(f"heathercleat_{name}", text, labels, registry=self._registry)
--- a/src/heathercleat/process/signals.py
+++ b/src/heathercleat/process/signals.py
@@ -16,8 +16,8 @@
 
     def __init__(self, clock, *numbers):
         self._clock = clock
-        self._instants = deque()
-        self._came_at = None
+        self._receive_times = deque()
+        self._received_at = None
         reader, self._writer = socket.socketpair()
         self._reader = Socket(reader)
         self._writer.setblocking(False)
@@ -30,18 +30,18 @@
 
         It is ``None`` before the first one.
         """
-        return self._came_at
+        return self._received_at
 
     async def next(self):
         """Wait for the next signal and return it."""
         received = await self._reader.recv(1)
-        self._came_at = self._instants.popleft()
+        self._received_at = self._receive_times.popleft()
         return signal.Signals(received[0])
 
     def _on_signal(self, number, _):
         try:
             self._writer.send(bytes([number]))
-            self._instants.append(self._clock.now())
+            self._receive_times.append(self._clock.now())
         except BlockingIOError:
             # The buffer is full of unread signals, so another one adds nothing.
             pass
--- a/src/heathercleat/process/stalls.py
+++ b/src/heathercleat/process/stalls.py
@@ -6,9 +6,9 @@
 
 from curio import sleep
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 #: Maximum seconds between two ticks that don't count as a stall.
-USUAL_GAP = 2 * TICK
+MAX_TICK_GAP_SECONDS = 2 * TICK_SECONDS
 
 
 class Stalls:
@@ -19,12 +19,12 @@
 
     def __init__(self, clock):
         self._clock = clock
-        self._seconds = 0.0
+        self._stalled_seconds = 0.0
         self._last_tick = clock.now()
 
     def total_seconds(self):
         """Return the total of all stalls in seconds, including one that just ended."""
-        return self._seconds + self._latest(self._clock.now())
+        return self._stalled_seconds + self._current_stall(self._clock.now())
 
     def active_time(self):
         """Return the time of a clock that is stopped during stalls."""
@@ -33,14 +33,14 @@
     def tick(self):
         """Record that the process is running."""
         now = self._clock.now()
-        self._seconds += self._latest(now)
+        self._stalled_seconds += self._current_stall(now)
         self._last_tick = now
 
     async def run(self):
         """Tick periodically, forever."""
         while True:
             self.tick()
-            await sleep(TICK)
+            await sleep(TICK_SECONDS)
 
-    def _latest(self, now):
-        return max(0.0, now - self._last_tick - USUAL_GAP)
+    def _current_stall(self, now):
+        return max(0.0, now - self._last_tick - MAX_TICK_GAP_SECONDS)
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -14,7 +14,7 @@
         "incarnation": vm.incarnation,
         "leaving": vm.leaving,
         "may_act": vm.membership.may_act(),
-        "platform_answers": vm.configuration.platform_answers,
+        "platform_answers": vm.configuration.is_platform_available,
         "control_bytes": vm.control_bytes,
         "members": [
             {"vm": member.vm, "host": member.host, "state": member.state.value}
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -40,10 +40,10 @@
 from heathercleat.version.client_blocks import build_client_blocks
 
 #: Seconds after the expiry of the last look-up until a leaving VM stops listening.
-LEAVE_MARGIN = 1.0
+LEAVE_MARGIN_SECONDS = 1.0
 #: Seconds between two checks for a drain of this VM, or for the end of its requests.
 CHECK_INTERVAL_SECONDS = 0.2
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class EntryVM:
@@ -61,10 +61,10 @@
         self._log_writer = log_writer
         self._clock = clock or SystemClock()
         self._instance_id = token_hex(8)
-        self._incarnation = int(self._clock.wall() * MILLISECONDS)
+        self._incarnation = int(self._clock.wall() * MILLISECONDS_PER_SECOND)
         self._journal = Journal(settings.vm, settings.failure_domain)
         self._blocks = build_client_blocks({}, [])
-        self._budgets = {}
+        self._retry_budgets = {}
         self._peer_bytes = 0
         self._leave_requested = False
         self._left_at = self._clock.now()
@@ -139,7 +139,7 @@
         self.observer = CallObserver(self)
         self.tokens = PeerTokens(self.name, lambda: self._settings.keys, clock)
         self._listeners = Listeners(self)
-        self.membership.on_presumed_dead(self.homes.drop_all)
+        self.membership.on_new_incarnation(self.homes.drop_all)
         self.membership.on_pause(self.occupancy_records.clear)
         self.admission.on_handed_over(self.homes.report_released)
 
@@ -204,12 +204,12 @@
         return self.membership.leaving
 
     @property
-    def claims_wanted(self):
+    def requires_claims(self):
         """Return whether new tickets require claims.
 
         They do while the platform is available.
         """
-        return self.configuration.platform_answers
+        return self.configuration.is_platform_available
 
     @property
     def control_bytes(self):
@@ -226,19 +226,19 @@
 
     def renew_incarnation(self):
         """Start a new incarnation, which is greater than the current one."""
-        wall = int(self._clock.wall() * MILLISECONDS)
+        wall = int(self._clock.wall() * MILLISECONDS_PER_SECOND)
         self._incarnation = max(self._incarnation + 1, wall)
 
     async def fetch_if_newer(self, host, version, vm_serial):
         """Fetch the configuration and VM list of a peer if its versions are newer."""
         await self.configuration.fetch_if_newer(host, version, vm_serial)
 
-    def budget(self, service):
+    def retry_budget(self, service):
         """Return the :class:`RetryBudget` of a service, created on first use.
 
         :param service: name of the service.
         """
-        return self._budgets.setdefault(service, RetryBudget())
+        return self._retry_budgets.setdefault(service, RetryBudget())
 
     def configuration_changed(self, text):
         """Apply a new version of the configuration."""
@@ -254,7 +254,7 @@
         now = self._clock.wall()
         return [
             entry
-            for entry in self._known_vms(domain)
+            for entry in self._available_vms(domain)
             if not self.text.find_vm_drain(entry.name, domain, now)
         ]
 
@@ -264,10 +264,12 @@
         The homes follow from the VM list, which may be out of date.
         """
         domain = self._settings.failure_domain
-        entries = {entry.name: entry for entry in self._known_vms(domain)}
+        entries = {entry.name: entry for entry in self._available_vms(domain)}
         homes = {
             entry.name: entry
-            for entry in self.directory.homes_in(domain, self.text.placement, service)
+            for entry in self.directory.assigned_homes(
+                domain, self.text.placement, service
+            )
         }
         return [
             entry for name, entry in {**homes, **entries}.items() if name in entries
@@ -329,13 +331,13 @@
             return
         self._settings.keys = settings.keys
         self._fence = Fence(settings.fenced)
-        self.tokens.forget()
+        self.tokens.invalidate()
         self._journal.write(Event.SETTINGS_RELOADED, keys=len(self._settings.keys))
 
     async def _shut_down(self):
         """Wait for a shutdown request, then finish the requests in progress."""
         while not self._leave_requested:
-            await self._follow_own_drain()
+            await self._apply_own_drain()
             await sleep(CHECK_INTERVAL_SECONDS)
         self._left_at = self._clock.now()
         self._journal.write(
@@ -345,13 +347,13 @@
         )
         await self.membership.leave()
         # Callers may use earlier look-ups until they expire.
-        await sleep(self._settings.lookup_ttl + LEAVE_MARGIN)
+        await sleep(self._settings.lookup_ttl + LEAVE_MARGIN_SECONDS)
         # A request that arrived later could be interrupted by the end of the process.
         await self._listeners.close_to_callers()
         while self._listeners.is_busy:
             await sleep(CHECK_INTERVAL_SECONDS)
 
-    async def _follow_own_drain(self):
+    async def _apply_own_drain(self):
         """Leave when a drain of this VM begins, and rejoin when it ends."""
         if self.text is None:
             return
@@ -362,10 +364,10 @@
         elif drain is None and self.leaving:
             await self.membership.rejoin()
 
-    def _known_vms(self, domain):
+    def _available_vms(self, domain):
         """Return the VMs of a failure domain that are not known to leave or be dead."""
         if domain != self._settings.failure_domain:
-            return self.directory.staying_in(domain)
+            return self.directory.available_in(domain)
         return [
             VmEntry(member.vm, member.host, domain, False)
             for member in self.membership.members.values()
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -8,7 +8,7 @@
 from heathercleat.errors import PeerError, PlatformError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.at_most_once.claims import RowState
-from heathercleat.process.at_most_once.deduplication import EntryState, check_age
+from heathercleat.process.at_most_once.deduplication import EntryState, check_ticket_age
 from heathercleat.request.call import Outcome
 from heathercleat.request.proxying import proxy_buffered
 
@@ -29,14 +29,14 @@
         message = f'the ticket is for "{call.ticket.service}"'
         raise RequestError(ResultCode.TICKET_INVALID, message)
     if call.ticket.instance_id != vm.instance_id:
-        return await _ask_owner(vm, call)
+        return await _resolve_at_owner(vm, call)
     return await _run_as_owner(vm, call)
 
 
 async def _run_as_owner(vm, call):
     entry, first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
     if not first:
-        return await _repeat(vm, call, entry)
+        return await _answer_repeat(vm, call, entry)
     state, outcome = EntryState.UNKNOWN, None
     try:
         await _claim(vm, call, entry)
@@ -84,7 +84,7 @@
     raise RequestError(ResultCode.TICKET_CLOSED, message)
 
 
-async def _repeat(vm, call, entry):
+async def _answer_repeat(vm, call, entry):
     """Return the outcome of the first run, waiting for it if necessary.
 
     :raises RequestError: if there is none.
@@ -110,13 +110,13 @@
     raise RequestError(ResultCode.OUTCOME_UNKNOWN, "the first run had no answer")
 
 
-async def _ask_owner(vm, call):
+async def _resolve_at_owner(vm, call):
     """Return the outcome of a request whose ticket names another process.
 
     :raises RequestError: if there is none.
     """
-    check_age(call.ticket.expires_at, vm.clock.wall())
-    state, outcome = await _state_at_owner(vm, call)
+    check_ticket_age(call.ticket.expires_at, vm.clock.wall())
+    state, outcome = await _fetch_state(vm, call)
     vm.journal.write(
         Event.TICKET_CLOSED_OUT,
         request=call.id,
@@ -140,9 +140,9 @@
     raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
 
 
-async def _state_at_owner(vm, call):
+async def _fetch_state(vm, call):
     """Return ``(EntryState, Outcome or None)`` from the owner or the claim table."""
-    state, outcome = await _ask_process(vm, call.ticket, call.key)
+    state, outcome = await _query_owner(vm, call.ticket, call.key)
     if state is not EntryState.GONE or not call.ticket.claims:
         return state, outcome
     try:
@@ -156,13 +156,13 @@
     return EntryState.UNKNOWN, None
 
 
-async def _ask_process(vm, ticket, key):
+async def _query_owner(vm, ticket, key):
     entry = vm.directory.find(ticket.vm)
     if entry is None or entry.name == vm.name:
         return EntryState.GONE, None
     try:
-        question = CloseOut(ticket.id, key, ticket.instance_id, ticket.expires_at)
-        answer = await vm.links.call(entry.host, question)
+        request = CloseOut(ticket.id, key, ticket.instance_id, ticket.expires_at)
+        answer = await vm.links.call(entry.host, request)
     except PeerError:
         return EntryState.GONE, None
     outcome = None
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -46,14 +46,14 @@
         is not at fault.
     """
 
-    def __init__(self, code, message, blame=None, retry_at=None):
+    def __init__(self, code, message, failure=None, retry_at=None):
         super().__init__(code, message, retry_at)
-        self._blame = blame
+        self._failure = failure
 
     @property
-    def blame(self):
+    def failure(self):
         """Return the failure that counts against the target, or ``None``."""
-        return self._blame
+        return self._failure
 
     @property
     def not_run(self):
@@ -67,20 +67,20 @@
     :param call: the :class:`Call` to send.
     :param upstream: the :class:`Upstream` to send it to.
     :param pool: the connection pool.
-    :param on_end: a coroutine function, called when the response has been read
+    :param on_complete: a coroutine function, called when the response has been read
         completely, before the caller receives its end.
     """
 
-    def __init__(self, call, upstream, pool, clock, on_end):
+    def __init__(self, call, upstream, pool, clock, on_complete):
         self._call = call
         self._upstream = upstream
         self._pool = pool
         self._clock = clock
-        self._on_end = on_end
+        self._on_complete = on_complete
         self._stream = None
-        self._sent_before = 0
-        self._ended = False
-        self._reading_caller = False
+        self._bytes_sent_before = 0
+        self._is_finished = False
+        self._is_reading_body = False
         self._response = None
         self._headers = []
 
@@ -106,7 +106,7 @@
         try:
             await self._send()
         except (OSError, EOFError) as error:
-            raise self._failed(ResultCode.ANSWER_LOST, "lost", error) from None
+            raise self._make_error(ResultCode.ANSWER_LOST, "lost", error) from None
 
     async def read_head(self):
         """Read the head of the response.
@@ -117,9 +117,9 @@
             self._response = await self._read_response()
             self._headers = list(self._response.headers)
         except h11.ProtocolError as error:
-            raise self._failed(ResultCode.BAD_ANSWER, "bad answer", error) from None
+            raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error) from None
         except (OSError, EOFError) as error:
-            raise self._failed(ResultCode.ANSWER_LOST, "lost", error) from None
+            raise self._make_error(ResultCode.ANSWER_LOST, "lost", error) from None
         self._check_head()
 
     async def next_event(self):
@@ -130,31 +130,31 @@
         try:
             event = await self._stream.next_event()
         except CONNECTION_ERRORS as error:
-            raise self._failed(ResultCode.ANSWER_LOST, "lost", error) from None
+            raise self._make_error(ResultCode.ANSWER_LOST, "lost", error) from None
         if isinstance(event, h11.EndOfMessage):
-            await self._on_end()
+            await self._on_complete()
             return event
         if isinstance(event, h11.Data):
             return event
-        raise self._failed(ResultCode.ANSWER_LOST, "lost")
+        raise self._make_error(ResultCode.ANSWER_LOST, "lost")
 
-    def timed_out(self):
+    def timeout_error(self):
         """Return the :class:`AttemptFailedError` for a deadline that has passed."""
-        if self._reading_caller:
+        if self._is_reading_body:
             # The caller was too slow, so the target is not at fault.
             code = ResultCode.DEADLINE_IN_RUN
             return AttemptFailedError(code, "the upload was too slow")
-        if self._stream is None and not self._ended:
+        if self._stream is None and not self._is_finished:
             code = ResultCode.DEADLINE_BEFORE_RUN
             return AttemptFailedError(code, "no connection in time", "connect")
-        return self._failed(ResultCode.DEADLINE_IN_RUN, "deadline")
+        return self._make_error(ResultCode.DEADLINE_IN_RUN, "deadline")
 
     def abort(self):
         """Cancel the request by shutting down the connection to the upstream."""
         if self._stream is not None:
             self._stream.abort()
 
-    async def finish(self, whole):
+    async def finish(self, is_complete):
         """Return the connection to the pool if the exchange is complete, or close it.
 
         :param whole: whether the exchange is complete.
@@ -162,9 +162,9 @@
         stream, self._stream = self._stream, None
         if stream is None:
             return
-        self._ended = True
+        self._is_finished = True
         place = self._upstream.host, self._upstream.port
-        if whole:
+        if is_complete:
             await self._pool.checkin(*place, stream)
         else:
             await self._pool.discard(*place, stream)
@@ -179,7 +179,7 @@
             code = ResultCode.TARGETS_UNREACHABLE
             message = f"{upstream.name}: {error}"
             raise AttemptFailedError(code, message, "connect") from None
-        self._sent_before = self._stream.bytes_sent
+        self._bytes_sent_before = self._stream.bytes_sent
 
     async def _send(self):
         # The deadline may have passed during a pause since the permit was issued.
@@ -223,7 +223,7 @@
         """Stream the body from the caller to the upstream."""
         limit, size = self._call.kind.body_limit, 0
         while True:
-            event = await self._next_from_caller()
+            event = await self._read_from_caller()
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > limit:
@@ -238,13 +238,13 @@
             if isinstance(event, h11.EndOfMessage):
                 return
 
-    async def _next_from_caller(self):
-        self._reading_caller = True
+    async def _read_from_caller(self):
+        self._is_reading_body = True
         try:
             event = await self._call.stream.next_event()
         except CONNECTION_ERRORS:
             raise CallerDisconnectedError from None
-        self._reading_caller = False
+        self._is_reading_body = False
         return event
 
     async def _send_part(self, event):
@@ -267,16 +267,16 @@
     def _check_head(self):
         headers = self._headers
         if self._upstream.is_vm:
-            self._raise_code_of_vm(headers)
+            self._check_vm_code(headers)
         try:
             check_framing(headers, ResultCode.BAD_ANSWER)
         except RequestError as error:
-            raise self._failed(ResultCode.BAD_ANSWER, "bad answer", error) from None
+            raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error) from None
         if self._is_close_delimited(headers):
             error = "an answer without a length cannot be told from a cut one"
-            raise self._failed(ResultCode.BAD_ANSWER, "bad answer", error)
+            raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error)
 
-    def _raise_code_of_vm(self, headers):
+    def _check_vm_code(self, headers):
         number = find(headers, CODE_HEADER)
         if number is None:
             return
@@ -293,14 +293,16 @@
             and find(headers, "transfer-encoding") is None
         )
 
-    def _sent_nothing(self):
+    def _has_sent_nothing(self):
         # After the attempt the connection is gone, and the request may have run.
-        if self._ended:
+        if self._is_finished:
             return False
-        return self._stream is None or self._stream.bytes_sent == self._sent_before
+        return (
+            self._stream is None or self._stream.bytes_sent == self._bytes_sent_before
+        )
 
-    def _failed(self, code, blame, error=""):
-        if self._sent_nothing():
+    def _make_error(self, code, failure, error=""):
+        if self._has_sent_nothing():
             code = ResultCode.TARGETS_UNREACHABLE
-        message = f"{self._upstream.name}: {blame} {error}".rstrip()
-        return AttemptFailedError(code, message, blame)
+        message = f"{self._upstream.name}: {failure} {error}".rstrip()
+        return AttemptFailedError(code, message, failure)
--- a/src/heathercleat/request/call.py
+++ b/src/heathercleat/request/call.py
@@ -32,7 +32,7 @@
     caller: str = ""
 
     @property
-    def ends_with_caller(self):
+    def cancels_on_disconnect(self):
         """Return whether to cancel the request when its caller disconnects.
 
         An at-most-once request continues, because the caller can repeat it to get the
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -13,10 +13,10 @@
 
 #: Maximum number of entry VMs in a response from the best failure domain, and of
 #: fallbacks from other domains.
-MAX_NEAR = 3
-MAX_FAR = 3
+MAX_NEAR_VMS = 3
+MAX_FALLBACK_VMS = 3
 #: Random draws for each VM in a response, since a draw may repeat an earlier one.
-DRAWS_EACH = 4
+DRAWS_PER_VM = 4
 
 
 def answer_lookup(vm, query, caller):
@@ -41,12 +41,12 @@
     avoided = _avoided(vm, service, client)
     candidates = vm.candidates.find(service, domain, avoided)
     nearest = candidates[0].domain if candidates else vm.settings.failure_domain
-    chosen = _choose(candidates, avoided)
+    selected = _select(candidates, avoided)
     now = vm.clock.wall()
     answer = {
         "service": service.name,
         "version": vm.version,
-        "vms": [_describe(vm, *each) for each in chosen],
+        "vms": [_describe(vm, *each) for each in selected],
         "expires_at": now + vm.settings.lookup_ttl,
         **_ticket(vm, service, nearest, now),
     }
@@ -55,7 +55,7 @@
         service=service.name,
         client=client,
         domain=nearest,
-        vms=[entry.name for entry, _ in chosen],
+        vms=[entry.name for entry, _ in selected],
         avoided=sorted(avoided),
     )
     return answer
@@ -91,35 +91,35 @@
         raise RequestError(ResultCode.BAD_REQUEST, message) from None
 
 
-def _choose(candidates, avoided):
+def _select(candidates, avoided):
     """Return ``(entry VM, weight)`` pairs of the best domain, then one for each other.
 
     The weight of a fallback is 0 if its domain should be avoided.
     """
     if not candidates:
         return []
-    near = _pick(candidates[0], MAX_NEAR)
-    far = (
+    near = _draw(candidates[0], MAX_NEAR_VMS)
+    fallbacks = (
         (entry, 0 if other.domain in avoided else weight)
         for other in candidates[1:]
-        for entry, weight in _pick(other, 1)
+        for entry, weight in _draw(other, 1)
     )
-    return [*near, *islice(far, MAX_FAR)]
+    return [*near, *islice(fallbacks, MAX_FALLBACK_VMS)]
 
 
-def _pick(domain, count):
+def _draw(domain, count):
     """Return up to ``count`` pairs of a domain, drawn at random by weight.
 
     The weight is the number of the service's slots that the VM is the home of, since
     requests sent to their home need no lease.
     """
     drawn = choices(
-        domain.weighted, cum_weights=domain.cumulative_weights, k=DRAWS_EACH * count
+        domain.weighted, cum_weights=domain.cumulative_weights, k=DRAWS_PER_VM * count
     )
     # In a small domain, the draws may yield too few distinct VMs.
     distinct = {entry.name: (entry, weight) for entry, weight in drawn}
     if len(distinct) < count:
-        for entry, weight in domain.weighted[: DRAWS_EACH * count]:
+        for entry, weight in domain.weighted[: DRAWS_PER_VM * count]:
             distinct.setdefault(entry.name, (entry, weight))
     return list(distinct.values())[:count]
 
@@ -140,7 +140,7 @@
         vm.name,
         vm.instance_id,
         service.name,
-        vm.claims_wanted,
+        vm.requires_claims,
         expires_at,
     )
     return {
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -28,7 +28,7 @@
 MAX_ATTEMPTS = 3
 #: Maximum size in bytes of a response to an at-most-once request. It is buffered, so
 #: that a caller that disconnected gets it when it repeats the request.
-MAX_KEPT_ANSWER = 1 << 20
+MAX_BUFFERED_RESPONSE_BYTES = 1 << 20
 SERVER_ERRORS = (500, 502, 503, 504)
 
 
@@ -42,9 +42,9 @@
     """
 
     async def deliver(attempt, target):
-        await _stream_answer(call, attempt, target, extra_headers)
+        await _stream_response(call, attempt, target, extra_headers)
 
-    await _attempts(vm, call, deliver)
+    await _run_attempts(vm, call, deliver)
 
 
 async def proxy_buffered(vm, call):
@@ -52,21 +52,21 @@
 
     :raises RequestError: if there is no response from a target.
     """
-    return await _attempts(vm, call, _read_answer)
+    return await _run_attempts(vm, call, _read_response)
 
 
-async def _attempts(vm, call, deliver):
+async def _run_attempts(vm, call, deliver):
     """Run attempts until one succeeds or no further one is allowed."""
     tried = set()
     uncertain = None
-    budget = vm.budget(call.service.name)
+    budget = vm.retry_budget(call.service.name)
     budget.deposit()
     for number in range(1, MAX_ATTEMPTS + 1):
         target = None
         try:
-            permit = await _permit(vm, call, frozenset(tried))
+            permit = await _acquire_permit(vm, call, frozenset(tried))
             target = _target_name(permit)
-            return await _attempt(vm, call, permit, deliver)
+            return await _run_attempt(vm, call, permit, deliver)
         except RequestError as error:
             # If an attempt may have run, report that rather than a later refusal.
             if uncertain is None and error.code.run is not Run.NOT_RUN:
@@ -90,7 +90,7 @@
     )
 
 
-async def _permit(vm, call, tried):
+async def _acquire_permit(vm, call, tried):
     if call.lease_id is None:
         return await vm.admission.acquire(call, tried)
     permit = None if tried else vm.admission.admit_leased(call.lease_id, call.deadline)
@@ -99,46 +99,46 @@
     return permit
 
 
-async def _attempt(vm, call, permit, deliver):
+async def _run_attempt(vm, call, permit, deliver):
     started_at = vm.stalls.active_time()
     ended = False
     is_finished = False
 
-    async def end():
+    async def finish_response():
         # Release the slot before the caller receives the end of the response: it may
         # send its next request before this task runs again.
         nonlocal ended
         ended = True
-        _note_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
-        await _settle(vm, call, permit, attempt, is_finished=True)
+        _record_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
+        await _release(vm, call, permit, attempt, is_finished=True)
 
     upstream = _upstream(vm, call, permit)
-    attempt = Attempt(call, upstream, vm.pool, vm.clock, end)
-    await _cover(vm, call, permit)
+    attempt = Attempt(call, upstream, vm.pool, vm.clock, finish_response)
+    await _announce_occupancy(vm, call, permit)
     try:
         exchange = _exchange(vm, call, permit, attempt, deliver)
         return await before(call.deadline, vm.clock, exchange)
     except (AttemptFailedError, TimeoutError) as failure:
         error = failure
         if isinstance(failure, TimeoutError):
-            error = attempt.timed_out()
+            error = attempt.timeout_error()
         is_finished = error.not_run
         if not ended:
-            _note_failure(vm, permit, error)
+            _record_failure(vm, permit, error)
         raise error from None
     finally:
         if not ended:
-            await _settle(vm, call, permit, attempt, is_finished, whole=False)
+            await _release(vm, call, permit, attempt, is_finished, is_complete=False)
 
 
-async def _settle(vm, call, permit, attempt, is_finished, whole=True):
+async def _release(vm, call, permit, attempt, is_finished, is_complete=True):
     """Release the connection and the slot, even if a deadline passes meanwhile."""
     async with disable_cancellation():
-        await attempt.finish(whole)
+        await attempt.finish(is_complete)
         await vm.admission.release(call, permit, is_finished)
 
 
-async def _cover(vm, call, permit):
+async def _announce_occupancy(vm, call, permit):
     """Ensure that an announced bound covers the deadline before the request is sent."""
     if isinstance(permit, LeasedPermit):
         return
@@ -150,11 +150,11 @@
 
 
 async def _exchange(vm, call, permit, attempt, deliver):
-    once = call.kind.semantics is Semantics.AT_MOST_ONCE
-    if not once and call.stream.is_request_complete and call.stream.is_closed():
+    at_most_once = call.kind.semantics is Semantics.AT_MOST_ONCE
+    if not at_most_once and call.stream.is_request_complete and call.stream.is_closed():
         raise CallerDisconnectedError
-    await attempt.send(fresh=once)
-    if once and call.lease_id is None:
+    await attempt.send(fresh=at_most_once)
+    if at_most_once and call.lease_id is None:
         # Continue if the caller disconnects: a repeat returns the outcome.
         return await _receive(vm, call, permit, attempt, deliver)
     watcher = await spawn(_watch_caller, call, attempt)
@@ -212,19 +212,19 @@
             raise AttemptFailedError(code, f"{permit.target.name} answered {status}")
 
 
-def _note_success(vm, permit, attempt, seconds):
+def _record_success(vm, permit, attempt, seconds):
     if isinstance(permit, LeasedPermit):
         return
     if attempt.response.status_code not in SERVER_ERRORS:
         vm.health.record_success(permit.target, seconds)
 
 
-def _note_failure(vm, permit, error):
+def _record_failure(vm, permit, error):
     if isinstance(permit, LeasedPermit):
         # The granter refused the request or is unreachable.
         vm.lease_holder.discard(permit.lease)
-    elif error.blame is not None:
-        vm.health.record_failure(permit.target, error.blame)
+    elif error.failure is not None:
+        vm.health.record_failure(permit.target, error.failure)
 
 
 def _may_retry(vm, call, error):
@@ -240,17 +240,17 @@
     return call.kind.semantics is Semantics.IDEMPOTENT
 
 
-async def _stream_answer(call, attempt, target, extra_headers):
+async def _stream_response(call, attempt, target, extra_headers):
     """Stream the response to the caller."""
     headers = list(end_to_end(attempt.headers))
     headers.append((TARGET_HEADER, target))
     headers.append((REQUEST_ID_HEADER, call.id))
     headers.extend(extra_headers.items())
     response = h11.Response(status_code=attempt.response.status_code, headers=headers)
-    await _send_answer(call, attempt, response)
+    await _send_response(call, attempt, response)
 
 
-async def _send_answer(call, attempt, response):
+async def _send_response(call, attempt, response):
     """Send the head and the body until the end of the response."""
     pending = [response]
     while True:
@@ -278,14 +278,14 @@
     return True
 
 
-async def _read_answer(attempt, target):
+async def _read_response(attempt, target):
     parts, size = [], 0
     while True:
         event = await attempt.next_event()
         if isinstance(event, h11.EndOfMessage):
             break
         size += len(event.data)
-        if size > MAX_KEPT_ANSWER:
+        if size > MAX_BUFFERED_RESPONSE_BYTES:
             code = ResultCode.BAD_ANSWER
             raise AttemptFailedError(code, "the answer is too large", "bad answer")
         parts.append(bytes(event.data))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,7 +29,7 @@
 
 
 class FakeDirectory:
-    def homes_in(self, domain, targets):
+    def assigned_homes(self, domain, targets):
         return []
 
 
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -45,14 +45,14 @@
     upstream = Upstream("t", "127.0.0.1", 1, (), None, False)
 
     async def end():
-        await made.finish(whole=True)
+        await made.finish(is_complete=True)
 
     made = Attempt(call, upstream, FakePool(), ManualClock(), end)
     return made
 
 
 def test_deadline_before_a_connection_is_not_run(attempt):
-    assert attempt.timed_out().code.run is Run.NOT_RUN
+    assert attempt.timeout_error().code.run is Run.NOT_RUN
 
 
 def test_deadline_after_the_end_of_the_answer_is_never_called_not_run(attempt):
@@ -62,14 +62,16 @@
         await attempt.next_event()
 
     run(act)
-    assert attempt.timed_out().code.run is Run.UNKNOWN
+    assert attempt.timeout_error().code.run is Run.UNKNOWN
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_deadline_after_a_request_was_sent_is_never_called_not_run(attempt, whole):
+@pytest.mark.parametrize("is_complete", [True, False])
+def test_deadline_after_a_request_was_sent_is_never_called_not_run(
+    attempt, is_complete
+):
     async def act():
         await attempt.send()
-        await attempt.finish(whole)
+        await attempt.finish(is_complete)
 
     run(act)
-    assert attempt.timed_out().code.run is Run.UNKNOWN
+    assert attempt.timeout_error().code.run is Run.UNKNOWN
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,8 +13,8 @@
     Edit,
     Editor,
     cancel_drain,
+    parse_drain,
     plan_drain,
-    to_drain,
 )
 from heathercleat.process.configuration.manager import ConfigurationManager
 from heathercleat.process.membership.directory import Directory
@@ -128,7 +128,7 @@
 
 
 def test_drain_that_leaves_too_little_is_refused_with_the_figure():
-    drain = to_drain("d1", "target", "t1", 0)
+    drain = parse_drain("d1", "target", "t1", 0)
     with pytest.raises(HeathercleatError, match="2 of 6 slots") as caught:
         plan_drain(make_document(), drain, now=10.0)
     assert caught.value.code is ResultCode.HEADROOM_REFUSED
@@ -136,7 +136,7 @@
 
 def test_drain_is_planned_and_cancelled():
     document = make_document(min_slots=2)
-    planned = plan_drain(document, to_drain("d1", "target", "t1", 50.0), now=10.0)
+    planned = plan_drain(document, parse_drain("d1", "target", "t1", 50.0), now=10.0)
     text = planned.parse()
     target = text.services["lookup"].targets["t1"]
     assert text.find_drain(target, 49.0) is None
@@ -146,9 +146,9 @@
 
 def test_earlier_drains_count():
     document = make_document(min_slots=2)
-    planned = plan_drain(document, to_drain("d1", "target", "t1", 0), now=10.0)
+    planned = plan_drain(document, parse_drain("d1", "target", "t1", 0), now=10.0)
     with pytest.raises(HeathercleatError, match="0 of 6 slots"):
-        plan_drain(planned, to_drain("d2", "target", "t2", 0), now=10.0)
+        plan_drain(planned, parse_drain("d2", "target", "t2", 0), now=10.0)
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
 )
 def test_drain_of_an_unknown_name_is_refused(scope, name):
     with pytest.raises(HeathercleatError, match="ghost"):
-        plan_drain(make_document(), to_drain("d1", scope, name, 0), now=10.0)
+        plan_drain(make_document(), parse_drain("d1", scope, name, 0), now=10.0)
 
 
 class EditsMachine(RuleBasedStateMachine):
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -135,7 +135,7 @@
     """Let the home of a record be found gone by its monitor."""
     membership.record_heartbeat(heartbeat())
     member = membership.members["north-a-2"]
-    run(Heartbeats(None, membership, FakeLinks(), clock).end, member)
+    run(Heartbeats(None, membership, FakeLinks(), clock).record_exit, member)
 
 
 def test_requests_of_a_home_that_is_gone_are_not_waited_for():
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -15,7 +15,7 @@
 from heathercleat.process.capacity.slots import SlotLedger, SlotUse
 from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
-from heathercleat.process.membership.peer_links import CALL_TIMEOUT
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT_SECONDS
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
 
@@ -83,7 +83,7 @@
     parts = Parts()
     parts.acquire()
     assert not parts.ledger.targets
-    parts.wait(CALL_TIMEOUT)
+    parts.wait(CALL_TIMEOUT_SECONDS)
     parts.record(ENDED, "dead")
     parts.acquire()
     assert parts.held == [7]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -6,7 +6,7 @@
 import pytest
 
 from heathercleat.events import Event
-from heathercleat.process.logs import WRITE_INTERVAL, Journal, LogWriter
+from heathercleat.process.logs import WRITE_INTERVAL_SECONDS, Journal, LogWriter
 
 
 def lines_of(log):
@@ -36,11 +36,11 @@
     take = writer._handler.take
     writer._handler.take = lambda: takes.append(1) or take()
     writer.start()
-    sleep(4 * WRITE_INTERVAL)
+    sleep(4 * WRITE_INTERVAL_SECONDS)
     assert takes == []
     for _ in range(3):
         Journal("vm-1", "north-a").write(Event.VM_STARTED)
-    sleep(4 * WRITE_INTERVAL)
+    sleep(4 * WRITE_INTERVAL_SECONDS)
     assert len(stream.getvalue().splitlines()) == 3
     assert len(takes) == 1
     writer.stop()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,9 +5,12 @@
 
 from heathercleat.connection.messages import Heartbeat, HeartbeatAck, MemberRecord
 from heathercleat.process.membership.heartbeats import Heartbeats
-from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
+from heathercleat.process.membership.member import (
+    DEAD_AFTER_SECONDS,
+    HOME_LEASE_SECONDS,
+)
 from heathercleat.process.membership.membership import (
-    PAUSE_GAP,
+    PAUSE_GAP_SECONDS,
     SETTLE_SECONDS,
     Membership,
 )
@@ -80,7 +83,7 @@
     membership = make_membership(vm, clock)
     dropped = []
     membership.on_presumed_dead(lambda: dropped.append(True))
-    clock.time += DEAD_AFTER
+    clock.time += DEAD_AFTER_SECONDS
     assert not membership.may_act()
     tick(membership)
     assert dropped
@@ -89,7 +92,7 @@
 
 
 def test_lease_lapses_before_a_monitor_presumes_death():
-    assert HOME_LEASE_SECONDS < DEAD_AFTER
+    assert HOME_LEASE_SECONDS < DEAD_AFTER_SECONDS
 
 
 def test_silent_member_is_presumed_dead_only_by_its_monitor_and_in_time(vm, clock):
@@ -121,8 +124,8 @@
 def test_monitor_that_stalls_often_takes_the_place_of_a_silent_member(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
-    for _ in range(1 + ceil(DEAD_AFTER / SETTLE_SECONDS)):
-        clock.time += 2 * PAUSE_GAP
+    for _ in range(1 + ceil(DEAD_AFTER_SECONDS / SETTLE_SECONDS)):
+        clock.time += 2 * PAUSE_GAP_SECONDS
         tick(membership)
         for _ in range(2):
             clock.time += SETTLE_SECONDS / 2
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,7 +8,7 @@
 from heathercleat.errors import PlatformError
 from heathercleat.process.at_most_once.claims import ClaimTable, RowState
 from heathercleat.process.at_most_once.deduplication import (
-    RETENTION,
+    RETENTION_SECONDS,
     DeduplicationTable,
     EntryState,
 )
@@ -97,7 +97,7 @@
     ledger = DeduplicationTable(clock)
     entry, _ = ledger.begin(make_ticket(), "ran", b"x")
     run(ledger.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
-    clock.time = 160.0 + RETENTION
+    clock.time = 160.0 + RETENTION_SECONDS
     ledger.begin(Ticket("other", "vm", "p1", "rules", True, 9000.0), "k", b"x")
     with pytest.raises(HeathercleatError) as caught:
         ledger.close_out("ticket", "ran", 160.0)
@@ -109,7 +109,7 @@
     ledger = DeduplicationTable(clock)
     long_ticket = Ticket("ticket", "vm", "p1", "rules", True, 100.0 + 3600)
     ledger.close_out("ticket", "k", long_ticket.expires_at)
-    clock.time = 100.0 + 2 * RETENTION
+    clock.time = 100.0 + 2 * RETENTION_SECONDS
     with pytest.raises(HeathercleatError) as caught:
         ledger.begin(long_ticket, "k", b"x")
     assert caught.value.code is ResultCode.TICKET_CLOSED
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,7 +16,7 @@
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
-from heathercleat.request.lookup import _choose
+from heathercleat.request.lookup import _select
 from heathercleat.version.text import Drain, DrainScope
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
@@ -128,7 +128,7 @@
         DomainVms(name, [(VmEntry(f"{name}-1", NEAR, name, False), SLOTS)], [SLOTS])
         for name in ("north-a", "north-b")
     ]
-    (_, first), (_, other) = _choose(domains, avoided)
+    (_, first), (_, other) = _select(domains, avoided)
     assert first == SLOTS
     assert bool(other) is weighs
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,11 +1,12 @@
 import pytest
 
-from heathercleat.process.stalls import TICK, USUAL_GAP, Stalls
+from heathercleat.process.stalls import MAX_TICK_GAP_SECONDS, TICK_SECONDS, Stalls
 from tests.fakes import ManualClock
 
 
 @pytest.mark.parametrize(
-    ("gap", "stalled"), [(TICK, 0), (USUAL_GAP, 0), (USUAL_GAP + 0.5, 0.5)]
+    ("gap", "stalled"),
+    [(TICK_SECONDS, 0), (MAX_TICK_GAP_SECONDS, 0), (MAX_TICK_GAP_SECONDS + 0.5, 0.5)],
 )
 def test_only_a_gap_beyond_the_usual_one_is_a_stall(gap, stalled):
     clock = ManualClock()
@@ -21,6 +22,6 @@
     stalls = Stalls(clock)
     began = stalls.active_time()
     for _ in range(3):
-        clock.time += USUAL_GAP + 1.0
+        clock.time += MAX_TICK_GAP_SECONDS + 1.0
         stalls.tick()
-    assert stalls.active_time() - began == pytest.approx(3 * USUAL_GAP)
+    assert stalls.active_time() - began == pytest.approx(3 * MAX_TICK_GAP_SECONDS)
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -8,7 +8,7 @@
     CLAIM_PREFIX,
     ClaimTable,
 )
-from heathercleat.process.at_most_once.deduplication import RETENTION
+from heathercleat.process.at_most_once.deduplication import RETENTION_SECONDS
 from heathercleat.process.at_most_once.sweeper import BATCH_ROWS, ClaimSweeper
 from heathercleat.process.configuration.platform import VmEntry
 from heathercleat.request.ticket import Ticket
@@ -61,21 +61,21 @@
 def test_rows_of_old_tickets_are_removed_and_others_stay(platform, clock, sweeper):
     claim(platform, OLD, "k1", "k2")
     claim(platform, NEW, "k3")
-    clock.time = BUCKET_SECONDS + RETENTION
+    clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     assert run(sweeper.sweep) == 2
     assert len(claim_rows(platform)) == 1
 
 
 def test_rows_stay_while_an_answer_may_need_them(platform, clock, sweeper):
     claim(platform, BUCKET_SECONDS - 1.0, "k1")
-    clock.time = BUCKET_SECONDS + RETENTION - 1
+    clock.time = BUCKET_SECONDS + RETENTION_SECONDS - 1
     assert run(sweeper.sweep) == 0
     assert len(claim_rows(platform)) == 1
 
 
 def test_many_rows_are_removed_in_batches(platform, clock, sweeper):
     claim(platform, OLD, *map(str, range(2 * BATCH_ROWS + 5)))
-    clock.time = BUCKET_SECONDS + RETENTION
+    clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     before = platform.transactions
     assert run(sweeper.sweep) == 2 * BATCH_ROWS + 5
     assert platform.transactions - before == 3
@@ -90,7 +90,7 @@
 
 def test_sweep_that_fails_goes_on_the_next_time(platform, clock, sweeper):
     claim(platform, OLD, "k1")
-    clock.time = BUCKET_SECONDS + RETENTION
+    clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     platform.down = True
     with pytest.raises(PlatformError):
         run(sweeper.sweep)
@@ -102,7 +102,7 @@
 def test_reply_lost_after_a_removal_does_no_harm(platform, clock, sweeper):
     claim(platform, OLD, "k1")
     claim(platform, NEW, "k2")
-    clock.time = BUCKET_SECONDS + RETENTION
+    clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     platform.fail_after = 1
     with pytest.raises(PlatformError):
         run(sweeper.sweep)
