--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -215,15 +215,13 @@
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
     _check_name(text, drain)
     insufficient = [
-        headroom
-        for headroom in headroom_after(text, drain, now)
-        if not headroom.is_enough
+        each for each in headroom_after(text, drain, now) if not each.is_enough
     ]
     if insufficient:
         figures = "; ".join(
-            f"{headroom.service} would keep {headroom.remaining} of {headroom.slots} slots, "
-            f"fewer than {headroom.minimum}"
-            for headroom in insufficient
+            f"{each.service} would keep {each.remaining} of {each.slots} slots, "
+            f"fewer than {each.minimum}"
+            for each in insufficient
         )
         raise HeathercleatError(ResultCode.HEADROOM_REFUSED, figures)
     drains = dict(_active_drains(document, text, now))
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -28,15 +28,16 @@
 
     Instants are of ``clock.now()``:
 
-    - ``heartbeat_silent_since``: last heartbeat from this VM, moved forward by pauses of this process
+    - ``heartbeat_silent_since``: last heartbeat from this VM, moved forward by pauses
+      of this process
     - ``acked_at``: when the last heartbeat that this VM acknowledged was sent
     - ``silent_since``: last heartbeat or acknowledgement, moved forward by pauses
     - ``last_heartbeat_at``: last heartbeat from this VM
     - ``died_at``: when this VM was declared dead
 
-    ``previous_incarnation`` is the previous incarnation if its heartbeats were received until
-    it ended, or ``None``. ``has_exited`` means that the host refused connections: the process
-    has exited, and its requests with it.
+    ``previous_incarnation`` is ``None`` unless heartbeats of the previous incarnation
+    were received until it ended. ``has_exited`` means that the host refused
+    connections: the process has exited, and its requests with it.
     """
 
     vm: str
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -3,8 +3,8 @@
 Each VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 doesn't grow with the number of VMs. A VM may act as a home only while its monitors have
 acknowledged a heartbeat within ``HOME_LEASE_SECONDS``. A monitor declares a VM dead
-after ``DEAD_AFTER_SECONDS`` without a heartbeat, which is longer. A paused VM therefore loses
-its permission to act as a home before another VM takes over.
+after ``DEAD_AFTER_SECONDS`` without a heartbeat, which is longer. A paused VM therefore
+loses its permission to act as a home before another VM takes over.
 """
 
 from hashlib import blake2b
@@ -304,7 +304,7 @@
             self._on_new_incarnation()
 
     def remove_old(self):
-        """Remove the records of VMs that have been dead for ``DEAD_RETENTION_SECONDS``."""
+        """Remove records of VMs that have been dead for ``DEAD_RETENTION_SECONDS``."""
         now = self._clock.now()
         old = [
             name
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -33,8 +33,8 @@
     stream = io.StringIO()
     writer = LogWriter("INFO", stream)
     takes = []
-    take = writer._handler.take
-    writer._handler.take = lambda: takes.append(1) or take()
+    pop_all = writer._handler.pop_all
+    writer._handler.pop_all = lambda: takes.append(1) or pop_all()
     writer.start()
     sleep(4 * WRITE_INTERVAL_SECONDS)
     assert takes == []
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -82,7 +82,7 @@
 def test_paused_vm_may_not_act_before_it_has_looked_around(vm, clock):
     membership = make_membership(vm, clock)
     dropped = []
-    membership.on_presumed_dead(lambda: dropped.append(True))
+    membership.on_new_incarnation(lambda: dropped.append(True))
     clock.time += DEAD_AFTER_SECONDS
     assert not membership.may_act()
     tick(membership)
