--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -19,7 +19,7 @@
     headroom_after,
     plan_drain,
     schedule_drain,
-    to_drain,
+    parse_drain,
 )
 from heathercleat.process.explain import explain
 from heathercleat.process.status import status_of
@@ -149,7 +149,7 @@
 
     async def _plan(self, query, body):
         call = loads(body)
-        drain = to_drain(call["id"], call["scope"], call["name"], call["at"])
+        drain = parse_drain(call["id"], call["scope"], call["name"], call["at"])
         base = self._base_version(call)
         current = await self._document_at(base)
         now = self._vm.clock.wall()
@@ -161,7 +161,7 @@
                 "slots": entry.slots,
                 "left": entry.remaining,
                 "least": entry.minimum,
-                "enough": entry.enough,
+                "enough": entry.is_enough,
             }
             for entry in headroom_after(text, drain, now)
         ]
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -108,13 +108,13 @@
             self._foreign.labels(name).set(sum(entry.foreign(now) for entry in entries))
             self._ready.labels(name).set(vm.readiness.share(service))
             self._slow.labels(name).set(sum(map(vm.health.is_slow, entries)))
-            self._waiting.labels(name).set(vm.admission.waiting(name))
+            self._waiting.labels(name).set(vm.admission.waiting_count(name))
         self._version.set(vm.version)
         self._peers.set(vm.control_bytes)
         self._dropped.set(vm.dropped_log_lines)
         self._live.set(len(vm.membership.live()))
         self._may_act.set(vm.membership.may_act())
-        self._platform.set(vm.configuration.platform_answers)
+        self._platform.set(vm.configuration.is_platform_available)
 
     def _counter(self, name, text, labels):
         return Counter(f"heathercleat_{name}", text, labels, registry=self._registry)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -16,7 +16,7 @@
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
-from heathercleat.request.lookup import _choose
+from heathercleat.request.lookup import _select
 from heathercleat.version.text import Drain, DrainScope
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
@@ -67,7 +67,7 @@
         self.ledger.adopt(target, [Hold(self.clock.time + 5.0)] * held)
 
     def ask_homes(self):
-        run(self.board._ask_homes)
+        run(self.board._poll_homes)
         self.clock.time += SHARE_CACHE_TTL_SECONDS
 
 
@@ -116,7 +116,7 @@
         waiting = await spawn(parts.board.wait_first_round)
         await sleep(0)
         assert not waiting.terminated
-        await parts.board._ask_homes()
+        await parts.board._poll_homes()
         await waiting.join()
 
     run(act)
@@ -128,7 +128,7 @@
         DomainVms(name, [(VmEntry(f"{name}-1", NEAR, name, False), SLOTS)], [SLOTS])
         for name in ("north-a", "north-b")
     ]
-    (_, first), (_, other) = _choose(domains, avoided)
+    (_, first), (_, other) = _select(domains, avoided)
     assert first == SLOTS
     assert bool(other) is weighs
 
