--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -17,9 +17,9 @@
     Edit,
     cancel_drain,
     headroom_after,
+    parse_drain,
     plan_drain,
     schedule_drain,
-    parse_drain,
 )
 from heathercleat.process.explain import explain
 from heathercleat.process.status import status_of
