--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -83,7 +83,7 @@
                 # Without a VM list, an unknown VM could be the home.
                 if self._vm.directory.is_known and self._membership.may_act():
                     await self._acquire_missing()
-                    await self._publisher.follow(dict(self._hold_ends()))
+                    await self._publisher.update(dict(self._hold_ends()))
             await sleep(CHECK_INTERVAL_SECONDS)
 
     def drop_all(self):
