--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -33,12 +33,12 @@
 class LocalPermit:
     """A slot of a target whose home is this VM.
 
-    ``taken_at`` is a time of :meth:`Stalls.active_time`.
+    ``claimed_at`` is a time of :meth:`Stalls.active_time`.
     """
 
     use: object
     target: object
-    taken_at: float
+    claimed_at: float
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         self._stalls = stalls
         self._clock = clock
         self._queues = {}
-        self._waiter_came = Signal()
+        self._waiter_queued = Signal()
         self._on_handed_over = None
         holder.on_lease_gained(self.admit_queued)
 
@@ -115,13 +115,13 @@
     async def release(self, request, permit, is_finished):
         """Release the slot of a permit.
 
-        :param certain: whether the target has certainly finished with the request.
+        :param is_finished: whether the target has certainly finished with the request.
         """
         if isinstance(permit, LeasedPermit):
             self._holder.release(permit.lease)
         else:
-            held = self._stalls.active_time() - permit.taken_at
-            self._queue(request.service.name).record_hold(held)
+            hold_seconds = self._stalls.active_time() - permit.claimed_at
+            self._queue(request.service.name).record_hold(hold_seconds)
             receiver = self._ledger.release(permit.use, is_finished)
             if receiver is not None:
                 await spawn(self._on_handed_over, receiver, permit.use, daemon=True)
@@ -154,8 +154,8 @@
                 await self.admit_queued(service)
                 await self._request_leases(queue, queue.waiters and queue.waiters[0])
             if not busy_queues:
-                self._waiter_came.clear()
-                await self._waiter_came.wait()
+                self._waiter_queued.clear()
+                await self._waiter_queued.wait()
             await sleep(QUEUE_INTERVAL_SECONDS)
 
     def expected_wait(self, service):
@@ -305,7 +305,7 @@
         A full queue evicts the request of lowest weight, then of latest deadline.
         """
         queue.push(waiter)
-        await self._waiter_came.set()
+        await self._waiter_queued.set()
         if len(queue.waiters) <= waiter.request.service.queue_limit:
             return True
         evicted_waiter = min(queue.waiters, key=lambda each: each.eviction_rank)
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -76,9 +76,9 @@
 
         Those without targets come last.
         """
-        reach = DomainRanking(self._vm.text, self._clock.wall(), avoided)
+        ranking = DomainRanking(self._vm.text, self._clock.wall(), avoided)
         count = 0
-        for other in reach.rank_domains(service, domain):
+        for other in ranking.rank_domains(service, domain):
             entries = self._vm.entry_vms(other)
             if not entries:
                 continue
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -55,7 +55,7 @@
     probe_state: str = "ready"
     failed_probes: int = 0
     answered_at: float = 0.0
-    slow: bool = False
+    is_slow: bool = False
     next_trial_at: float = 0.0
 
 
@@ -97,11 +97,11 @@
     def is_slow(self, entry):
         """Return whether a target is so slow that it is only used as a last resort."""
         health = self.health_of(entry.target.name)
-        if not health.slow:
+        if not health.is_slow:
             return False
         # The other targets may have become as slow since its last response.
-        limit = self._slow_threshold(entry.target)
-        return limit is not None and health.latency > limit
+        threshold = self._slow_threshold(entry.target)
+        return threshold is not None and health.latency > threshold
 
     def start_trial(self, entry):
         """Return whether to send a trial request to a slow target now.
@@ -172,22 +172,22 @@
 
     def _update_slow(self, target, health, seconds):
         """Update whether a target is slow after a response that took ``seconds``."""
-        limit = self._slow_threshold(target)
-        if limit is None:
-            health.slow = False
-        elif health.slow and seconds <= limit:
+        threshold = self._slow_threshold(target)
+        if threshold is None:
+            health.is_slow = False
+        elif health.is_slow and seconds <= threshold:
             # The earlier latency is outdated.
-            health.slow, health.latency = False, seconds
+            health.is_slow, health.latency = False, seconds
             entry = self._ledger.targets.get(target.name)
             if entry is not None:
                 self._warm_up(entry)
-            self._log_speed(Event.TARGET_FAST, target, seconds, limit)
-        elif not health.slow and health.latency > limit:
-            health.slow, health.next_trial_at = (
+            self._log_speed(Event.TARGET_FAST, target, seconds, threshold)
+        elif not health.is_slow and health.latency > threshold:
+            health.is_slow, health.next_trial_at = (
                 True,
                 self._clock.now() + TRIAL_INTERVAL_SECONDS,
             )
-            self._log_speed(Event.TARGET_SLOW, target, health.latency, limit)
+            self._log_speed(Event.TARGET_SLOW, target, health.latency, threshold)
 
     def _slow_threshold(self, target):
         """Return the latency in seconds above which a target is slow.
@@ -204,13 +204,13 @@
             return None
         return SLOW_FACTOR * fastest + MIN_SLOW_EXCESS_SECONDS
 
-    def _log_speed(self, event, target, seconds, limit):
+    def _log_speed(self, event, target, seconds, threshold):
         self._vm.journal.write(
             event,
             target=target.name,
             service=target.service,
             seconds=round(seconds, 4),
-            limit=round(limit, 4),
+            limit=round(threshold, 4),
         )
 
     def _block_reason(self, entry, text, now, wall):
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -164,8 +164,8 @@
         While a new version spreads, the smaller of the old and new limits apply.
         """
         text, now = self._vm.text, self._clock.now()
-        settled = self._transition.expire_superseded(now)
-        if text is self._transition.text and not settled:
+        has_expired = self._transition.expire_superseded(now)
+        if text is self._transition.text and not has_expired:
             return
         if text is not self._transition.text:
             self._transition.follow(text, now)
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -43,7 +43,7 @@
     """A lease that another VM granted to this one.
 
     ``distance`` is the one-way latency to ``granter`` in seconds. ``peak`` is the
-    maximum of ``in_use`` since the instant ``peak_from``. Instants are of
+    maximum of ``in_use`` since the instant ``peak_since``. Instants are of
     ``clock.now()``.
     """
 
@@ -56,15 +56,15 @@
     slots: int
     expires_at: float
     distance: float
-    peak_from: float
+    peak_since: float
     in_use: int = 0
     peak: int = 0
-    renewing: bool = False
+    is_renewing: bool = False
 
     @property
     def idle_at(self):
         """Return the instant at which slots beyond the peak count as idle."""
-        return self.peak_from + IDLE_AFTER_SECONDS
+        return self.peak_since + IDLE_AFTER_SECONDS
 
     def claim(self):
         """Use one slot."""
@@ -75,7 +75,7 @@
         """Reduce the lease to its recent peak and return whether that freed slots."""
         unused = self.slots > self.peak
         self.slots = min(self.slots, self.peak)
-        self.peak, self.peak_from = self.in_use, now
+        self.peak, self.peak_since = self.in_use, now
         return unused
 
     def has_free_slot(self, now):
@@ -86,7 +86,8 @@
 class LeaseGranter:
     """Grants leases of the targets homed here to other VMs.
 
-    :param waiting: a callable that returns the number of queued requests of a service.
+    :param waiting_count: a callable from a service name to the number of its queued
+        requests.
     :param health: the health of the targets; slow targets are not leased.
     """
 
@@ -103,7 +104,7 @@
 
         Its ``lease_id`` is 0 if no slot can be leased.
         """
-        lease = self._find(request, holder, failure_domain)
+        lease = self._grant_lease(request, holder, failure_domain)
         if lease is None:
             full_until = self._clock.wall() + uniform(
                 MIN_FULL_SECONDS, 2 * MIN_FULL_SECONDS
@@ -145,7 +146,7 @@
         if lease.slots > 1 and self._waiting_count(target.service):
             lease.slots -= lease.slots // 2
 
-    def _find(self, request, holder, failure_domain):
+    def _grant_lease(self, request, holder, failure_domain):
         if not self._membership.may_act() or self._waiting_count(request.service):
             return None
         now = self._clock.now()
@@ -155,13 +156,13 @@
             if entry.target.name not in request.avoid
             and not self._health.is_slow(entry)
         ]
-        room = sum(entry.free(now) for entry in entries)
+        available = sum(entry.free(now) for entry in entries)
         if failure_domain != self._vm.settings.failure_domain:
-            room = (room - LOCAL_RESERVE + 1) // 2
-        if room <= 0:
+            available = (available - LOCAL_RESERVE + 1) // 2
+        if available <= 0:
             return None
         entry = max(entries, key=lambda entry: entry.grantable(failure_domain, now))
-        want = min(request.want, room)
+        want = min(request.want, available)
         expires_at = now + LEASE_TTL_SECONDS
         return self._ledger.grant(entry, holder, failure_domain, want, expires_at)
 
@@ -204,7 +205,7 @@
         """Use a slot of the nearest lease that has a free one.
 
         :param avoid: names of targets not to use.
-        :param patience: maximum round-trip time in seconds.
+        :param max_round_trip: maximum round-trip time in seconds.
         :return: the :class:`HeldLease`, or ``None``.
         """
         now = self._clock.now()
@@ -257,18 +258,18 @@
             leases.remove(lease)
             return
         # A pending renewal could restore the slots that are returned meanwhile.
-        if not lease.renewing and now >= lease.idle_at and lease.shrink_to_peak(now):
+        if not lease.is_renewing and now >= lease.idle_at and lease.shrink_to_peak(now):
             item = LeaseReturn(lease.id, lease.slots)
             await spawn(self._call, lease.host, item, daemon=True)
         if not lease.slots:
             leases.remove(lease)
-        elif not lease.renewing and lease.expires_at - now < RENEW_BEFORE_SECONDS:
-            lease.renewing = True
+        elif not lease.is_renewing and lease.expires_at - now < RENEW_BEFORE_SECONDS:
+            lease.is_renewing = True
             await spawn(self._renew, lease, daemon=True)
 
     async def _renew(self, lease):
         grant = await self._call(lease.host, LeaseRenewal(lease.id))
-        lease.renewing = False
+        lease.is_renewing = False
         if isinstance(grant, LeaseGrant) and grant.slots:
             lease.slots = grant.slots
             lease.expires_at = from_wall(self._clock, grant.expires_at)
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -22,8 +22,6 @@
 MAX_UNANNOUNCED_SECONDS = 2.0
 #: Seconds added to each bound, so that fewer announcements are needed.
 ANNOUNCEMENT_MARGIN_SECONDS = 5.0
-
-
 #: A VM declared dead within this many seconds that may still run could have become the
 #: home of a target without an announcement.
 UNCERTAIN_HOME_SECONDS = 2 * MAX_UNANNOUNCED_SECONDS
@@ -81,7 +79,7 @@
             return
         async with self._lock:
             if self._until.get(target, 0.0) < deadline:
-                self._set(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
+                self._set_bound(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
             if not await self._announce_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
@@ -101,11 +99,13 @@
             for target, until in holds.items():
                 if until > self._inherited_until.get(target, DISTANT_PAST):
                     self._inherited_until[target] = until
-                    self._set(target, max(until, self._until.get(target, DISTANT_PAST)))
+                    self._set_bound(
+                        target, max(until, self._until.get(target, DISTANT_PAST))
+                    )
             if self._until or self._acknowledged:
                 await self._announce_all(self._edition)
 
-    def _set(self, target, until):
+    def _set_bound(self, target, until):
         self._edition += 1
         self._until[target] = until
         self._editions[target] = self._edition
@@ -141,7 +141,7 @@
 
     async def _announce(self, member):
         edition = self._edition
-        covers = {
+        bounds = {
             target: [
                 to_wall(self._clock, until),
                 to_wall(self._clock, self._inherited_until.get(target, until)),
@@ -149,7 +149,7 @@
             for target, until in self._until.items()
         }
         try:
-            notice = OccupancyNotice(self._vm.name, self._vm.incarnation, covers)
+            notice = OccupancyNotice(self._vm.name, self._vm.incarnation, bounds)
             await self._links.call(member.host, notice)
         except PeerError:
             return False
@@ -168,13 +168,13 @@
         self._clock = clock
         self._records = {}
 
-    def record(self, vm, incarnation, covers):
+    def record(self, vm, incarnation, bounds):
         """Replace the bounds of a home.
 
-        :param covers: ``{target name: [until, until for earlier homes]}`` in epoch
+        :param bounds: ``{target name: [until, until for earlier homes]}`` in epoch
             seconds.
         """
-        self._records[vm] = incarnation, covers
+        self._records[vm] = incarnation, bounds
 
     def clear(self):
         """Remove all bounds, after a pause in which announcements were missed."""
@@ -182,13 +182,13 @@
 
     def bounds_for(self, targets):
         """Yield the :class:`OccupancyBound` of each target for each failed home."""
-        for vm, (incarnation, covers) in self._records.items():
+        for vm, (incarnation, bounds) in self._records.items():
             if not self._membership.was_monitored_until_end(vm, incarnation):
                 continue
             has_exited = self._has_exited(vm, incarnation)
             for target in targets:
-                if target in covers:
-                    until, inherited_until = covers[target]
+                if target in bounds:
+                    until, inherited_until = bounds[target]
                     yield OccupancyBound(
                         target, vm, inherited_until if has_exited else until, has_exited
                     )
@@ -210,10 +210,10 @@
     latest = now + service.longest_timeout
     homes = {}
     for each in bounds:
-        known = homes.get(each.home)
-        if known is None or (each.has_exited, each.until) > (
-            known.has_exited,
-            known.until,
+        strongest = homes.get(each.home)
+        if strongest is None or (each.has_exited, each.until) > (
+            strongest.has_exited,
+            strongest.until,
         ):
             homes[each.home] = each
     if not homes:
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -129,7 +129,7 @@
         return all(self.share(service) >= 1 for service in services)
 
     async def _poll_homes(self):
-        hosts = dict(self._hosts())
+        hosts = dict(self._hosts_to_poll())
         self._reported = {
             name: reported for name, reported in self._reported.items() if name in hosts
         }
@@ -147,7 +147,7 @@
         if isinstance(answer, Readiness):
             self._reported[name] = answer.usable
 
-    def _hosts(self):
+    def _hosts_to_poll(self):
         """Yield the name and host of each home to poll."""
         members = self._membership.members
         for name in set(self._homes(self._local_domain).values()):
@@ -224,12 +224,12 @@
         if not self._membership.may_act():
             return 0
         return sum(
-            self._usable_at(target)
+            self._usable_slots_of(target)
             for each, target in self._vm.homes.desired()
             if each.name == service.name
         )
 
-    def _usable_at(self, target):
+    def _usable_slots_of(self, target):
         entry = self._ledger.targets.get(target.name)
         if entry is None or entry.block_reason:
             return 0
--- a/src/heathercleat/process/capacity/retry_budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -9,8 +9,8 @@
 class RetryBudget:
     """The retry budget of one service.
 
-    :param share: retries added by each first attempt.
-    :param saved: maximum balance, which is also the initial one.
+    :param ratio: retries added by each first attempt.
+    :param max_balance: maximum balance, which is also the initial one.
     """
 
     def __init__(self, ratio=RETRY_RATIO, max_balance=MAX_BALANCE):
@@ -24,7 +24,7 @@
         return self._balance
 
     def deposit(self):
-        """Add the share of a first attempt to the budget."""
+        """Add the retries of a first attempt to the budget."""
         self._balance = min(self._max_balance, self._balance + self._ratio)
 
     def withdraw(self):
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -165,8 +165,8 @@
         """Remove expired holds and leases."""
         if self.holds:
             self.holds = [hold for hold in self.holds if hold.until > now]
-        lapsed = [id_ for id_, lease in self.leases.items() if not lease.occupied(now)]
-        for id_ in lapsed:
+        expired = [id_ for id_, lease in self.leases.items() if not lease.occupied(now)]
+        for id_ in expired:
             del self.leases[id_]
 
     def record_spill(self, now):
@@ -178,7 +178,7 @@
 class SlotLedger:
     """The slots of every target whose home is this VM.
 
-    :param clock: source of instants.
+    :param clock: the clock.
     """
 
     def __init__(self, clock):
@@ -201,7 +201,7 @@
         """Become the home of ``target`` and return its :class:`TargetSlots`.
 
         :param holds: a :class:`Hold` for each slot that may still be occupied.
-        :param links: ``{failure domain: slots}`` limits for other failure domains.
+        :param link_limits: ``{failure domain: slots}`` limits for other failure domains.
         :param levels: points of the :class:`ShiftWindow` from earlier homes.
         """
         entry = TargetSlots(
@@ -342,8 +342,8 @@
     def release(self, use, is_finished):
         """Release the slot of a request.
 
-        :param certain: whether the target has certainly finished with the request; if
-            not, the slot stays occupied for ``CANCEL_GRACE_SECONDS``.
+        :param is_finished: whether the target has certainly finished with the request;
+            if not, the slot stays occupied for ``CANCEL_GRACE_SECONDS``.
         :return: the name of the new home if the target was handed over, or ``None``.
         """
         receiver = self._handed_over.pop(use.id, None)
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -41,7 +41,7 @@
 class AttemptFailedError(RequestError):
     """An attempt without a usable response.
 
-    :param blame: the failure that counts against the health of the target:
+    :param failure: the failure that counts against the health of the target:
         ``connect``, ``lost``, ``bad answer`` or ``deadline``; ``None`` if the target
         is not at fault.
     """
@@ -157,7 +157,7 @@
     async def finish(self, is_complete):
         """Return the connection to the pool if the exchange is complete, or close it.
 
-        :param whole: whether the exchange is complete.
+        :param is_complete: whether the exchange is complete.
         """
         stream, self._stream = self._stream, None
         if stream is None:
