--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -54,7 +54,7 @@
     latency: float = 0.0
     probe_state: str = "ready"
     failed_probes: int = 0
-    answered_at: float = 0.0
+    last_response_at: float = 0.0
     is_slow: bool = False
     next_trial_at: float = 0.0
 
@@ -90,7 +90,7 @@
         health = self.health_of(target.name)
         health.failures = 0
         health.ejections = 0
-        health.answered_at = self._clock.now()
+        health.last_response_at = self._clock.now()
         health.latency += LATENCY_WEIGHT * (seconds - health.latency)
         self._update_slow(target, health, seconds)
 
@@ -222,7 +222,7 @@
             return "ejected"
         if health.probe_state != "ready":
             return health.probe_state
-        recent = now - health.answered_at < PROBE_INTERVAL_SECONDS
+        recent = now - health.last_response_at < PROBE_INTERVAL_SECONDS
         if health.failed_probes >= MAX_FAILED_PROBES and not recent:
             return "unreachable"
         return None
@@ -259,10 +259,10 @@
         health = self.health_of(target.name)
         try:
             deadline = self._clock.now() + PROBE_TIMEOUT_SECONDS
-            answer = await before(
+            response = await before(
                 deadline, self._clock, self._send_probe(target, deadline)
             )
-            state = msgpack.unpackb(answer.body)["state"]
+            state = msgpack.unpackb(response.body)["state"]
         except (TimeoutError, ValueError, KeyError, TypeError, *CONNECTION_ERRORS):
             health.failed_probes += 1
             return
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -141,11 +141,11 @@
 
     async def _poll(self, name, host):
         try:
-            answer = await self._links.call(host, FetchReadiness())
+            response = await self._links.call(host, FetchReadiness())
         except PeerError:
             return
-        if isinstance(answer, Readiness):
-            self._reported[name] = answer.usable
+        if isinstance(response, Readiness):
+            self._reported[name] = response.usable
 
     def _hosts_to_poll(self):
         """Yield the name and host of each home to poll."""
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -201,7 +201,7 @@
         """Become the home of ``target`` and return its :class:`TargetSlots`.
 
         :param holds: a :class:`Hold` for each slot that may still be occupied.
-        :param link_limits: ``{failure domain: slots}`` limits for other failure domains.
+        :param link_limits: ``{failure domain: slots}`` limits for other domains.
         :param levels: points of the :class:`ShiftWindow` from earlier homes.
         """
         entry = TargetSlots(
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -235,11 +235,11 @@
 
     async def _fetch(self, host):
         try:
-            answer = await self._links.call(
+            response = await self._links.call(
                 host, FetchConfiguration(), FETCH_TIMEOUT_SECONDS
             )
-            if isinstance(answer, Configuration) and answer.version:
-                self.adopt(answer.version, answer.document, host)
+            if isinstance(response, Configuration) and response.version:
+                self.adopt(response.version, response.document, host)
             vms = await self._links.call(host, VmListRequest(), FETCH_TIMEOUT_SECONDS)
             if isinstance(vms, VmListResponse) and vms.serial >= 0:
                 self.adopt_vms(parse_vm_list(vms.serial, vms.entries))
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -133,23 +133,23 @@
             "conditions": [[each.key, each.version] for each in conditions],
             "writes": [[each.key, each.value] for each in writes],
         }
-        answer = await self._call("POST", "/table/transaction", msgpack.packb(body))
-        return Commit(tuple(msgpack.unpackb(answer.body)["conflicts"]))
+        response = await self._call("POST", "/table/transaction", msgpack.packb(body))
+        return Commit(tuple(msgpack.unpackb(response.body)["conflicts"]))
 
     async def read(self, key):
         """Return the :class:`Row` of a key, or ``None``."""
-        answer = await self._call("GET", f"/table/row?key={quote(key, safe='')}")
-        if answer.status == 404:
+        response = await self._call("GET", f"/table/row?key={quote(key, safe='')}")
+        if response.status == 404:
             return None
-        return Row(*msgpack.unpackb(answer.body))
+        return Row(*msgpack.unpackb(response.body))
 
     async def read_range(self, prefix, limit=None):
         """Return the rows whose key starts with ``prefix``, at most ``limit``."""
         path = f"/table/range?prefix={quote(prefix, safe='')}"
         if limit is not None:
             path += f"&limit={limit}"
-        answer = await self._call("GET", path)
-        return [Row(*fields) for fields in msgpack.unpackb(answer.body)]
+        response = await self._call("GET", path)
+        return [Row(*fields) for fields in msgpack.unpackb(response.body)]
 
     async def put_object(self, key, data):
         """Store an object."""
@@ -157,13 +157,13 @@
 
     async def get_object(self, key):
         """Return the bytes of an object, or ``None``."""
-        answer = await self._call("GET", f"/objects/{quote(key, safe='')}")
-        return None if answer.status == 404 else answer.body
+        response = await self._call("GET", f"/objects/{quote(key, safe='')}")
+        return None if response.status == 404 else response.body
 
     async def list_vms(self, since):
         """Return the :class:`VmList`, or ``None`` if its serial is still ``since``."""
-        answer = await self._call("GET", f"/vms?since={since}")
-        serial, entries = msgpack.unpackb(answer.body)
+        response = await self._call("GET", f"/vms?since={since}")
+        serial, entries = msgpack.unpackb(response.body)
         if entries is None:
             return None
         return VmList(serial, tuple(VmEntry(*fields) for fields in entries))
@@ -176,12 +176,12 @@
         deadline = self._clock.now() + self._timeout
         message = Message(method=method, path=path, body=body, headers=MSGPACK)
         try:
-            answer = await before(deadline, self._clock, self._exchange(message))
+            response = await before(deadline, self._clock, self._exchange(message))
         except (TimeoutError, *CONNECTION_ERRORS) as error:
             raise PlatformError(f"{method} {path}: {error!r}") from None
-        if answer.status not in (200, 404, 409):
-            raise PlatformError(f"{method} {path}: status {answer.status}")
-        return answer
+        if response.status not in (200, 404, 409):
+            raise PlatformError(f"{method} {path}: status {response.status}")
+        return response
 
     async def _exchange(self, message):
         await self._fence().wait_if_fenced(self._host)
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -215,10 +215,10 @@
     async def exchange_views(self, host):
         """Exchange views with one VM and return whether it responded."""
         try:
-            answer = await self._links.call(host, ViewExchange(self.records()))
+            response = await self._links.call(host, ViewExchange(self.records()))
         except PeerError:
             return False
-        self.merge(answer.members)
+        self.merge(response.members)
         return True
 
     def merge(self, records):
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -58,14 +58,14 @@
             raise PeerError(f"{self._host} did not answer a moment ago")
         deadline = self._clock.now() + timeout
         try:
-            answer = await before(deadline, self._clock, self._call(item))
+            response = await before(deadline, self._clock, self._call(item))
         except (OSError, EOFError, ValueError) as error:
             self._is_refused = isinstance(error, ConnectionRefusedError)
             self._retry_at = self._clock.now() + BACKOFF_SECONDS
             raise PeerError(f"{self._host}: {error!r}") from None
-        if isinstance(answer, Refused):
-            raise PeerError(f"{self._host}: {answer.reason}")
-        return answer
+        if isinstance(response, Refused):
+            raise PeerError(f"{self._host}: {response.reason}")
+        return response
 
     async def close(self):
         """Close the connection."""
@@ -81,24 +81,24 @@
             try:
                 if self._stream is None:
                     self._stream = await self._open()
-                answer = await self._stream.call(item)
+                response = await self._stream.call(item)
                 done = True
             finally:
                 if not done:
                     await self.close()
             self._is_refused = False
-            return answer
+            return response
 
     async def _open(self):
         port = self._vm.settings.ports.peer
         sock = await open_socket(self._host, port, self._vm.settings.address)
         stream = MessageStream(sock)
         try:
-            answer = await stream.call(await self._hello(stream))
+            response = await stream.call(await self._hello(stream))
         except BaseException:
             await stream.close()
             raise
-        if not isinstance(answer, Accepted):
+        if not isinstance(response, Accepted):
             await stream.close()
             raise EOFError("the peer refused the key")
         return stream
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -34,8 +34,8 @@
 
 
 async def _run_as_owner(vm, call):
-    entry, first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
-    if not first:
+    entry, is_first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
+    if not is_first:
         return await _answer_repeat(vm, call, entry)
     state, outcome = EntryState.UNKNOWN, None
     try:
@@ -162,14 +162,14 @@
         return EntryState.GONE, None
     try:
         request = CloseOut(ticket.id, key, ticket.instance_id, ticket.expires_at)
-        answer = await vm.links.call(entry.host, request)
+        response = await vm.links.call(entry.host, request)
     except PeerError:
         return EntryState.GONE, None
     outcome = None
-    if answer.status:
-        headers = [tuple(pair) for pair in answer.headers]
-        outcome = Outcome(answer.status, headers, answer.body)
-    return EntryState(answer.state), outcome
+    if response.status:
+        headers = [tuple(pair) for pair in response.headers]
+        outcome = Outcome(response.status, headers, response.body)
+    return EntryState(response.state), outcome
 
 
 def _digest(call):
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -163,11 +163,11 @@
         if stream is None:
             return
         self._is_finished = True
-        place = self._upstream.host, self._upstream.port
+        address = self._upstream.host, self._upstream.port
         if is_complete:
-            await self._pool.checkin(*place, stream)
+            await self._pool.checkin(*address, stream)
         else:
-            await self._pool.discard(*place, stream)
+            await self._pool.discard(*address, stream)
 
     async def _connect(self, fresh):
         upstream = self._upstream
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -43,7 +43,7 @@
     nearest = candidates[0].domain if candidates else vm.settings.failure_domain
     selected = _select(candidates, avoided)
     now = vm.clock.wall()
-    answer = {
+    response = {
         "service": service.name,
         "version": vm.version,
         "vms": [_describe(vm, *each) for each in selected],
@@ -58,7 +58,7 @@
         vms=[entry.name for entry, _ in selected],
         avoided=sorted(avoided),
     )
-    return answer
+    return response
 
 
 def _describe(vm, entry, weight):
@@ -130,8 +130,8 @@
     The ticket is ``None`` if the service has no at-most-once requests or the caller
     should send them to another VM.
     """
-    needed = any(kind.semantics is Semantics.AT_MOST_ONCE for kind in service.kinds)
-    if not needed or vm.leaving or domain != vm.settings.failure_domain:
+    is_needed = any(kind.semantics is Semantics.AT_MOST_ONCE for kind in service.kinds)
+    if not is_needed or vm.leaving or domain != vm.settings.failure_domain:
         return {"ticket": None}
     expires_at = now + vm.settings.ticket_ttl
     settings = vm.settings
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -71,8 +71,8 @@
             # If an attempt may have run, report that rather than a later refusal.
             if uncertain is None and error.code.run is not Run.NOT_RUN:
                 uncertain = error
-            last = number == MAX_ATTEMPTS or target is None
-            if last or not _may_retry(vm, call, error) or not budget.withdraw():
+            is_last = number == MAX_ATTEMPTS or target is None
+            if is_last or not _may_retry(vm, call, error) or not budget.withdraw():
                 raise uncertain or error from None
             tried.add(target)
             _log_retry(vm, call, target, error, budget)
@@ -101,14 +101,14 @@
 
 async def _run_attempt(vm, call, permit, deliver):
     started_at = vm.stalls.active_time()
-    ended = False
+    has_response_ended = False
     is_finished = False
 
     async def finish_response():
         # Release the slot before the caller receives the end of the response: it may
         # send its next request before this task runs again.
-        nonlocal ended
-        ended = True
+        nonlocal has_response_ended
+        has_response_ended = True
         _record_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
         await _release(vm, call, permit, attempt, is_finished=True)
 
@@ -123,11 +123,11 @@
         if isinstance(failure, TimeoutError):
             error = attempt.timeout_error()
         is_finished = error.not_run
-        if not ended:
+        if not has_response_ended:
             _record_failure(vm, permit, error)
         raise error from None
     finally:
-        if not ended:
+        if not has_response_ended:
             await _release(vm, call, permit, attempt, is_finished, is_complete=False)
 
 
