--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -1,4 +1,4 @@
-"""ClaimTable of at-most-once requests in the platform's table.
+"""Claims of at-most-once requests in the platform's table.
 
 A process writes a claim before it runs a request, on condition that the row is missing.
 A VM that has to find out whether a lost process ran a key writes a closing row on the
--- a/src/heathercleat/process/membership/directory.py
+++ b/src/heathercleat/process/membership/directory.py
@@ -63,7 +63,7 @@
         return [self._by_name[name] for name in homes]
 
     def to_fields(self):
-        """Return the list as fields of a :class:`Vms` message."""
+        """Return the list as fields of a :class:`VmListResponse` message."""
         return [
             [entry.name, entry.host, entry.failure_domain, entry.leaving]
             for entry in self.entries
@@ -71,5 +71,5 @@
 
 
 def parse_vm_list(serial, fields):
-    """Return a :class:`VmList` from the fields of a :class:`Vms` message."""
+    """Return a :class:`VmList` from the fields of a :class:`VmListResponse` message."""
     return VmList(serial, tuple(VmEntry(*entry) for entry in fields))
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -70,7 +70,7 @@
         self._left_at = self._clock.now()
         self._fence = Fence(settings.fenced)
         self._platform = platform or self._connect_platform()
-        # ClaimTable use a separate connection, so that other calls don't delay them.
+        # Claims use a separate connection, so that other calls don't delay them.
         self._claims_platform = platform or self._connect_platform()
         self._build()
 
