--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -23,7 +23,7 @@
     return {
         "service": service_name,
         "client": client,
-        "client_domain": vm.blocks.find(client),
+        "client_domain": vm.client_blocks.find(client),
         "vms": lookup["vms"],
         "ready_share": vm.readiness.share(service),
         "expected_wait": None if wait == float("inf") else wait,
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -63,7 +63,7 @@
         self._instance_id = token_hex(8)
         self._incarnation = int(self._clock.wall() * MILLISECONDS_PER_SECOND)
         self._journal = Journal(settings.vm, settings.failure_domain)
-        self._blocks = build_client_blocks({}, [])
+        self._client_blocks = build_client_blocks({}, [])
         self._retry_budgets = {}
         self._peer_bytes = 0
         self._leave_requested = False
@@ -189,9 +189,9 @@
         return self.configuration.text
 
     @property
-    def blocks(self):
+    def client_blocks(self):
         """Return the current :class:`ClientBlockTable`."""
-        return self._blocks
+        return self._client_blocks
 
     @property
     def fence(self):
@@ -242,7 +242,9 @@
 
     def configuration_changed(self, text):
         """Apply a new version of the configuration."""
-        self._blocks = build_client_blocks(text.client_blocks, text.failure_domains)
+        self._client_blocks = build_client_blocks(
+            text.client_blocks, text.failure_domains
+        )
         self.health.update_blocked(self._clock.now())
 
     def count_peer_bytes(self, count):
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -37,7 +37,7 @@
         message = f'unknown service "{query.get("service", "")}"'
         raise RequestError(ResultCode.UNKNOWN_SERVICE, message)
     client = _client(query, caller)
-    domain = vm.blocks.find(client) or vm.settings.failure_domain
+    domain = vm.client_blocks.find(client) or vm.settings.failure_domain
     avoided = _avoided(vm, service, client)
     candidates = vm.candidates.find(service, domain, avoided)
     nearest = candidates[0].domain if candidates else vm.settings.failure_domain
