--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -258,10 +258,10 @@
             queue=len(queue.waiters),
             expected_wait=self._round_wait(self.expected_wait(request.service)),
         )
-        limit = min(request.deadline, waiter.queued_at + max_wait)
+        give_up_at = min(request.deadline, waiter.queued_at + max_wait)
         try:
             await self._request_leases(queue, waiter)
-            await self._wait_until(waiter, limit)
+            await self._wait_until(waiter, give_up_at)
             if waiter.permit is None and not waiter.evicted:
                 # A stall of this process may have used up the time to wait.
                 await self.admit_queued(request.service.name)
@@ -276,8 +276,8 @@
         self._log_permit(request, waiter.permit, self._clock.now() - waiter.queued_at)
         return waiter.permit
 
-    async def _wait_until(self, waiter, limit):
-        """Wait for a permit, eviction from the queue, or the instant ``limit``.
+    async def _wait_until(self, waiter, give_up_at):
+        """Wait for a permit, eviction from the queue, or ``give_up_at``.
 
         :raises CallerDisconnectedError: if the caller disconnects meanwhile.
         """
@@ -285,7 +285,7 @@
         if waiter.request.cancels_on_disconnect:
             watcher = await spawn(self._watch_caller, waiter)
         try:
-            await timeout_after(limit - waiter.queued_at, waiter.signal.wait)
+            await timeout_after(give_up_at - waiter.queued_at, waiter.signal.wait)
         except TaskTimeout:
             return
         finally:
--- a/src/heathercleat/process/settings.py
+++ b/src/heathercleat/process/settings.py
@@ -140,15 +140,15 @@
 
 def _findings(source, errors):
     pointers = ["".join(f"/{part}" for part in error.path) for error in errors]
-    places = locate(source, pointers)
+    positions = locate(source, pointers)
     for error, pointer in zip(errors, pointers, strict=True):
         message = (
             "a key is too short; use at least 16 characters"
             if "keys" in error.path
             else error.message
         )
-        place = places[pointer]
-        yield Finding(message, pointer, *place, ResultCode.SETTINGS_INVALID)
+        position = positions[pointer]
+        yield Finding(message, pointer, *position, ResultCode.SETTINGS_INVALID)
 
 
 @cache
