--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -14,9 +14,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
+    with_deadline,
     connect,
     exchange,
-    with_deadline,
 )
 from heathercleat.events import Event
 
@@ -54,8 +54,8 @@
     latency: float = 0.0
     probe_state: str = "ready"
     failed_probes: int = 0
-    answered_at: float = 0.0
-    slow: bool = False
+    last_response_at: float = 0.0
+    is_slow: bool = False
     next_trial_at: float = 0.0
 
 
@@ -90,18 +90,18 @@
         health = self.health_of(target.name)
         health.failures = 0
         health.ejections = 0
-        health.answered_at = self._clock.now()
+        health.last_response_at = self._clock.now()
         health.latency += LATENCY_WEIGHT * (seconds - health.latency)
         self._update_slow(target, health, seconds)
 
     def is_slow(self, entry):
         """Return whether a target is so slow that it is only used as a last resort."""
         health = self.health_of(entry.target.name)
-        if not health.slow:
+        if not health.is_slow:
             return False
         # The other targets may have become as slow since its last response.
-        limit = self._slow_threshold(entry.target)
-        return limit is not None and health.latency > limit
+        threshold = self._slow_threshold(entry.target)
+        return threshold is not None and health.latency > threshold
 
     def start_trial(self, entry):
         """Return whether to send a trial request to a slow target now.
@@ -172,22 +172,22 @@
 
     def _update_slow(self, target, health, seconds):
         """Update whether a target is slow after a response that took ``seconds``."""
-        limit = self._slow_threshold(target)
-        if limit is None:
-            health.slow = False
-        elif health.slow and seconds <= limit:
+        threshold = self._slow_threshold(target)
+        if threshold is None:
+            health.is_slow = False
+        elif health.is_slow and seconds <= threshold:
             # The earlier latency is outdated.
-            health.slow, health.latency = False, seconds
+            health.is_slow, health.latency = False, seconds
             entry = self._ledger.targets.get(target.name)
             if entry is not None:
                 self._warm_up(entry)
-            self._log_speed(Event.TARGET_FAST, target, seconds, limit)
-        elif not health.slow and health.latency > limit:
-            health.slow, health.next_trial_at = (
+            self._log_speed(Event.TARGET_FAST, target, seconds, threshold)
+        elif not health.is_slow and health.latency > threshold:
+            health.is_slow, health.next_trial_at = (
                 True,
                 self._clock.now() + TRIAL_INTERVAL_SECONDS,
             )
-            self._log_speed(Event.TARGET_SLOW, target, health.latency, limit)
+            self._log_speed(Event.TARGET_SLOW, target, health.latency, threshold)
 
     def _slow_threshold(self, target):
         """Return the latency in seconds above which a target is slow.
@@ -204,13 +204,13 @@
             return None
         return SLOW_FACTOR * fastest + MIN_SLOW_EXCESS_SECONDS
 
-    def _log_speed(self, event, target, seconds, limit):
+    def _log_speed(self, event, target, seconds, threshold):
         self._vm.journal.write(
             event,
             target=target.name,
             service=target.service,
             seconds=round(seconds, 4),
-            limit=round(limit, 4),
+            limit=round(threshold, 4),
         )
 
     def _block_reason(self, entry, text, now, wall):
@@ -222,7 +222,7 @@
             return "ejected"
         if health.probe_state != "ready":
             return health.probe_state
-        recent = now - health.answered_at < PROBE_INTERVAL_SECONDS
+        recent = now - health.last_response_at < PROBE_INTERVAL_SECONDS
         if health.failed_probes >= MAX_FAILED_PROBES and not recent:
             return "unreachable"
         return None
@@ -259,10 +259,10 @@
         health = self.health_of(target.name)
         try:
             deadline = self._clock.now() + PROBE_TIMEOUT_SECONDS
-            answer = await with_deadline(
+            response = await with_deadline(
                 deadline, self._clock, self._send_probe(target, deadline)
             )
-            state = msgpack.unpackb(answer.body)["state"]
+            state = msgpack.unpackb(response.body)["state"]
         except (TimeoutError, ValueError, KeyError, TypeError, *CONNECTION_ERRORS):
             health.failed_probes += 1
             return
