--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -14,9 +14,9 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    with_deadline,
     connect,
     exchange,
+    with_deadline,
 )
 from heathercleat.events import Event
 
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -13,8 +13,8 @@
 from heathercleat.connection.http import (
     CONNECTION_ERRORS,
     Message,
-    with_deadline,
     connect,
+    with_deadline,
 )
 from heathercleat.connection.persistent import PersistentConnection
 from heathercleat.errors import PlatformError
@@ -176,7 +176,9 @@
         deadline = self._clock.now() + self._timeout
         message = Message(method=method, path=path, body=body, headers=MSGPACK)
         try:
-            response = await with_deadline(deadline, self._clock, self._exchange(message))
+            response = await with_deadline(
+                deadline, self._clock, self._exchange(message)
+            )
         except (TimeoutError, *CONNECTION_ERRORS) as error:
             raise PlatformError(f"{method} {path}: {error!r}") from None
         if response.status not in (200, 404, 409):
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -2,7 +2,7 @@
 
 from curio import Lock
 
-from heathercleat.connection.http import with_deadline, open_socket
+from heathercleat.connection.http import open_socket, with_deadline
 from heathercleat.connection.messages import Accepted, Challenge, Hello, Refused
 from heathercleat.connection.peer import MessageStream, sign
 from heathercleat.errors import PeerError
