--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -38,7 +38,7 @@
 )
 from heathercleat.request.lookup import answer_lookup
 from heathercleat.request.proxying import proxy_request
-from heathercleat.request.ticket import read as read_ticket
+from heathercleat.request.ticket import read_ticket
 from heathercleat.version.text import Semantics
 
 LOOKUP_PATH = "/lookup"
