--- a/src/heathercleat/steering/process/departure.py
+++ b/src/heathercleat/steering/process/departure.py
@@ -1,33 +1,33 @@
-"""When a leaving VM ends, and which requests it can still finish."""
+"""Deadlines of a graceful shutdown, and which requests can complete before them."""
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import RequestError
 from heathercleat.steering.process.returns import return_at
 
-#: The instant of an end that does not come.
+#: A deadline that never passes.
 NO_END = float("inf")
-#: Seconds before the platform's kill at which a leaving process ends by itself.
+#: Seconds before the platform kills the process at which it exits by itself.
 STOP_MARGIN = 0.35
-#: Seconds before the end at which the answers that are ready go first: they need a
-#: round trip at most to be sent.
+#: Seconds before the exit at which ready responses are flushed without waiting for
+#: earlier requests of their connection. Long enough for a round trip.
 LAST_ANSWERS = 0.25
-#: Part of the time until the kill that each of these takes at most.
+#: Maximum fraction of the grace period that each of these margins may take.
 MARGIN_SHARE = 1 / 12
-#: Seconds after the stop signal until which clients' connections are kept: those that
-#: looked the VM up before may come for so long.
+#: Seconds after the stop signal for which client connections are kept open, since
+#: clients with an old lookup result may still connect.
 KEEP_SECONDS = 2.5
-#: Seconds after which one of the VMs that stop together may serve again.
+#: Expected seconds until the first of several VMs stopped together serves again.
 RESTART_SECONDS = 1.0
-#: Why a request was given back.
+#: Reason in refusals of a VM that is shutting down.
 LEAVING = "the VM is leaving"
 
 
 class StopEstimate:
-    """What a leaving VM knew of a request when it took it.
+    """Estimate for a request that arrived during a shutdown.
 
     :param after: seconds since the stop signal.
-    :param needed: seconds that the request was taken to need at most.
-    :param runs: runs of its route at its service on which that rests.
+    :param needed: upper bound of the seconds that the request needs.
+    :param runs: number of past runs of its route and service behind that bound.
     """
 
     __slots__ = ("after", "needed", "runs")
@@ -39,14 +39,14 @@
 
 
 class Departure:
-    """The end of this process, once it has been told to leave.
+    """The deadlines of this process after a stop signal.
 
-    A request is sent to a target only if it ends before the process does: by its
-    deadline, or, where it came while connections were kept, by the bound on the runs of
-    its route.
+    A request is sent to a target only if it will complete before the process exits:
+    because its deadline is earlier, or, if it arrived while connections were kept open,
+    because of the bound on the run time of its route.
 
     :param runs: the :class:`RunTimes`.
-    :param others_serve: returns whether a VM serves to which clients may go.
+    :param others_serve: returns whether another VM serves clients.
     """
 
     def __init__(self, runs, others_serve):
@@ -64,23 +64,30 @@
 
     @property
     def keeps_until(self):
-        """Return the instant until which connections take further requests."""
+        """Return the instant until which connections accept further requests.
+
+        Infinite before :meth:`begin`.
+        """
         return self._keeps_until
 
     @property
     def ends_at(self):
-        """Return the instant at which the process ends; infinite while it stays."""
+        """Return the instant at which the process exits; infinite before the stop."""
         return self._ends_at
 
     @property
     def last_answers_at(self):
-        """Return the instant from which ready answers wait for no others."""
+        """Return the instant from which ready responses are sent at once.
+
+        From then on they do not wait for earlier requests of their connection.
+        """
         return self._last_answers_at
 
     def begin(self, now, grace):
-        """Start to leave.
+        """Set the deadlines at a stop signal.
 
-        :param grace: seconds from now until the platform kills the process.
+        :param now: instant of the signal.
+        :param grace: seconds from ``now`` until the platform kills the process.
         """
         self._began_at = now
         most = MARGIN_SHARE * grace
@@ -89,14 +96,14 @@
         self._keeps_until = min(now + KEEP_SECONDS, self.last_answers_at)
 
     def elapsed(self, now):
-        """Return the seconds since the stop signal."""
+        """Return the seconds since the stop signal; only after :meth:`begin`."""
         return now - self._began_at
 
     def check(self, call, now):
-        """Check that a request can still be finished.
+        """Check that a request can still complete.
 
-        :raises RequestError: when it may not; the client may come back at once, to
-            another VM, or later where none serves.
+        :raises RequestError: when it may not. The client may retry at once if another
+            VM serves, and otherwise after a delay.
         """
         if self.is_too_late(call, now):
             mean = 0.0 if self._others_serve() else RESTART_SECONDS
@@ -104,13 +111,13 @@
             raise RequestError(ResultCode.NO_ROOM, LEAVING, retry_at)
 
     def is_too_late(self, call, now):
-        """Return whether a request sent to a target now might be cut."""
+        """Return whether a request sent to a target now might not complete."""
         return now >= self.send_by(call)
 
     def send_by(self, call):
         """Return the instant until which a request may be sent to a target.
 
-        :data:`NO_END` where its deadline ends it soon enough.
+        :data:`NO_END` if the request's own deadline is early enough.
         """
         if call.deadline <= self.last_answers_at:
             return NO_END
@@ -119,7 +126,9 @@
         return self.last_answers_at - self._runs.bound(call)
 
     def is_short(self, route, now):
-        """Return whether little time is left for what could be finished at first.
+        """Return whether the time left no longer suffices for requests of a route.
+
+        ``False`` for a route whose requests exceed the whole grace period.
 
         :param route: a :class:`Route`.
         """
@@ -128,7 +137,7 @@
         return needed <= whole and now + needed > self.last_answers_at
 
     def estimate(self, call, now):
-        """Return the :class:`StopEstimate` of a request; ``None`` while it stays."""
+        """Return the :class:`StopEstimate` of a request; ``None`` before the stop."""
         if self._began_at is None:
             return None
         needed = min(call.deadline - now, self._runs.bound(call))
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -1,29 +1,30 @@
-"""When a VM that leaves gives away the targets that it keeps as the last one."""
+"""Handover of target ownership by a VM that is shutting down."""
 
 from heathercleat.version.hashing import ranked
 
-#: Seconds without a request of its own clients after which a VM that leaves gives the
-#: targets that it keeps to others that leave, and without any after which it ends.
+#: Seconds without client requests after which a leaving VM hands its targets to another
+#: leaving VM, and seconds without any request after which its process exits.
 QUIET_SECONDS = 0.4
-#: Seconds by which another VM has to have been told to stop later than this one to have
-#: more time: three heartbeats, so that no two VMs take each other for the later one.
+#: Minimum difference between the stop times of two VMs, in seconds. Three heartbeat
+#: intervals, so that two VMs never both consider the other one to stop later.
 LATER_SECONDS = 0.45
-#: Seconds before the end of the process in which it owns nothing any more.
+#: Seconds before the process exits by which it must have released all targets.
 LEAST_RUN = 1.5
 
 
 class Handover:
-    """Decides how long a VM that leaves stays an owner where no VM serves.
+    """Decides when a leaving VM releases its targets while no VM is serving.
 
-    Of the VMs of a region that leave, one stays until its end is near. The others go as
-    soon as their clients are quiet, to be back the sooner: a fleet that is told to stop
-    at once is then replaced in turn. One that has too little time left for some
-    requests leaves all of them to one that was told to stop later.
+    One leaving VM of each region keeps its targets until shortly before it exits. The
+    others exit as soon as they have no client requests, so that they restart sooner and
+    a fleet that is stopped all at once is replaced one after another. A VM with too
+    little time left for the requests of some route hands its targets to a VM that
+    stops later.
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
-    :param is_short: returns whether some route's requests cannot end in time any more
-        when they begin at an instant.
+    :param is_short: returns whether requests of some route that start at an instant
+        may not complete before this process exits.
     """
 
     def __init__(self, members, owners, is_short):
@@ -36,24 +37,24 @@
 
     @property
     def is_over(self):
-        """Return whether this VM owns nothing any more."""
+        """Return whether this VM owns no targets."""
         return not self._owners.owned()
 
     def begin(self, now, keeps_until, ends_at):
-        """Start to leave.
+        """Start the handover.
 
-        :param keeps_until: instant until which clients may still come that looked this
-            VM up.
-        :param ends_at: instant at which this process ends.
+        :param keeps_until: instant until which clients with an old lookup result may
+            still connect.
+        :param ends_at: instant at which this process exits.
         """
         self._quiet_since = now
         self._keeps_until = keeps_until
         self._last_start_at = ends_at - LEAST_RUN
 
     def check(self, now, has_clients):
-        """Give the targets away for good if it is time.
+        """Release all targets permanently once the conditions are met.
 
-        :param has_clients: whether a request of this VM's own clients is under way.
+        :param has_clients: whether requests of this VM's own clients are in progress.
         """
         if has_clients:
             self._quiet_since = now
@@ -63,7 +64,7 @@
             self._members.finish()
 
     def _is_relieved(self, now):
-        """Return whether another VM that leaves takes the targets better."""
+        """Return whether another leaving VM of the region should own the targets."""
         own = self._members.own
         near = [each for each in self._members.leaving() if each.region == own.region]
         if self._is_short(now) and any(map(self._has_more_time, near)):
--- a/src/heathercleat/steering/process/means.py
+++ b/src/heathercleat/steering/process/means.py
@@ -1,11 +1,11 @@
-"""Moving means by key."""
+"""Exponential moving averages by key."""
 
 
 def move_mean(means, key, value, weight):
-    """Move the mean of a key towards a value; the first value is the mean.
+    """Update the average of a key with a value, in place.
 
-    :param means: the mean of each key, changed in place.
-    :param weight: weight of the newest value, 0 to 1.
+    :param means: the averages by key; a new key starts at ``value``.
+    :param weight: weight of the new value, 0 to 1.
     """
     mean = means.get(key, value)
     means[key] = mean + weight * (value - mean)
--- a/src/heathercleat/steering/process/metrics.py
+++ b/src/heathercleat/steering/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a VM that steers requests, in the text format of Prometheus."""
+"""Metrics of a VM that steers requests, in the Prometheus text format."""
 
 from bisect import bisect_left
 
@@ -6,13 +6,11 @@
 
 
 class SteeringMetrics:
-    """Counts of finished requests; gauges are filled in when the page is read.
+    """Counts finished requests; reads gauges when the metrics are scraped.
 
-    The library that writes the page is imported when somebody reads it: it costs a
-    start 0.08 s of processor time (best of eight starts), and most processes end
-    without a reader.
+    ``prometheus_client`` is imported on the first scrape, to keep the start fast.
 
-    :param read_gauges: returns the current values by name of the gauge.
+    :param read_gauges: returns the current gauge values by name.
     """
 
     def __init__(self, read_gauges):
@@ -21,7 +19,10 @@
         self._seconds = {}
 
     def count(self, route, result, seconds):
-        """Count a finished request."""
+        """Count a finished request.
+
+        :param seconds: time from the request head to the final response.
+        """
         key = route, result
         self._requests[key] = self._requests.get(key, 0) + 1
         latencies = self._seconds.get(route)
@@ -30,7 +31,7 @@
         latencies.observe(seconds)
 
     def collect(self):
-        """Yield the families of metrics, as a registry of the library asks for them."""
+        """Yield the metric families; called by the Prometheus registry."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -63,7 +64,7 @@
         yield state
 
     def render(self):
-        """Return the page as bytes."""
+        """Return the metrics page as bytes."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -72,7 +73,7 @@
 
 
 class Latencies:
-    """A histogram of seconds over :data:`LATENCY_BUCKETS`."""
+    """A histogram of latencies in seconds over :data:`LATENCY_BUCKETS`."""
 
     __slots__ = ("_counts", "_sum")
 
@@ -82,16 +83,16 @@
 
     @property
     def sum(self):
-        """Return the sum of all observations."""
+        """Return the sum of all observations, in seconds."""
         return self._sum
 
     def observe(self, seconds):
-        """Take one observation."""
+        """Add one observation."""
         self._counts[bisect_left(LATENCY_BUCKETS, seconds)] += 1
         self._sum += seconds
 
     def buckets(self):
-        """Return ``(upper bound as text, observations up to it)`` of each bucket."""
+        """Return ``(upper bound as text, cumulative count)`` of each bucket."""
         bounds = [*map(str, LATENCY_BUCKETS), "+Inf"]
         total, buckets = 0, []
         for bound, count in zip(bounds, self._counts, strict=True):
--- a/src/heathercleat/steering/process/record.py
+++ b/src/heathercleat/steering/process/record.py
@@ -1,15 +1,14 @@
-"""What is told of finished requests: log lines bounded in number, and metrics."""
+"""Log lines and metrics of finished requests."""
 
 from heathercleat.events import Event
 
-#: Full lines a second for requests that were late, refused, cut or left; beyond it they
-#: are counted. The bound is chosen: 40 lines cost 1.1 ms of processor time.
+#: Maximum detailed log lines per second; further ones are only counted.
 MOST_LINES = 40
 _SERVER_ERROR = 500
 
 
 class RequestRecord:
-    """Logs the ends of requests and counts them.
+    """Logs and counts finished requests, at a limited rate.
 
     :param metrics: the :class:`SteeringMetrics`.
     """
@@ -24,7 +23,7 @@
         self._sums = {}
 
     def answered(self, call, answer, now):
-        """Note a request that got a target's answer."""
+        """Record a request that got a response from a target."""
         seconds = now - call.arrived_at
         result = "late" if now > call.aim_at else "in_time"
         if answer.status >= _SERVER_ERROR:
@@ -47,7 +46,10 @@
             )
 
     def refused(self, call, error, now):
-        """Note a request whose final answer is an error of this system."""
+        """Record a request that this system answered with an error.
+
+        :param call: ``None`` when the request could not be parsed.
+        """
         route = call.route.name if call else "none"
         seconds = now - call.arrived_at if call else 0.0
         self._count(route, error.code.name.lower(), seconds)
@@ -71,7 +73,7 @@
         )
 
     def left(self, call, now):
-        """Note a client that left before its answer."""
+        """Record a client that disconnected before its response."""
         if call is None:
             return
         seconds = now - call.arrived_at
@@ -85,11 +87,11 @@
         )
 
     def abandoned(self, call, now):
-        """Note a request under way as its VM ends: it gets no answer."""
+        """Record a request that gets no response because this process exits."""
         seconds = now - call.arrived_at
         self._count(call.route.name, "abandoned", seconds)
         place = call.trying
-        # No limit on lines: the process writes these once.
+        # Not rate limited: written once, when the process exits.
         self._journal.write(
             Event.REQUEST_ABANDONED,
             request=call.id,
@@ -105,7 +107,10 @@
         )
 
     def flush(self, **beliefs):
-        """Write the sums of the last interval beside the state of beliefs."""
+        """Log and reset the request counts since the last call.
+
+        :param beliefs: further fields of the log line.
+        """
         sums, self._sums = self._sums, {}
         self._journal.write(Event.REQUESTS_SUMMED, requests=sums, **beliefs)
 
@@ -129,7 +134,7 @@
 
 
 def _stop_fields(estimate):
-    """Return what a :class:`StopEstimate` adds to a line; ``None`` adds nothing."""
+    """Return the log fields of a :class:`StopEstimate`, or of ``None``."""
     if estimate is None:
         return {}
     return {
--- a/src/heathercleat/steering/process/returns.py
+++ b/src/heathercleat/steering/process/returns.py
@@ -1,18 +1,17 @@
-"""When a refused client is asked to come back."""
+"""Retry-After instants for refused clients."""
 
 from random import uniform
 
-#: Part of a client's remaining time up to which it honours the advice.
+#: Longest retry delay that clients honour, as a fraction of their remaining time.
 RETURN_SHARE = 0.3
 
 
 def return_at(call, mean, now):
-    """Return the instant from which a refused client is welcome again.
+    """Return the instant from which a refused client may retry.
 
-    Clients that are refused together come back apart, and within the time in which
-    they honour the advice.
+    The delay has random jitter, so that clients refused together do not retry together.
 
-    :param mean: seconds after which there is room, as far as is known.
+    :param mean: expected seconds until capacity is available.
     """
     longest = RETURN_SHARE * max(0.0, call.deadline - now)
     return now + min(longest, uniform(0.5, 1.5) * mean)
--- a/src/heathercleat/steering/process/warm.py
+++ b/src/heathercleat/steering/process/warm.py
@@ -1,7 +1,6 @@
-"""Connections to VMs of other regions that are open before they are needed.
+"""Idle connections to VMs of other regions, opened in advance.
 
-Opening one costs a round trip: on a link of 55 ms one way it doubles the 110 ms that a
-request needs there and back, and makes it late.
+Opening a connection on demand would add a round trip between regions to the request.
 """
 
 from curio import TaskGroup, sleep
@@ -9,7 +8,7 @@
 from heathercleat.connection.http import before
 
 INTERVAL = 0.25
-#: Idle connections kept to each VM, and to all of them together in a large fleet.
+#: Maximum idle connections to each VM, and to all VMs together.
 IDLE_EACH = 4
 IDLE_TOTAL = 48
 CONNECT_TIMEOUT = 1.0
@@ -18,12 +17,11 @@
 class WarmConnections:
     """Keeps idle connections to the VMs of other regions.
 
-    :param pool: connections to other VMs.
-    :param partners: returns the VMs whose room is known here, in any region; none
-        where this VM carries no requests. 168 of 195 VMs carry none, and would each
-        open twelve connections every eight seconds to those that do.
+    :param pool: the connection pool for other VMs.
+    :param partners: returns the VMs of any region that may get forwarded requests; an
+        empty list while this VM has no clients.
     :param region: the region of this VM.
-    :param port: the port on which VMs take forwarded requests.
+    :param port: the port on which VMs accept forwarded requests.
     """
 
     def __init__(self, pool, partners, region, port, clock):
@@ -34,7 +32,7 @@
         self._clock = clock
 
     async def run(self):
-        """Open what is missing until cancelled."""
+        """Open missing connections until cancelled."""
         while True:
             far = [each for each in self._partners() if each.region != self._region]
             if far:
@@ -54,6 +52,6 @@
             checkout = self._pool.checkout(ip, self._port, fresh=True)
             stream = await before(deadline, self._clock, checkout)
         except (OSError, TimeoutError):
-            # A VM that cannot be reached falls silent, and that is logged.
+            # The failure detector reports unreachable VMs.
             return
         await self._pool.keep_new(ip, self._port, stream)
