--- a/src/heathercleat/steering/process/bodies.py
+++ b/src/heathercleat/steering/process/bodies.py
@@ -1,14 +1,14 @@
-"""A bound on the memory for request bodies, which are held whole."""
+"""A limit on the memory for buffered request bodies."""
 
-#: Part of the process's memory that bodies may take: what is left covers as many
-#: bytes again in sockets, and 40 MB for the program.
+#: Fraction of the process memory for bodies; the rest is for socket buffers and the
+#: program.
 SHARE = 0.25
 
 
 class BodyMemory:
-    """Bytes held for the bodies of requests under way.
+    """Memory reserved for the bodies of requests in progress.
 
-    :param memory: bytes that the process may use.
+    :param memory: memory limit of the process, in bytes.
     """
 
     __slots__ = ("_limit", "_held")
@@ -19,16 +19,16 @@
 
     @property
     def held(self):
-        """Return the bytes held now."""
+        """Return the reserved bytes."""
         return self._held
 
     def take(self, size):
-        """Hold ``size`` bytes more; return whether there is room for them."""
+        """Reserve ``size`` bytes; return ``False`` if the limit would be exceeded."""
         if self._held + size > self._limit:
             return False
         self._held += size
         return True
 
     def give(self, size):
-        """Hold ``size`` bytes less."""
+        """Release ``size`` reserved bytes."""
         self._held -= size
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -1,30 +1,29 @@
-"""Look-ups of clients: which VMs to send requests to."""
+"""Client lookups: the addresses of the VMs that clients send requests to."""
 
 from collections import Counter
 from math import ceil
 from random import sample
 
-#: VMs named for a client at most; of more, each look-up names others.
+#: Maximum addresses in a lookup result; a random sample if there are more VMs.
 MOST_ADDRESSES = 64
-#: Seconds for which clients may keep an answer: a VM that leaves goes on serving for
-#: longer, and a client asks rarely enough for it to cost under 1% of a core.
+#: Seconds for which clients may cache a lookup; shorter than a leaving VM keeps its
+#: client connections.
 LOOKUP_TTL = 2.0
-#: The same for answers of a VM that leaves or has just started: others may leave or
-#: start with it, of which it hears later than a VM that stays.
+#: The same for lookups at a VM that is leaving or has just started: other VMs often do
+#: so at the same time, and it learns of them late.
 SHORT_TTL = 0.5
-#: Seconds after the start of a process in which it has just started: a fleet that was
-#: stopped at once is back within them.
+#: Seconds after the start for which the short TTL is used; a whole fleet restarts
+#: within this time.
 START_SECONDS = 5.0
-#: VMs of the client's own failure domain from which those of the rest of its region
-#: may be left out.
+#: Minimum VMs in the client's failure domain for leaving out the rest of its region.
 ENOUGH = 2
-#: Times its even share of a region's clients that a VM is named for at most, so that
-#: the first VMs back in a failure domain do not get all of its clients.
+#: Maximum share of a region's clients for one VM, as a multiple of an even share, so
+#: that the first restarted VMs of a failure domain do not get all of its clients.
 MOST_OVER_SHARE = 2.0
 
 
 class Lookup:
-    """An answer: addresses as text, and the seconds for which it may be kept."""
+    """A lookup result: addresses as ``host:port``, and the TTL in seconds."""
 
     __slots__ = ("addresses", "ttl")
 
@@ -34,12 +33,12 @@
 
 
 class Directory:
-    """Answers look-ups.
+    """Selects the VMs for client lookups.
 
-    :param members: the live VMs.
+    :param members: the :class:`Members`.
     :param regions: the region of each failure domain.
-    :param port: the port on which every VM takes requests.
-    :param longest_ttl: the longest time in seconds for which an answer may be kept.
+    :param port: the port on which every VM accepts client requests.
+    :param longest_ttl: maximum TTL of a lookup, in seconds.
     """
 
     def __init__(self, members, regions, port, longest_ttl, clock):
@@ -53,8 +52,8 @@
     def lookup(self, region, failure_domain):
         """Return the :class:`Lookup` for a client of a region and failure domain.
 
-        VMs that leave are named where no VM serves: they still run requests, and a
-        client that is told of none takes the look-up for failed and tries it at others.
+        Leaving VMs are listed if no VM is serving: they still accept requests, and
+        clients treat an empty result as a failed lookup.
         """
         active = self._members.active()
         named = active or self._members.leaving()
@@ -72,13 +71,13 @@
         return LOOKUP_TTL if stays else SHORT_TTL
 
     def _choose(self, here, near, domains):
-        """Return the VMs to name, those of the client's failure domain first.
+        """Return the VMs to list, those of the client's failure domain first.
 
-        The rest of the region is named as far as it takes to keep the load of each VM
-        within bounds, if each failure domain has as many clients.
+        Other VMs of the region are added as needed to keep each VM's load within
+        :data:`MOST_OVER_SHARE`, assuming equally many clients in each failure domain.
 
         :param here: the VMs of the client's failure domain.
-        :param near: those of its region.
+        :param near: the VMs of its region.
         :param domains: the number of failure domains of the region.
         """
         if len(here) < ENOUGH:
--- a/src/heathercleat/steering/process/leavers.py
+++ b/src/heathercleat/steering/process/leavers.py
@@ -1,35 +1,33 @@
-"""Notices callers that close their connection while their request is under way."""
+"""Requests in progress, watched for callers that disconnect."""
 
 from contextlib import contextmanager
 
 from curio import sleep
 
-#: Seconds between two looks: a target works on for a fifth of half a second at most.
-#: One task looks at all requests, in place of a task for each.
+#: Seconds between two checks; one task checks all requests.
 INTERVAL = 0.08
-#: The same while no request is under way: one that begins meanwhile is looked at after
-#: this time at the latest, half of the time in which its end has to reach the target.
+#: The same while no request is in progress.
 IDLE_INTERVAL = 0.25
 
 
 class Leavers:
-    """The requests under way, each with the stream of its caller."""
+    """The requests in progress, each with the stream of its caller."""
 
     def __init__(self):
         self._calls = set()
 
     @property
     def count(self):
-        """Return the number of requests under way."""
+        """Return the number of requests in progress."""
         return len(self._calls)
 
     def calls(self):
-        """Return the requests under way."""
+        """Return the requests in progress."""
         return list(self._calls)
 
     @contextmanager
     def watch(self, call):
-        """Watch a call's stream for the time of the block."""
+        """Register a call for the duration of the block."""
         self._calls.add(call)
         try:
             yield
@@ -37,7 +35,7 @@
             self._calls.discard(call)
 
     async def run(self):
-        """Look at every stream until cancelled."""
+        """Check all streams until cancelled; interrupt calls with a closed one."""
         while True:
             for call in list(self._calls):
                 if not call.left and call.stream.is_closed():
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -1,4 +1,4 @@
-"""The listeners of a VM, and the connections that they accepted."""
+"""The listeners of a VM and the client connections that they accepted."""
 
 import h11
 from curio import tcp_server
@@ -9,20 +9,20 @@
 from heathercleat.steering.connection.client import ClientConnection
 from heathercleat.steering.connection.forwarded import ForwardedConnection
 
-#: Connections that may wait to be accepted: all clients of a VM that failed at once.
+#: Listen backlog, large enough for all clients of a failed VM reconnecting at once.
 BACKLOG = 1024
 MAX_ENTRY_BYTES = 1 << 16
 
 
 class Listeners:
-    """Accepts clients, other VMs, the platform's checks and readers of metrics.
+    """Accepts clients, other VMs, readiness checks, lookups and metrics scrapes.
 
-    :param node: the process, as clients' connections use it.
-    :param local: tries requests at own targets.
+    :param node: the :class:`SteeringNode` that client connections use.
+    :param local: the :class:`LocalTry` for requests forwarded by other VMs.
     :param snapshot: returns the :class:`Snapshot` of a followed table.
-    :param directory: answers look-ups.
-    :param metrics: renders the page of metrics.
-    :param metrics_port: its port, or ``None``.
+    :param directory: the :class:`Directory` for lookups.
+    :param metrics: the :class:`SteeringMetrics`.
+    :param metrics_port: port of the metrics page, or ``None``.
     """
 
     def __init__(
@@ -51,35 +51,34 @@
 
     @property
     def busy(self):
-        """Return whether a client's request is under way or begins to arrive."""
+        """Return whether a client request is in progress or partially received."""
         return any(connection.busy for connection in self._clients)
 
     async def give_up_blocking(self):
-        """Give up the requests that keep ready answers from being sent."""
+        """Abort the requests that block ready responses on their connections."""
         for connection in list(self._clients):
             await connection.give_up_blocking()
 
     def close(self):
-        """Take no more requests; those under way go on.
+        """Accept no more client requests; those in progress continue.
 
-        A request that comes on an open connection between the last look at what is
-        under way and the end of the process would be passed on and cut.
+        A request accepted just before the process exits could not complete.
         """
         self._closing = True
         self.close_idle()
 
     def close_idle(self):
-        """End the connections of clients that have no request under way."""
+        """Close the client connections without a request in progress."""
         for connection in list(self._clients):
             connection.close_idle()
 
     async def start(self, group):
-        """Start to accept connections, with tasks in ``group``."""
+        """Start to accept connections, in tasks of ``group``."""
         for address, serve in self._places():
             await group.spawn(_listen, address, serve)
 
     def _places(self):
-        """Yield each address and what serves a connection there."""
+        """Yield each listening address and its connection handler."""
         settings = self._settings
         yield settings.front, self._serve_client
         yield settings.ready, self._serve_entry
@@ -106,7 +105,7 @@
         await self._guard(connection)
 
     async def _guard(self, connection):
-        """Serve a connection; an error in it is logged and ends it alone."""
+        """Serve a connection; log any error without affecting other connections."""
         try:
             await connection.serve()
         except Exception as error:  # noqa: BLE001
@@ -130,5 +129,5 @@
 
 
 async def _listen(address, serve):
-    """Accept connections at an address, a task each."""
+    """Accept connections at an address, with one task for each."""
     await tcp_server(address.host, address.port, serve, backlog=BACKLOG)
--- a/src/heathercleat/steering/process/membership/__init__.py
+++ b/src/heathercleat/steering/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs take part, as heard from their heartbeats."""
+"""Membership of the VMs: heartbeats, gossip and failure detection."""
--- a/src/heathercleat/steering/process/membership/beat.py
+++ b/src/heathercleat/steering/process/membership/beat.py
@@ -1,4 +1,4 @@
-"""The heartbeat on the wire."""
+"""The heartbeat message and its wire format."""
 
 import zlib
 
@@ -6,35 +6,34 @@
 
 from heathercleat.steering.process.membership.member import News
 
-#: Where the name and the stamp stand among the fields of news.
+#: Positions of the VM name and the stamp among the fields of :class:`News`.
 VM_FIELD = News.__slots__.index("vm")
 STAMP_FIELD = News.__slots__.index("stamp")
 
-#: Level of compression of news, most of which are names: 48 pieces shrink from 3.2 to
-#: 1.1 KB in 0.09 ms (with made-up names).
+#: Compression level of the news; the fastest one.
 _FAST = 1
-#: Bytes of news at most; far more than a datagram holds, and little memory.
+#: Maximum bytes of decompressed news.
 _MOST_NEWS_BYTES = 1 << 16
 
 
 class Beat:
-    """A heartbeat.
+    """A heartbeat; the order of the slots is the wire format.
 
-    :param own: what the VM tells of itself, a :class:`News`.
-    :param interval: seconds until the next one.
+    :param own: the sender's :class:`News` about itself.
+    :param interval: seconds until the sender's next heartbeat.
     :param operator_version: version of the last change to the operators' table.
-    :param target_version: version of the last change to the targets that mattered.
-    :param store_answers: whether the store answers the VM's calls; not so either where
-        the VM makes none.
+    :param target_version: version of the last significant change to the targets.
+    :param store_answers: whether the store answers the sender's calls; also ``False``
+        if it makes none.
     :param digest: see :attr:`Members.digest`.
-    :param news: the fields of each :class:`News` that is passed on.
-    :param rooms: see :meth:`RoomView.report`; ``None`` in a beat without reports.
+    :param news: the fields of each :class:`News` that the sender passes on.
+    :param rooms: see :meth:`RoomView.report`; ``None`` without reports.
     :param waits: see :meth:`RoomView.report`.
     :param losses: see :meth:`RoomView.report`.
     :param held: see :meth:`HeldSlots.report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
-    :param suspects: the fields of each :class:`SuspectNews` that is told; none to VMs
-        that know the same.
+    :param suspects: the fields of each :class:`SuspectNews`; empty if the receiver has
+        the same digest.
     """
 
     __slots__ = (
@@ -58,31 +57,32 @@
             setattr(self, name, value)
 
     def without_reports(self):
-        """Drop the reports, which only VMs that carry requests use; return the beat."""
+        """Remove the reports, for VMs that handle no requests; return ``self``."""
         self.rooms = self.waits = self.losses = self.held = None
         return self
 
     def without_news(self):
-        """Drop the news, which only partners are told; return the beat."""
+        """Remove the news, for VMs that are no gossip partners; return ``self``."""
         self.news = []
         return self
 
     @property
     def has_reports(self):
-        """Return whether it tells of rooms, waits, losses and held slots."""
+        """Return whether it has rooms, waits, losses and held slots."""
         return self.rooms is not None
 
     def pack(self):
-        """Return the bytes on the wire."""
+        """Return the encoded heartbeat."""
         fields = {name: getattr(self, name) for name in self.__slots__[1:]}
         fields["news"] = _pack_news(self.news)
         return msgpack.packb([self.own.fields(), *fields.values()])
 
     @classmethod
     def of(cls, fields):
-        """Return the heartbeat of the fields on the wire.
+        """Return the heartbeat with the decoded fields.
 
-        :raises TypeError: when they are not those of a heartbeat, as ValueError.
+        :raises TypeError: when the fields are malformed.
+        :raises ValueError: when the fields are malformed.
         """
         own, *rest = fields
         beat = cls(News(*own), *rest)
@@ -90,11 +90,11 @@
         return beat
 
     def told(self, is_news=lambda vm, stamp: True):
-        """Yield each :class:`News` that is passed on.
+        """Yield each :class:`News` that the sender passes on.
 
-        :param is_news: returns whether that of a VM with a stamp is wanted. Of ten
-            pieces nine are known: a VM hears each from all its partners.
-        :raises ValueError: when one of them has other fields.
+        :param is_news: called with a VM and a stamp; returns whether the receiver wants
+            that item. Most items are duplicates, and are not decoded.
+        :raises ValueError: when an item has a wrong number of fields.
         """
         for fields in self.news:
             if len(fields) != len(News.__slots__):
@@ -104,14 +104,14 @@
 
 
 def _pack_news(news):
-    """Return the fields of news as bytes, ``None`` for none."""
+    """Return the compressed news, or ``None`` if there are none."""
     return zlib.compress(msgpack.packb(news), _FAST) if news else None
 
 
 def _unpack_news(packed):
-    """Return the fields of news.
+    """Return the decompressed news.
 
-    :raises ValueError: when they do not decode.
+    :raises ValueError: when the data is malformed.
     """
     if packed is None:
         return []
--- a/src/heathercleat/steering/process/membership/composer.py
+++ b/src/heathercleat/steering/process/membership/composer.py
@@ -1,4 +1,4 @@
-"""What a VM tells of itself and its targets in heartbeats."""
+"""Assembly of a VM's heartbeats."""
 
 from math import ceil
 
@@ -7,13 +7,13 @@
 
 
 class BeatComposer:
-    """Composes heartbeats from the beliefs of this VM.
+    """Builds heartbeats from the current state of this VM.
 
-    :param members: the known VMs.
-    :param tables: the followed tables of the store.
-    :param ledger: the owned targets.
-    :param admission: the waits at their slots.
-    :param pressure: what this VM's clients lose.
+    :param members: the :class:`Members`.
+    :param tables: the :class:`Tables`.
+    :param ledger: the :class:`SlotLedger` of the owned targets.
+    :param admission: the :class:`Admission` with the queues for their slots.
+    :param pressure: the :class:`Pressure` with the losses of this VM's clients.
     :param suspects: the :class:`Suspects`.
     :param services: returns the names of all services.
     """
@@ -39,9 +39,9 @@
         self._clock = clock
 
     def compose(self, interval):
-        """Return a new :class:`Beat`, which tells of no suspects yet.
+        """Return a new :class:`Beat`, with an empty list of suspects.
 
-        :param interval: seconds until the next one.
+        :param interval: seconds until the next heartbeat.
         """
         members, tables = self._members, self._tables
         members.set_store_lost(tables.store_lost)
@@ -62,16 +62,17 @@
         )
 
     def _rooms(self):
-        """Yield the fields of each owned target."""
+        """Yield the id, free capacity, limit and used slots of each owned target."""
         now = self._clock.now()
         for target in self._ledger.all():
             room = self._admission.room(target, now)
             yield [target.entry.id, room, target.limit(now), len(target.uses)]
 
     def _held(self):
-        """Yield the fields of each target with requests from here that others own.
+        """Yield the slots in use here at targets that other VMs own now.
 
-        The time that is left is rounded up.
+        The fields are the target id, the number of slots and the seconds until they
+        are free at the latest, rounded up.
         """
         now = self._clock.now()
         for target_id, _, count, ends_by in self._ledger.handed_over():
@@ -87,6 +88,6 @@
                 yield [service, round(waits.early, 3), round(waits.late, 3)]
 
     def _losses(self):
-        """Yield the part of their worth that clients lose, for each service."""
+        """Yield the fraction of their value that clients lose, for each service."""
         for service in self._services():
             yield [service, round(self._pressure.lost(service), 3)]
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats between VMs over UDP: who lives, with what versions and what room."""
+"""Gossip between VMs: heartbeats over UDP with liveness, versions and capacity."""
 
 from random import sample
 from typing import NamedTuple
@@ -14,56 +14,49 @@
 from heathercleat.steering.process.membership.member import Stage
 from heathercleat.steering.process.quarantine.suspect import SuspectNews
 
-#: Seconds between two heartbeats: room reports are stale for half of it on average,
-#: a third of a request of 0.25 s at a target; packing one takes 4 us, taking it 6 us.
+#: Seconds between two heartbeats; bounds the age of the capacity reports.
 INTERVAL = 0.15
-#: Rounds after which VMs of other regions get a heartbeat: bytes between regions are
-#: dear, and a far home is waited for rather than chosen by its free slots. On a quiet
-#: day prices took 9.3% of what callers are owed in place of 10.7% (one run each).
+#: Rounds between two heartbeats to a VM of another region, where traffic is expensive.
 FAR_ROUNDS = 2
-#: Seconds between two heartbeats to or from a VM that carries no requests: it only has
-#: to learn of changes, and to be known when it is needed.
+#: Seconds between two heartbeats to or from a VM that handles no requests.
 IDLE_INTERVAL = 0.9
-#: Heartbeats that a VM sends in a second, about, at most: 1% of a core.
+#: Approximate maximum rate of heartbeats that a VM sends, to bound its CPU use.
 MOST_PER_SECOND = 120
-#: Seconds for which a VM that sends heartbeats here is answered.
+#: Seconds for which a VM that asked for heartbeats gets them.
 ANSWER_SECONDS = 2.0
-#: VMs that are not known to live which get a heartbeat with each round to all, and as
-#: many that only others hear, in this region and outside of it: after a cut that has
-#: ended, each of 100 VMs tries eight. Bytes between regions are dear, and one VM that
-#: hears of another region tells its own.
+#: VMs not known to be live that are probed in each full round, in this region and in
+#: others; the same number of VMs that are live only according to others. Few in other
+#: regions, where traffic is expensive and one contact suffices.
 NEAR_TRIED = 6
 FAR_TRIED = 2
-#: Seconds after the start in which a VM sends heartbeats to all at the usual rate:
-#: without it, VMs that were started together found each other after 0.9 s.
+#: Seconds after the start during which every round is a full one, so that VMs that
+#: start together discover each other quickly.
 START_SECONDS = 2.0
-#: Seconds between two of these in a large fleet, where each tells much that is new: 195
-#: VMs that start together agree as soon as with 0.15 s, after 4.5 s, with a fifth fewer
-#: bytes between regions (simulated, one run each).
+#: Seconds between these rounds in a large fleet, where each heartbeat has many news.
 START_INTERVAL = 0.45
-#: VMs that were not heard yet which a starting VM greets with one round.
+#: Maximum unseen VMs that a starting VM contacts in one round.
 MOST_GREETED = 300
-#: Seconds after the stop signal in which a VM tells all at the usual rate that it
-#: leaves: a lost datagram must not keep it in the look-ups of others.
+#: Seconds after the stop signal during which every round is a full one, so that a lost
+#: datagram does not keep this VM in the lookups of others.
 LEAVE_SECONDS = 0.4
 MAX_DATAGRAM = 8192
-#: VMs of which is told again at once where partners believe otherwise, and looks (0.9 s
-#: apart) that find so before that while news still comes.
+#: VMs whose news is sent again at once when the views of partners differ.
 REPAIRED_AT_ONCE = 24
+#: Full rounds with a difference before that, while news still arrives.
 LOOKS_BEFORE_REPAIR = 4
 _TRIP_WEIGHT = 0.2
-#: Round trip in seconds that is assumed before one is measured.
+#: Round trip in seconds that is assumed before the first measurement.
 FIRST_TRIP = 0.01
 
 
 class BeatKind(NamedTuple):
-    """What VMs get the same heartbeat.
+    """What distinguishes heartbeats; receivers of one kind get the same datagram.
 
     :param full: whether it has reports.
-    :param interval: seconds until the next one.
-    :param is_partner: whether it is for partners.
-    :param tells_suspects: whether it is for partners that know other suspects: what was
-        lost on its way is told again until both know the same.
+    :param interval: seconds until the next heartbeat.
+    :param is_partner: whether the receivers are gossip partners, which get news.
+    :param tells_suspects: whether the receivers are partners whose suspects differ;
+        they get all suspects until the digests match.
     """
 
     full: bool
@@ -76,16 +69,17 @@
 
 
 class Gossip:
-    """Sends and takes heartbeats.
+    """Sends and receives heartbeats.
 
     :param settings: the :class:`NodeSettings`.
-    :param compose: returns a new :class:`Beat` to send, for an interval.
-    :param rooms: the :class:`RoomView` that takes reports.
-    :param held: the :class:`HeldSlots` that take them.
+    :param members: the :class:`Members`.
+    :param rooms: the :class:`RoomView` for received capacity reports.
+    :param held: the :class:`HeldSlots` for received reports of slots in use.
     :param heirs: returns the names of the VMs that own targets with requests from here.
-    :param successors: returns the names of the VMs that took targets over from this one
-        since its last call.
+    :param successors: returns the names of the VMs that became owners of this VM's
+        targets since the last call.
     :param suspects: the :class:`Suspects`.
+    :param compose: returns a new :class:`Beat` for an interval.
     :param on_beat: a coroutine function that is called after each heartbeat.
     """
 
@@ -129,7 +123,10 @@
         self._notified_stage = members.own.stage
 
     def trip(self, vm):
-        """Return the round trip to a VM in seconds, or the usual one to its region."""
+        """Return the average round trip to a VM in seconds.
+
+        Falls back to the average of its region, then to :data:`FIRST_TRIP`.
+        """
         trip = self._trips.get(vm)
         if trip is not None:
             return trip
@@ -138,20 +135,20 @@
         return self._region_trips.get(region, FIRST_TRIP)
 
     def partners(self):
-        """Return the VMs that carry requests and send their reports here.
+        """Return the active VMs that send their reports here.
 
-        None where this VM carries none itself.
+        An empty list if this VM itself is not active.
         """
         active = self._members.active()
         return self._regular(active) if self._members.own in active else []
 
     async def open(self):
-        """Bind the socket."""
+        """Bind the UDP socket."""
         self._sock = curio_socket.socket(curio_socket.AF_INET, curio_socket.SOCK_DGRAM)
         self._sock.bind((self._settings.ip, self._settings.gossip_port))
 
     async def listen(self):
-        """Take heartbeats until cancelled."""
+        """Receive heartbeats until cancelled."""
         while True:
             data, address = await self._sock.recvfrom(MAX_DATAGRAM)
             try:
@@ -164,12 +161,11 @@
             await self._on_beat()
 
     def take(self, data):
-        """Take one datagram; return the :class:`Member` if its process was not live.
+        """Process one datagram; return the :class:`Member` if its process is new here.
 
-        The one before it may still be taken for live: a VM that is stopped and started
-        again knows nobody all the same.
+        A restarted VM is new even if its previous process still counts as live.
 
-        :raises ValueError: when it does not decode, as do the other errors of msgpack.
+        :raises ValueError: when the datagram is malformed; msgpack errors too.
         """
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
@@ -201,7 +197,7 @@
             await sleep(await self.round())
 
     async def round(self):
-        """Send the heartbeats that are due, and return the seconds to the next ones."""
+        """Send the heartbeats that are due; return the seconds until the next round."""
         self._members.check()
         now = self._clock.now()
         to_all = now >= self._idle_at or self._is_starting() or self._is_leaving()
@@ -213,24 +209,25 @@
         return self._interval()
 
     async def leave(self):
-        """Tell all that this VM leaves, at once and with the next rounds."""
+        """Announce the shutdown to all VMs, now and in the next rounds."""
         self._leaving_until = self._clock.now() + LEAVE_SECONDS
         await self.send()
 
     async def send(self, to_all=True):
-        """Send one heartbeat to the VMs that carry requests.
+        """Send one heartbeat to the VMs that handle requests.
 
-        :param to_all: send it to every known VM and seed.
+        :param to_all: also send it to other known VMs and to unknown seeds.
         """
         await self._send_all(self._receivers(to_all))
         for seed in self._unknown_seeds() if to_all else ():
             await self._send_to(seed, self._pack(_KIND_FOR_SEEDS), None)
 
     async def notify(self):
-        """Send what some VMs need sooner than with the next heartbeat.
+        """Send heartbeats that cannot wait for the next round.
 
-        All of the failure domain work its owners out anew when this VM's stage changes,
-        and should do so together; a new owner has to know which slots are taken.
+        When this VM's stage changes, the VMs of its failure domain recompute the target
+        owners and should do so at the same time. New owners of this VM's targets need
+        the number of slots still in use.
         """
         live = self._members.live_others()
         notified = self._successors()
@@ -242,11 +239,10 @@
         await self._send_all(each for each in live if each.vm in notified)
 
     async def _send_all(self, members):
-        """Send a heartbeat to some members, composed once for all that get the same.
+        """Send a heartbeat to some members, encoded once per :class:`BeatKind`.
 
-        It has reports where both VMs carry requests, or the other one is about to. Only
-        partners are told news: it passes from VM to VM, and told to all it would fill
-        the links of the weaker ones.
+        It has reports if both VMs handle requests, or the receiver is about to. Only
+        partners get news, to limit the traffic of weaker VMs; partners pass it on.
         """
         traffic, usual = self._members.traffic(), self._interval()
         packed = {}
@@ -259,7 +255,7 @@
     def _kind(self, member, traffic, usual):
         """Return the :class:`BeatKind` of the heartbeat to a VM.
 
-        :param usual: seconds between two heartbeats to VMs that carry requests.
+        :param usual: seconds between two heartbeats to VMs that handle requests.
         """
         takes_part = member in traffic or member.stage == Stage.STARTING
         full = self._members.own in traffic and takes_part
@@ -271,7 +267,7 @@
         return BeatKind(full, interval, is_partner, is_partner and differs)
 
     def _pack(self, kind):
-        """Return the bytes of a heartbeat of a :class:`BeatKind`."""
+        """Return an encoded heartbeat of a :class:`BeatKind`."""
         beat = self._compose(kind.interval)
         if not kind.full:
             beat = beat.without_reports()
@@ -282,10 +278,10 @@
         return beat.pack()
 
     def _is_far(self, member):
-        """Return whether a VM of another region gets fewer heartbeats.
+        """Return whether a VM gets fewer heartbeats because of its region.
 
-        In a large fleet few cross regions, and what they tell is for many: with half as
-        many, the loss of a region was known 0.5 s later (60 VMs, simulated).
+        Not in a large fleet, where few heartbeats cross regions and a lost region would
+        be detected too late.
         """
         if not self._members.topology.is_mesh:
             return False
@@ -300,10 +296,10 @@
             self._journal.write(Event.PEER_REJECTED, peer=vm, reason=repr(error))
 
     def _repair(self):
-        """Tell of some VMs again while partners believe otherwise than this VM.
+        """Send news of some VMs again if the views of partners differ.
 
-        News travels in datagrams, which may be lost. While it is on its way views
-        differ in any case: that is waited for, but not for ever.
+        Datagrams with news may be lost. While news is still spreading, views differ
+        anyway, so the repair is delayed for a few rounds.
         """
         members = self._members
         if members.topology.is_mesh:
@@ -325,12 +321,12 @@
             members.rumours.add(vm)
 
     def _interval(self):
-        """Return the seconds between two heartbeats to VMs that carry requests."""
+        """Return the seconds between two heartbeats to VMs that handle requests."""
         traffic = self._members.traffic()
         if self._is_starting():
             unheard = sum(each.heard_at is None for each in self._members.others())
             least = INTERVAL if self._members.topology.is_mesh else START_INTERVAL
-            # Others take a VM that is silent for longer for dead.
+            # Other VMs consider this one dead after a longer silence.
             return max(least, min(unheard / MOST_PER_SECOND, IDLE_INTERVAL))
         if self._members.own not in traffic and not self._is_leaving():
             return IDLE_INTERVAL
@@ -343,7 +339,7 @@
         return self._clock.now() < self._leaving_until
 
     def _regular(self, members):
-        """Return those of some VMs that get each heartbeat."""
+        """Return those of some VMs that get a heartbeat in each round."""
         topology = self._members.topology
         others = [each for each in members if each is not self._members.own]
         if topology.is_mesh:
@@ -351,28 +347,31 @@
         return [each for each in others if self._is_partner(each)]
 
     def _is_partner(self, member):
-        """Return whether a VM was picked here, or picked this one."""
+        """Return whether a VM is a gossip partner.
+
+        It is one if this VM picked it, or if it recently asked for heartbeats.
+        """
         if member.vm in self._members.topology.picks:
             return True
         return self._answer_until.get(member.vm, 0.0) > self._clock.now()
 
     def _is_passing(self, member):
-        """Return whether a VM that starts or leaves gets each heartbeat.
+        """Return whether a VM is starting or leaving and gets every heartbeat.
 
-        It answers look-ups as well: it has to hear of others that leave with it. In a
-        small fleet those tell it themselves.
+        It answers lookups too, and has to learn of VMs that leave at the same time. In
+        a small fleet those VMs notify it directly.
         """
         if member.serving or self._members.topology.is_mesh:
             return False
         return self._is_partner(member)
 
     def _asks(self, vm):
-        """Return whether a VM that gets a heartbeat has to answer it."""
+        """Return whether a heartbeat asks its receiver to send heartbeats back."""
         members, topology = self._members, self._members.topology
         return topology.is_mesh or vm in topology.picks or members.live(vm) is None
 
     def _receivers(self, to_all):
-        """Return the VMs to send to."""
+        """Return the receivers of a round, without duplicates."""
         receivers = self._regular(self._members.traffic())
         if to_all:
             receivers = [*receivers, *self._rare(receivers)]
@@ -382,22 +381,22 @@
         return list(dict.fromkeys([*receivers, *more]))
 
     def _passing(self):
-        """Return the VMs that start or leave and get each heartbeat."""
+        """Return the starting and leaving VMs that get every heartbeat."""
         return [each for each in self._members.live_others() if self._is_passing(each)]
 
     def _live_heirs(self):
-        """Return the VMs that have to know how many slots are taken from here."""
+        """Return the live owners of targets with requests from this VM."""
         live = map(self._members.live, self._heirs())
         return [each for each in live if each is not None]
 
     def _unknown_seeds(self):
-        """Return the IP numbers in the settings that belong to no known VM."""
+        """Return the seeds in the settings that belong to no known VM."""
         known = {each.ip for each in self._members.others()}
         known.add(self._settings.ip)
         return [seed for seed in self._settings.seeds if seed not in known]
 
     def _rare(self, regular):
-        """Return the other VMs that get a heartbeat now and then."""
+        """Return further VMs that get a heartbeat in a full round."""
         members, own = self._members, self._members.own
         rest = [each for each in members.others() if each not in regular]
         if members.topology.is_mesh:
@@ -412,20 +411,23 @@
         partners = [each for each in rest if self._is_partner(each)]
         silent = [each for each in rest if members.live(each.vm) is None]
         if self._is_starting():
-            # It may have heard many before it could greet the first.
+            # It may have received many heartbeats before it could send the first.
             return [*partners, *_some_unheard(silent)]
         told_live = [each for each in silent if each.told_live]
         return [*partners, *self._some(told_live), *self._some(silent)]
 
     def _some(self, members):
-        """Return a few members, others each time."""
+        """Return a small random sample of members."""
         near = [each for each in members if each.region == self._settings.region]
         far = [each for each in members if each.region != self._settings.region]
         yield from sample(near, min(NEAR_TRIED, len(near)))
         yield from sample(far, min(FAR_TRIED, len(far)))
 
     def _echo(self, vm):
-        """Return the peer's last sending instant and how long ago it arrived."""
+        """Return the send time of a VM's last heartbeat and the seconds since then.
+
+        The peer derives the round trip from both; ``None`` for an unknown VM.
+        """
         sent_at, arrived_at = self._echoes.get(vm, (None, None))
         if sent_at is None:
             return None, None
@@ -444,6 +446,6 @@
 
 
 def _some_unheard(members):
-    """Return those of some members to greet that were not heard yet."""
+    """Return a sample of the members that sent no heartbeat yet."""
     unheard = [each for each in members if each.heard_at is None]
     return sample(unheard, min(MOST_GREETED, len(unheard)))
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -1,22 +1,22 @@
-"""One VM, as another one knows it."""
+"""The state of one VM, as seen by another."""
 
 from enum import IntEnum
 
-#: Seconds of silence after which a VM is taken as dead: seven heartbeats, so that a few
-#: lost datagrams (2.5% on a bad link) or a short stall do not count as a death.
+#: Seconds without a heartbeat after which a VM is considered dead. Several intervals,
+#: to tolerate lost datagrams and short stalls.
 SILENCE = 1.1
-#: Heartbeats that may be lost in a row, where they come rarely.
+#: The same in intervals, for VMs that send heartbeats rarely.
 LOST_BEATS = 4
 
 
 class Stage(IntEnum):
-    """What a VM does; the numbers go over the wire.
+    """Lifecycle stage of a VM; the numbers are part of the wire format.
 
-    :cvar STARTING: it does not know its tables yet, and takes no clients.
-    :cvar SERVING: it takes clients, and owns targets if it is strong enough.
-    :cvar LEAVING: it has been told to stop and goes on with the clients that it has; it
-        owns targets where no VM serves.
-    :cvar FINISHING: it has been told to stop and owns no targets.
+    :cvar STARTING: has not loaded its tables and accepts no clients.
+    :cvar SERVING: accepts clients, and owns targets if it is strong enough.
+    :cvar LEAVING: is shutting down and serves its remaining clients; owns targets only
+        if no VM is serving.
+    :cvar FINISHING: is shutting down and owns no targets.
     """
 
     STARTING = 0
@@ -26,22 +26,24 @@
 
 
 class Member:
-    """What is known of one VM.
+    """What this VM knows of one VM.
 
-    :param incarnation: differs between two processes of the same VM.
-    :param stamp: orders what is told of the VM; the highest one is believed.
-    :param told_live: whether the VM lives, by what is told with that stamp.
-    :param dead_at: instant at which what is told of its death is believed, or ``None``.
+    :param incarnation: identifies the process; a restarted VM has a higher one.
+    :param stamp: version of the news of the VM; the highest one wins.
+    :param told_live: whether the news with that stamp reports the VM as live.
+    :param dead_at: instant from which a reported death is accepted, or ``None``.
     :param stage: its :class:`Stage`.
-    :param stops_since: instant at which this VM learned that it stops, or ``None``.
-    :param heard_at: instant of its last heartbeat to this VM.
-    :param unreachable_until: instant until which it is left out since it fell silent
-        here, or ``None``.
-    :param lost_at: instant at which it was dropped from the live VMs, or ``None``.
+    :param stops_since: instant at which this VM learned of the shutdown, or ``None``.
+    :param heard_at: instant of its last heartbeat to this VM, or ``None``.
+    :param unreachable_until: instant until which it is ignored because its heartbeats
+        to this VM stopped, or ``None``.
+    :param lost_at: instant at which it was removed from the live VMs, or ``None``.
+    :param interval: seconds between its heartbeats.
     :param store_answers: whether the store answers its calls.
-    :param digest: what its last heartbeat told of its view; see
-        :attr:`Members.digest`.
-    :param suspects_digest: the same of :attr:`Suspects.digest`.
+    :param store_lost: whether its calls to the store fail.
+    :param strength: its capacity; see :attr:`NodeSettings.strength`.
+    :param digest: :attr:`Members.digest` in its last heartbeat.
+    :param suspects_digest: :attr:`Suspects.digest` in its last heartbeat.
     """
 
     __slots__ = (
@@ -93,21 +95,21 @@
 
     @property
     def serving(self):
-        """Return whether the VM takes clients and may own targets."""
+        """Return whether the VM accepts clients and may own targets."""
         return self.stage == Stage.SERVING
 
     @property
     def stops(self):
-        """Return whether the VM has been told to stop."""
+        """Return whether the VM is shutting down."""
         return self.stage >= Stage.LEAVING
 
     @property
     def patience(self):
-        """Return the seconds of silence after which the VM is taken as dead."""
+        """Return the seconds without a heartbeat until the VM is considered dead."""
         return max(SILENCE, LOST_BEATS * self.interval)
 
     def enter(self, stage, now):
-        """Note what the VM does from now on."""
+        """Set the stage of the VM."""
         self.stage = stage
         if not self.stops:
             self.stops_since = None
@@ -115,16 +117,19 @@
             self.stops_since = now
 
     def is_heard(self, now):
-        """Return whether the VM's own heartbeats show that it lives."""
+        """Return whether the VM's heartbeats to this VM are recent."""
         return self.heard_at is not None and now - self.heard_at <= self.patience
 
     def is_unreachable(self, now):
-        """Return whether the VM is left out since it fell silent here."""
+        """Return whether the VM is ignored because its heartbeats stopped."""
         return self.unreachable_until is not None and now < self.unreachable_until
 
 
 class News:
-    """What is told of a VM, by itself or by one that hears or misses it."""
+    """The state of a VM, reported by itself or by a VM that monitors it.
+
+    The order of the slots is the wire format.
+    """
 
     __slots__ = (
         "vm",
@@ -144,12 +149,12 @@
             setattr(self, name, value)
 
     def fields(self):
-        """Return the values in the order of the slots, for the wire."""
+        """Return the values in the order of the slots."""
         return [getattr(self, name) for name in self.__slots__]
 
 
 def news_of(member):
-    """Return the :class:`News` of a member, as this VM believes it."""
+    """Return the :class:`News` with the current state of a member."""
     return News(
         member.vm,
         member.ip,
--- a/src/heathercleat/steering/process/membership/rumours.py
+++ b/src/heathercleat/steering/process/membership/rumours.py
@@ -1,34 +1,33 @@
-"""Which news this VM still has to pass on."""
+"""News that this VM still has to pass on."""
 
-#: Heartbeats to one VM that tell a piece of news: two at least. A VM hears it from some
-#: 18 others, so that what is lost on the way does not matter. Told for 1.6 s, in ten
-#: heartbeats to each, one piece went out 4,860 times among 27 VMs (worked out).
+#: News is sent for this many heartbeat intervals, so at least twice to each partner.
+#: Lost datagrams do not matter, since every VM gets it from several partners.
 TELL_HEARTBEATS = 2.5
-#: Seconds between two heartbeats at most.
+#: Maximum seconds between two heartbeats.
 LONGEST_INTERVAL = 2.0
-#: Pieces of news in one heartbeat: 48 of 80 bytes leave room for reports in a datagram.
+#: Maximum news items in one heartbeat, to leave space for reports in the datagram.
 MOST_AT_ONCE = 48
 
 
 class Rumours:
-    """The names of the VMs of which there is something new to tell."""
+    """The names of the VMs with news to pass on."""
 
     __slots__ = ("_clock", "_since")
 
     def __init__(self, clock):
         self._clock = clock
-        # Instant since which each VM is told of, the earliest first.
+        # Instant at which each VM was added, earliest first.
         self._since = {}
 
     def add(self, vm):
-        """Begin to tell of a VM, or begin again."""
+        """Add a VM, or start again if it was added before."""
         self._since.pop(vm, None)
         self._since[vm] = self._clock.now()
 
     def current(self, interval):
-        """Return the names of the VMs to tell of, the latest news first.
+        """Return the names of the VMs to include in a heartbeat, latest first.
 
-        :param interval: seconds between two heartbeats to those that are told.
+        :param interval: seconds between two heartbeats to the receivers.
         """
         now = self._clock.now()
         self._drop_before(now - TELL_HEARTBEATS * LONGEST_INTERVAL)
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -1,8 +1,8 @@
-"""Which VMs send heartbeats to each other.
+"""Selection of the VMs that monitor each other by heartbeats.
 
-In a small fleet each VM that carries requests sends heartbeats to all others. In a
-large one each picks a fixed number of others, which answer it; what they do not hear
-directly VMs tell each other as news. So the cost for a VM does not grow with the fleet.
+In a small fleet, VMs that handle requests form a full mesh. In a large one, each VM
+picks a fixed number of others to exchange heartbeats with, and learns of the rest
+through news, so that the cost per VM does not grow with the fleet.
 """
 
 from heapq import nlargest
@@ -10,35 +10,29 @@
 from heathercleat.process.clock import NEVER
 from heathercleat.version.hashing import weight
 
-#: VMs that carry requests up to which all of them send heartbeats to each other: 18
-#: times the usual rate is 120 datagrams a second, 1% of a core.
+#: Maximum VMs that handle requests in a full mesh.
 MOST_IN_MESH = 18
-#: Live VMs, those that carry no requests included, up to which the same holds.
+#: Maximum live VMs in a full mesh, including those that handle no requests.
 MOST_LIVE_IN_MESH = 120
-#: VMs that one that carries requests picks in its own region and outside of it. Each is
-#: picked by as many on average, and answers those too: 18 heartbeats for each interval.
-#: That none of 300 VMs picks a given one has a chance of 1 in 8,000; it still picks its
-#: own.
+#: VMs that a VM with requests picks in its own region and in other regions. On average
+#: as many others pick it.
 NEAR_PICKS = 6
 FAR_PICKS = 3
-#: The same for a VM that carries no requests: it only has to learn of changes. 168 of
-#: 195 VMs are such, and with nine picks each they sent the 27 others as many heartbeats
-#: as these send each other.
+#: The same for a VM that handles no requests, which only has to learn of changes.
 IDLE_NEAR_PICKS = 3
 IDLE_FAR_PICKS = 1
-#: VMs of a failure domain that are picked as well once a picked one has fallen silent,
-#: and the seconds for which they are: all of a domain or region that is gone are found
-#: in two waves. Without it a cut region of 15 VMs was known after 8.5 s, with it after
-#: 3.5 s (60 VMs, simulated).
+#: Additional VMs of a failure domain that are picked after one of its VMs became
+#: silent, to detect quickly that a whole domain or region is lost.
 SUSPECTS = 30
+#: Seconds for which they stay picked.
 SUSPECT_SECONDS = 4.0
-#: Seconds for which VMs still tell news when their fleet has become small: two waves of
-#: VMs that fall silent.
+#: Seconds for which VMs still exchange news after the fleet became small enough for a
+#: full mesh.
 NEWS_SECONDS = 3.0
 
 
 class Topology:
-    """The VMs that this VM picks.
+    """The VMs that this VM picks to monitor.
 
     :param own: the :class:`Member` of this VM.
     """
@@ -53,42 +47,42 @@
 
     @property
     def is_mesh(self):
-        """Return whether all VMs that carry requests hear each other directly."""
+        """Return whether all VMs that handle requests exchange heartbeats."""
         return self._is_mesh
 
     @property
     def tells_news(self):
-        """Return whether VMs tell each other news.
+        """Return whether VMs exchange news.
 
-        Those of a fleet that has just become small still do, for a while: half of it
-        may be cut off and not be known to be.
+        They continue for a while after the fleet became small, since some lost VMs may
+        not be detected yet.
         """
         return not self._is_mesh or self._clock.now() < self._mesh_since + NEWS_SECONDS
 
     @property
     def picks(self):
-        """Return the names of the picked VMs, which are expected to answer."""
+        """Return the names of the picked VMs, which have to send heartbeats back."""
         return self._since.keys()
 
     def picked_at(self, vm):
-        """Return the instant at which a VM was picked, or ``None``."""
+        """Return the instant since which a VM is picked, or ``None`` if it is not."""
         return self._since.get(vm)
 
     def suspect(self, failure_domain):
-        """Pick more VMs of a failure domain, one of which fell silent."""
+        """Pick more VMs of a failure domain at the next update."""
         until = self._clock.now() + SUSPECT_SECONDS
         self._suspected_until[failure_domain] = until
 
     def is_outdated(self):
-        """Return whether a suspicion has ended since the last update."""
+        """Return whether a suspicion expired since the last update."""
         now = self._clock.now()
         return any(until <= now for until in self._suspected_until.values())
 
     def update(self, live, active):
-        """Pick anew after a change.
+        """Pick again after a membership change.
 
-        :param live: every live :class:`Member` but this VM.
-        :param active: those that carry requests; may hold this VM.
+        :param live: every live :class:`Member` except this VM.
+        :param active: the VMs that handle requests; may include this VM.
         """
         others = [each for each in active if each is not self._own]
         self._set_mesh(len(others) < MOST_IN_MESH and len(live) < MOST_LIVE_IN_MESH)
@@ -120,5 +114,5 @@
             yield from nlargest(SUSPECTS, suspects, key=self._weight)
 
     def _weight(self, member):
-        """Return the weight of a pair of VMs, the same for both of them."""
+        """Return a hash weight that is the same for both VMs of a pair."""
         return weight(*sorted((self._own.vm, member.vm)))
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -1,4 +1,4 @@
-"""The daemon of a VM that steers requests on the platform."""
+"""The steering process of a VM: wiring, main loops and shutdown."""
 
 from signal import SIGHUP, SIGINT, SIGTERM
 from time import time_ns
@@ -56,29 +56,30 @@
 from heathercleat.steering.version.routing import Limits
 from heathercleat.steering.version.split import Splitter
 
-#: Limits on clients before the first configuration is known.
+#: Limits on clients until the first configuration is loaded.
 FIRST_LIMITS = Limits(16 << 10, 64 << 20, 3.0, 15.0)
-#: Seconds for which an idle connection to a target or another VM is kept.
+#: Idle timeout of connections to targets and other VMs, in seconds.
 IDLE_SECONDS = 8.0
-#: Seconds between two looks at slots that come free and at targets that are given up by
-#: the passing of time; the other one is for slow targets and idle connections.
+#: Seconds between checks for freed slots and expired targets.
 UPKEEP_INTERVAL = 0.05
+#: Seconds between checks for slow targets, expired suspects and idle connections.
 JUDGE_INTERVAL = 0.5
-#: The same of a VM that owns no target and uses none without its entry: it has nothing
-#: that the passing of time ends but idle connections.
+#: Replaces ``UPKEEP_INTERVAL`` on a VM without owned or lapsing targets.
 IDLE_UPKEEP_INTERVAL = 0.25
 SUMMARY_INTERVAL = 5.0
-#: Seconds after which a loop that failed starts again.
+#: Seconds before a failed loop is restarted.
 RESTART_PAUSE = 0.05
-#: Seconds between two looks whether a leaving VM has finished its requests.
+#: Seconds between checks whether a leaving VM has finished its requests.
 LEAVING_INTERVAL = 0.05
 
 
 class SteeringNode:
-    """One VM: its parts, its listeners and its graceful shutdown.
+    """The steering process of one VM.
 
     :param settings: the :class:`NodeSettings`.
-    :param metrics_port: port for metrics, or ``None``.
+    :param metrics_port: port of the metrics page, or ``None``.
+    :param log_writer: counts dropped log lines; ``None`` if not known.
+    :param clock: a :class:`Clock`; the system clock by default.
     """
 
     def __init__(self, settings, metrics_port=None, log_writer=None, clock=None):
@@ -93,7 +94,7 @@
         self.repeats = RepeatDetector()
         self.leavers = Leavers()
         self.bodies = BodyMemory(settings.memory)
-        # Each part takes those above it.
+        # In order of dependency.
         self._build_beliefs()
         self._build_store()
         self._build_gossip()
@@ -101,9 +102,9 @@
         self._build_edges()
 
     def _build_beliefs(self):
-        """Build what this VM believes of VMs, targets and requests."""
+        """Build the state of VMs, targets and requests."""
         settings, journal, clock = self._settings, self._journal, self.clock
-        # Wall-clock time only tells incarnations of this VM apart.
+        # Wall-clock time, used only to tell incarnations of this VM apart.
         incarnation = time_ns()
         self._registry = TargetRegistry(journal, clock)
         self._members = Members(settings, journal, clock, incarnation)
@@ -131,7 +132,7 @@
         self._shift = ShiftLimit(settings.bounds.shift_share, clock)
 
     def _build_store(self):
-        """Build what follows and writes the tables of the store."""
+        """Build the followers and writers of the store's tables."""
         settings, journal, clock = self._settings, self._journal, self.clock
         self._peer_pool = self._new_pool()
         self._tables = Tables(
@@ -155,7 +156,7 @@
         self._suspects.on_quarantine(self._quarantines.keep)
 
     def _build_gossip(self):
-        """Build the heartbeats."""
+        """Build the gossip between VMs."""
         settings, journal, clock = self._settings, self._journal, self.clock
         composer = BeatComposer(
             self._members,
@@ -182,7 +183,7 @@
         )
 
     def _build_steering(self):
-        """Build what finds places for requests and tries them."""
+        """Build target selection and request attempts."""
         settings, journal, clock = self._settings, self._journal, self.clock
         view = TargetView(
             self._members, self._registry, self._owners, self._ledger, self._rooms
@@ -234,7 +235,7 @@
         )
 
     def _build_edges(self):
-        """Build what meets clients, the platform and other VMs' requests."""
+        """Build the listeners and what they serve."""
         settings, journal, clock = self._settings, self._journal, self.clock
         self._warm = WarmConnections(
             self._peer_pool,
@@ -282,32 +283,32 @@
 
     @property
     def leaving(self):
-        """Return whether this VM takes no new clients."""
+        """Return whether this VM is shutting down."""
         return self._members.own.stops
 
     @property
     def started(self):
-        """Return whether the configuration and the targets are known."""
+        """Return whether the configuration and the targets are loaded."""
         return self._table is not None and self._registry.known
 
     @property
     def ready(self):
-        """Return whether this VM takes clients."""
+        """Return whether this VM accepts clients."""
         return self._members.own.serving
 
     async def steer(self, call):
-        """Return a target's final answer to a call; see :meth:`Steering.run`."""
+        """Return the final response to a call; see :meth:`Steering.run`."""
         return await self._steering.run(call)
 
     def choose_service(self, route):
-        """Return the service that runs the next request of a route."""
+        """Return the service for the next request of a route, by its traffic split."""
         splitter = self._splitters.get(route.name)
         if splitter is None:
             splitter = self._splitters[route.name] = Splitter(route.shares)
         return splitter.next()
 
     async def serve(self):
-        """Run until a graceful shutdown has ended."""
+        """Run until a graceful shutdown completes."""
         self._journal.write(Event.VM_STARTED, incarnation=self._members.own.incarnation)
         signals = SignalWatch(self.clock, SIGTERM, SIGINT, SIGHUP)
         await self._gossip.open()
@@ -333,7 +334,7 @@
         )
 
     async def _keep_up(self):
-        """Do what the passing of time calls for."""
+        """Run periodic maintenance."""
         judge_at = 0.0
         while True:
             now = self.clock.now()
@@ -355,10 +356,10 @@
             self.record.flush(**self._beliefs())
 
     async def _shut_down(self, signals):
-        """Wait for a stop signal, then leave without cutting any request."""
+        """Wait for a stop signal, then shut down gracefully."""
         while await signals.next() is SIGHUP:
             self._reload()
-        # A busy loop reads the signal later, and the kill does not wait for it.
+        # The grace period starts when the signal arrived, not when it was handled.
         self.departure.begin(signals.came_at, self._settings.bounds.stop_grace)
         self._members.leave()
         self._handover.begin(
@@ -377,7 +378,7 @@
         self._record_abandoned()
 
     def _record_abandoned(self):
-        """Log the requests that end with this process, and how long the stop took."""
+        """Log the unfinished requests and the duration of the shutdown."""
         now = self.clock.now()
         calls = self.leavers.calls()
         for call in calls:
@@ -389,7 +390,7 @@
         )
 
     async def _finish_requests(self):
-        """Serve on until nothing is under way, or it is time for the last answers."""
+        """Keep serving until all requests are done or the final flush is due."""
         busy_at = self.clock.now()
         keeps = True
         while (now := self.clock.now()) < self.departure.last_answers_at:
@@ -405,7 +406,7 @@
             await sleep(LEAVING_INTERVAL)
 
     def _is_short(self, now):
-        """Return whether some route's requests cannot end in time any more."""
+        """Return whether requests of some route may not complete before the exit."""
         routes = self._table.routes if self._table else ()
         return any(self.departure.is_short(route, now) for route in routes)
 
@@ -417,7 +418,7 @@
             self._members.set_serving(True)
 
     def _adopt(self, table):
-        """Take a new configuration; an older one is ignored."""
+        """Apply a new configuration; ignore one that is not newer."""
         if self._table is not None and table.version <= self._table.version:
             return
         self._journal.write(
@@ -446,13 +447,13 @@
         return budget
 
     def _forget_rooms(self):
-        """Drop the reports of VMs that are gone for good."""
+        """Drop the reports of forgotten VMs."""
         known = {member.vm for member in self._members.others()}
         self._rooms.keep(known)
         self._held.keep(known)
 
     def _beliefs(self):
-        """Return figures on what this VM knows and how old it is."""
+        """Return the current gauges, for metrics and the periodic log line."""
         now = self.clock.now()
         return {
             "members": len(self._members.serving()),
@@ -470,7 +471,7 @@
         }
 
     def _reload(self):
-        """Take the bounds of a changed settings file; all else needs a new start."""
+        """Reload the bounds of the settings file; other settings need a restart."""
         path = self._settings.path
         try:
             bounds = load_node_settings(path).bounds
@@ -484,5 +485,5 @@
 
 
 def _age(instant, now):
-    """Return the seconds since an instant; -1 when there was none."""
+    """Return the seconds since an instant; -1 if it is ``None``."""
     return -1 if instant is None else round(now - instant, 3)
--- a/src/heathercleat/steering/process/repeats.py
+++ b/src/heathercleat/steering/process/repeats.py
@@ -1,23 +1,23 @@
-"""Tells repeats of clients from first requests by the time that the client has left.
+"""Detection of client retries by the client's remaining time.
 
-A client says how long it waits, and a repeat has less time left than a first request.
-Clients of one route need not all wait equally long: a bound near the longest wait would
-take most first requests for repeats.
+Clients send the time that they still wait, which is shorter for a retry than for a
+first attempt. First attempts of one route may differ, so the boundary is derived from
+the distribution of the waits and not from the longest one.
 """
 
 from collections import Counter
 
-#: Classes into which the waits of a route are divided, up to the longest one.
+#: Number of histogram buckets between zero and the longest wait of a route.
 CLASSES = 40
-#: First requests fill neighbouring classes; a class with less than this part of the
-#: requests of the fullest one lies below them.
+#: First attempts fill adjacent buckets. A bucket with less than this fraction of the
+#: fullest bucket's count is below them.
 DENSE_SHARE = 0.25
-#: Requests after which all counts are halved, so that the last few hundred decide.
+#: Requests after which all counts are halved, so that recent requests dominate.
 MOST_COUNTED = 400
 
 
 class RepeatDetector:
-    """Learns for each route how long clients wait at first."""
+    """Learns for each route how long clients wait on their first attempt."""
 
     __slots__ = ("_routes",)
 
@@ -25,9 +25,12 @@
         self._routes = {}
 
     def elapsed(self, route, wait):
-        """Return the seconds since the first attempt, at least; 0 for a first one.
+        """Return a lower bound of the seconds since the client's first attempt.
 
-        :param wait: seconds that the client has left.
+        Zero for a first attempt. Also counts the request.
+
+        :param route: name of the route.
+        :param wait: remaining seconds that the client waits.
         """
         waits = self._routes.get(route)
         if waits is None:
@@ -37,7 +40,7 @@
 
 
 class _Waits:
-    """The waits of one route's requests."""
+    """Histogram of the waits of one route's requests."""
 
     __slots__ = ("_longest", "_counts", "_edge")
 
@@ -47,9 +50,9 @@
         self._edge = CLASSES
 
     def count(self, wait):
-        """Take the wait of one request, in seconds."""
+        """Count the wait of one request, in seconds."""
         if wait > self._longest:
-            # Classes are parts of the longest wait: the counts belong to others now.
+            # Buckets are relative to the longest wait: older counts are misplaced now.
             if wait > self._longest * (1 + 1 / CLASSES):
                 self._counts.clear()
             self._longest = wait
@@ -59,11 +62,11 @@
         self._edge = self._find_edge()
 
     def shortest_first(self):
-        """Return the shortest wait of first requests, in seconds."""
+        """Return the shortest wait of first attempts, in seconds."""
         return self._edge / CLASSES * self._longest
 
     def _find_edge(self):
-        """Return the lowest class that first requests fill, from the top down."""
+        """Return the lowest bucket of the dense range at the top."""
         least = DENSE_SHARE * max(self._counts.values())
         edge = CLASSES
         while edge and self._counts[edge - 1] >= least:
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -1,11 +1,11 @@
-"""Settings of a VM that steers requests, whatever file they come from."""
+"""Settings of a VM that steers requests, independent of the file format."""
 
-#: Mbit/s that one core's requests need, an estimate: 350 a second of 11 KB both ways.
+#: Link bandwidth that the requests of one core use, in Mbit/s.
 LINK_PER_CORE = 30.0
 
 
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     __slots__ = ("host", "port")
 
@@ -18,10 +18,7 @@
 
 
 class Bounds:
-    """What the operators demand of the VMs; lengths in seconds.
-
-    The figures here are used where the settings do not tell.
-    """
+    """Limits set by the operators, with their defaults; durations in seconds."""
 
     __slots__ = (
         "stop_grace",
@@ -45,7 +42,7 @@
         self.shift_share = 0.15
 
     def take(self, other):
-        """Take all figures of other :class:`Bounds`."""
+        """Copy all values of other :class:`Bounds`."""
         for name in self.__slots__:
             setattr(self, name, getattr(other, name))
 
@@ -54,15 +51,16 @@
     """Settings of one VM.
 
     :param regions: the region of each failure domain.
-    :param front: where clients send requests.
-    :param ready: where the platform asks whether the VM is ready.
-    :param directory: where clients ask which VMs to use.
+    :param front: :class:`Address` for client requests.
+    :param ready: :class:`Address` for the platform's readiness checks.
+    :param directory: :class:`Address` for client lookups.
     :param first_inner_port: first of the ports for traffic between VMs.
-    :param seeds: IP numbers of some VMs, which may be stale.
+    :param seeds: IP addresses of VMs to contact first; may be stale.
     :param store: address of the platform's table service.
-    :param memory: bytes that the process may use.
-    :param cores: cores that the process may use, fractions included.
+    :param memory: memory limit of the process, in bytes.
+    :param cores: CPU limit of the process, in cores; may be fractional.
     :param link_mbps: bandwidth of the VM's link, in Mbit/s.
+    :param path: path of the settings file, for reloads.
     """
 
     __slots__ = (
@@ -90,19 +88,19 @@
 
     @property
     def strength(self):
-        """Return the cores that the process can keep busy over its link."""
+        """Return the usable capacity in cores, limited by CPU and bandwidth."""
         return min(self.cores, self.link_mbps / LINK_PER_CORE)
 
     @property
     def gossip_port(self):
-        """Return the UDP port for heartbeats between VMs."""
+        """Return the UDP port for gossip between VMs."""
         return self.first_inner_port
 
     @property
     def forward_port(self):
-        """Return the TCP port for requests that another VM forwards."""
+        """Return the TCP port for requests forwarded by other VMs."""
         return self.first_inner_port + 1
 
     def inner_address(self, port):
-        """Return this VM's :class:`Address` with a port."""
+        """Return this VM's :class:`Address` for internal traffic on a port."""
         return Address(self.ip, port)
