--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -1,4 +1,4 @@
-"""The VMs that take part: heard from their heartbeats, or from what others tell."""
+"""Membership of the VMs, from their heartbeats and from news passed on by others."""
 
 from heathercleat.events import Event
 from heathercleat.steering.process.membership.member import Member, Stage, news_of
@@ -6,33 +6,33 @@
 from heathercleat.steering.process.membership.topology import Topology
 from heathercleat.version.hashing import weight
 
-#: Seconds without a check after which this process itself was paused; it checks at each
-#: heartbeat that it sends, every 0.9 s at the most.
+#: Seconds between two checks after which this process counts as having been paused;
+#: more than the longest interval between two rounds of heartbeats.
 PAUSE = 1.5
-#: Seconds after which it is believed that a VM is dead which is not heard directly: in
-#: these it can refute it. News crosses 300 VMs in three heartbeats.
+#: Seconds that a VM reported as dead by others has to refute it.
 DOUBT = 0.5
-#: A VM carries requests when it has this share of the strength of its region's
-#: strongest VM, as long as such VMs have a good part of the region's strength: the
-#: requests at a VM with a twentieth of the bandwidth take several times their aim.
+#: Minimum strength of a VM that handles requests, as a fraction of its region's
+#: strongest VM; requests at much weaker VMs would be too slow.
 STRONG_SHARE = 0.5
+#: Minimum fraction of a region's strength that these VMs must have together; otherwise
+#: all VMs of the region handle requests.
 ENOUGH_SHARE = 0.4
-#: Seconds for which a VM that fell silent here is left out, though others hear it: a
-#: link between two VMs that is cut would bring it back and lose it every second.
+#: Seconds for which a VM whose heartbeats stopped is ignored even if others report it
+#: as live. Otherwise a broken link would make it join and leave all the time.
 RETRY_SILENT = 10.0
-#: Seconds after which a dead VM is forgotten.
+#: Seconds after which a dead VM is removed.
 FORGET = 60.0
 
 
 class Members:
-    """All known VMs, this one included.
+    """All known VMs, including this one.
 
-    A VM that this one picked for heartbeats lives while these come. What others tell
-    decides on the rest: it carries a stamp, the highest of which is believed. A VM that
-    hears of its own death refutes it with a higher stamp (as in SWIM, Das, Gupta and
-    Motivala, 2002).
+    A VM picked by this one is live while its heartbeats arrive. For other VMs the news
+    with the highest stamp decides. A VM refutes news of its own death with a higher
+    stamp, as in the SWIM protocol.
 
     :param settings: the :class:`NodeSettings` of this VM.
+    :param incarnation: see :class:`Member`; also the first stamp of this VM.
     """
 
     def __init__(self, settings, journal, clock, incarnation):
@@ -67,7 +67,7 @@
 
     @property
     def digest(self):
-        """Return a checksum over what is told of all live VMs."""
+        """Return a checksum over the stamps of the VMs reported as live."""
         if self._digest is None:
             self._digest = 0
             for member in self._members.values():
@@ -77,38 +77,38 @@
 
     @property
     def newest_operator_version(self):
-        """Return the newest version of the operators' table that a VM told of."""
+        """Return the newest version of the operators' table in any heartbeat."""
         return self._newest_operator_version
 
     @property
     def newest_target_version(self):
-        """Return the newest version of the targets' table that a VM told of."""
+        """Return the newest version of the targets' table in any heartbeat."""
         return self._newest_target_version
 
     def on_change(self, callback):
-        """Call ``callback()`` when the VMs that may own targets have changed.
+        """Call ``callback()`` when the VMs that may own targets change.
 
-        Nothing is worked out anew for the others: where 168 of 195 carry none, a roll
-        of all VMs would have each rank the targets again seven times as often.
+        Other membership changes do not trigger it, since target owners need not be
+        recomputed then.
         """
         self._on_change.append(callback)
 
     def serving(self):
-        """Return the live VMs that take clients and own targets."""
+        """Return the live VMs in the serving stage."""
         return [member for member in self._live.values() if member.serving]
 
     def serving_or_stopping(self):
-        """Return the live VMs that may have clients."""
+        """Return the live VMs that may have clients, leaving ones included."""
         return [each for each in self._live.values() if each.serving or each.stops]
 
     def active(self):
-        """Return the serving VMs that are named to clients and own targets."""
+        """Return the serving VMs that lookups return and that own targets."""
         if self._active is None:
             self._active = list(_find_strong(self.serving()))
         return self._active
 
     def leaving(self):
-        """Return the VMs that own targets where none is active."""
+        """Return the leaving VMs that own targets if no VM is active."""
         if self._leaving is None:
             live = self._live.values()
             leaving = [each for each in live if each.stage == Stage.LEAVING]
@@ -118,51 +118,51 @@
     def owners(self):
         """Return the VMs that own targets.
 
-        They are the active ones. Where none is left, those that leave keep the targets
-        until they end: nobody else could run a request.
+        These are the active VMs or, if there are none, the leaving ones, so that
+        requests can still be handled.
         """
         return self.active() or self.leaving()
 
     def traffic(self):
-        """Return the VMs that carry requests: those that stop still have clients."""
+        """Return the VMs that handle requests: active ones and those shutting down."""
         if self._traffic is None:
             self._traffic = self._find_traffic()
         return self._traffic
 
     def live(self, vm):
-        """Return the live :class:`Member` of that name, or ``None``."""
+        """Return the live :class:`Member` with a name, or ``None``."""
         return self._live.get(vm)
 
     def live_others(self):
-        """Return the live VMs but this one."""
+        """Return the live VMs except this one."""
         return [each for each in self._live.values() if each is not self._own]
 
     def others(self):
-        """Return every known VM but this one, live or not."""
+        """Return all known VMs except this one, live or not."""
         return [each for each in self._members.values() if each is not self._own]
 
     def region_of(self, failure_domain):
-        """Return the region of a failure domain, or ``None``."""
+        """Return the region of a failure domain, or ``None`` if it is unknown."""
         return self._regions.get(failure_domain)
 
     def told_of(self, vm):
-        """Return the :class:`Member` of that name, live or not, or ``None``."""
+        """Return the :class:`Member` with a name, live or not, or ``None``."""
         return self._members.get(vm)
 
     def set_serving(self, serving):
-        """Set whether this VM takes clients."""
+        """Set whether this VM accepts clients."""
         self._enter(Stage.SERVING if serving else Stage.STARTING)
 
     def leave(self):
-        """Take no new clients; own targets only where no VM serves."""
+        """Accept no new clients; own targets only if no VM is serving."""
         self._enter(Stage.LEAVING)
 
     def finish(self):
-        """Own no targets any more; a VM that serves or leaves has to take them."""
+        """Stop owning targets; other serving or leaving VMs become their owners."""
         self._enter(Stage.FINISHING)
 
     def set_store_lost(self, store_lost):
-        """Set whether the store does not answer this VM."""
+        """Set whether this VM's calls to the store fail."""
         if self._own.store_lost != store_lost:
             self._own.store_lost = store_lost
             self._tell_own()
@@ -170,7 +170,7 @@
     def news(self, interval):
         """Return the fields of each :class:`News` to pass on.
 
-        None in a small fleet, where all hear each other.
+        An empty list in a full mesh, where VMs do not depend on news.
 
         :param interval: see :meth:`Rumours.current`.
         """
@@ -180,13 +180,13 @@
         return [news_of(member).fields() for member in known if member is not None]
 
     def introduce(self, vm, ip, failure_domain, region):
-        """Learn that a VM exists, from the store; it is live once it is heard."""
+        """Add a VM from the store; it is live after its first heartbeat."""
         member = self._members.get(vm)
         if member is None or (member.ip != ip and member.vm not in self._live):
             self._members[vm] = Member(vm, ip, failure_domain, region)
 
     def heard(self, beat):
-        """Take a heartbeat; return the :class:`Member`, or ``None`` for an old one."""
+        """Record a heartbeat; return its sender, or ``None`` if it is outdated."""
         own = beat.own
         member = self._members.get(own.vm)
         if member is self._own or self._is_outdated(member, own):
@@ -210,14 +210,14 @@
         return member
 
     def is_news(self, vm, stamp):
-        """Return whether what is told of a VM with a stamp is new, or to be refuted."""
+        """Return whether news of a VM with a stamp is new or may need a refutation."""
         member = self._members.get(vm)
         if member is self._own:
             return stamp >= member.stamp
         return member is None or stamp > member.stamp
 
     def told(self, news):
-        """Take what another VM tells of a VM."""
+        """Merge :class:`News` received from another VM."""
         if news.vm == self._own.vm:
             self._refute(news)
             return
@@ -232,8 +232,8 @@
         self._spread(member)
         now = self._clock.now()
         member.dead_at = None if news.live else now + DOUBT
-        # That it lives is the VM's own word, later than what was heard of it directly;
-        # that it is dead is refuted by what was heard.
+        # Recent heartbeats override reports of a death. Reports that the VM is live
+        # originate from itself, and are newer than its heartbeats here.
         if not news.live and member.is_heard(now):
             return
         changed = self._is_change(member, news)
@@ -242,7 +242,7 @@
             self._join(member)
 
     def check(self):
-        """Drop the VMs that fell silent or of whose death was told."""
+        """Remove VMs that are silent or reported dead, and update the topology."""
         now = self._clock.now()
         self._forgive_pause(now)
         self._live[self._own.vm] = self._own
@@ -267,7 +267,7 @@
         )
 
     def _reconsider(self, member, now):
-        """Forget a VM that died long ago; try one again of which others tell."""
+        """Delete a VM that died long ago; add a lost one that others report as live."""
         if member.vm in self._live or member.lost_at is None:
             return
         if now - member.lost_at > FORGET:
@@ -285,7 +285,7 @@
         self._changed()
 
     def _find_traffic(self):
-        """Return the active VMs, and those that stop and were active before."""
+        """Return the active VMs and the strong ones that are shutting down."""
         strong = _find_strong(self.serving_or_stopping())
         stopping = (each for each in strong if each.stops)
         return [*self.active(), *stopping]
@@ -299,7 +299,7 @@
         member.strength = news.strength
 
     def _is_change(self, member, news):
-        """Return whether news changes which VMs live or what they do."""
+        """Return whether news changes the live VMs or the stage of one."""
         return (
             self._live.get(member.vm) is not member
             or member.stage != news.stage
@@ -307,19 +307,21 @@
         )
 
     def _is_outdated(self, member, news):
-        """Return whether a heartbeat is of an earlier process of a live VM.
+        """Return whether a heartbeat is from an earlier process of a live VM.
 
-        Incarnations are times of day: one that was set back must not keep a restarted
-        VM out once the process before it has fallen silent.
+        Lower incarnations are accepted once the VM is not live, since they derive from
+        the wall clock, which may have been set back.
         """
         if member is None or news.incarnation >= member.incarnation:
             return False
         return member.vm in self._live
 
     def _weigh_stamp(self, member, own):
-        """Believe a VM's word on itself; let it refute what others said since.
+        """Apply the stamp in a VM's own heartbeat.
 
-        The first word of a process is passed on by nobody: it greets all VMs itself.
+        News of a new process is not passed on, since it contacts all VMs itself. If
+        another VM reported it as dead with a higher stamp, that report is passed on to
+        it, so that it can refute it.
         """
         if own.stamp > member.stamp:
             member.stamp = own.stamp
@@ -331,7 +333,7 @@
             self.rumours.add(member.vm)
 
     def _refute(self, news):
-        """Contradict what is told of this VM, where it is wrong."""
+        """Refute news of this VM that is wrong, with a higher stamp."""
         if news.stamp < self._own.stamp:
             return
         own = news_of(self._own)
@@ -355,7 +357,7 @@
         self._changed()
 
     def _update_topology(self):
-        """Pick anew, at most once a heartbeat: a start of 195 VMs is 194 changes."""
+        """Update the topology; at most once per round, since changes come in bursts."""
         self._topology_stale = False
         self.topology.update(self.live_others(), self.traffic())
 
@@ -373,7 +375,7 @@
         member.dead_at = None
         if member.told_live:
             member.unreachable_until = now + RETRY_SILENT
-            # The end of one that stops is no sign that its neighbours are in trouble.
+            # An expected exit does not indicate a failure of the domain.
             if not member.stops:
                 self.topology.suspect(member.failure_domain)
             member.told_live = False
@@ -387,7 +389,7 @@
         )
 
     def _forgive_pause(self, now):
-        """Do not blame others for the time in which this process did not run."""
+        """Extend the timeouts of other VMs by a pause of this process."""
         pause = now - self._checked_at
         self._checked_at = now
         if pause < PAUSE:
@@ -400,7 +402,7 @@
         self._journal.write(Event.VM_PAUSED, gap=round(pause, 3))
 
     def _changed(self):
-        """Work out anew what depends on the live VMs."""
+        """Invalidate what depends on the live VMs; run callbacks for new owners."""
         self._active = self._leaving = self._traffic = None
         self._topology_stale = True
         owners = [(each.vm, each.ip) for each in self.owners()]
@@ -412,7 +414,10 @@
 
 
 def _find_strong(members):
-    """Yield the strong VMs of each region, or all where these are too few."""
+    """Yield the strong VMs of each region, or all VMs if the strong ones are too few.
+
+    See :data:`STRONG_SHARE` and :data:`ENOUGH_SHARE`.
+    """
     regions = {}
     for member in members:
         regions.setdefault(member.region, []).append(member)
--- a/src/heathercleat/steering/process/store/__init__.py
+++ b/src/heathercleat/steering/process/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of the store, followed directly or through other VMs."""
+"""Copies of the store's tables, updated from the store or from other VMs."""
--- a/src/heathercleat/steering/process/store/copy.py
+++ b/src/heathercleat/steering/process/store/copy.py
@@ -1,20 +1,19 @@
-"""A VM's copy of one table of the store."""
+"""A VM's local copy of one table of the store."""
 
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
 
-#: Removals that are remembered, to tell other VMs what changed: a fleet whose targets
-#: are all replaced within minutes. A VM that missed more is told the whole table.
+#: Maximum remembered removals. A VM that missed more of them gets the whole table.
 MOST_REMOVALS = 1024
-#: Spans of versions that are remembered of which this VM saw the end only.
+#: Maximum remembered :class:`Gap` objects.
 MOST_GAPS = 16
 
 
 class Gap:
-    """Versions of which a VM saw the end only, since it read the table again.
+    """A range of versions skipped by reading the whole table again.
 
-    A row that came and went between them left no trace here.
+    Rows that were added and removed within it are not known here.
 
-    :param since: the version that was known before.
+    :param since: the version before the read.
     :param until: the version that was read.
     """
 
@@ -25,18 +24,16 @@
         self.until = until
 
     def holds(self, version):
-        """Return whether rows as of a version may have come and gone unseen."""
+        """Return whether a version is inside the range."""
         return self.since < version < self.until
 
 
 class TableCopy:
     """The rows of a table as of one version of the store.
 
-    It holds what the store told, and nothing that a VM believes beyond that. VMs pass
-    their copies on, and a removed row that one of them kept for a while would be a row
-    of the table at the others, and stay one: they have passed its removal already. So
-    a target that had left came back at 3 of 12 VMs after 1.3 s (seen once on a day
-    with an outage of the store for all).
+    It contains only what the store returned. VMs pass their copies on, so a removed row
+    that one of them kept would reappear permanently at others that already processed
+    its removal.
     """
 
     __slots__ = (
@@ -53,32 +50,32 @@
         self._rows = {}
         self._version = 0
         self._changed = 0
-        # Version of the last change of each row that mattered, and of its removal.
+        # By key: version of the last significant change, and of the removal.
         self._changed_at = {}
         self._removals = {}
-        # Version since which every removal is remembered.
+        # Version since which all removals are remembered.
         self._floor = 0
         self._gaps = []
 
     @property
     def version(self):
-        """Return the store's version that the rows are current as of."""
+        """Return the store version of the rows; 0 before the first read."""
         return self._version
 
     @property
     def changed(self):
-        """Return the store's version of the last change that mattered."""
+        """Return the store version of the last significant change."""
         return self._changed
 
     @property
     def rows(self):
-        """Return a list of all rows."""
+        """Return a list of all :class:`StoreRow` objects."""
         return list(self._rows.values())
 
     def take_whole(self, snapshot):
-        """Take all rows of the table; return whether they were not older than these.
+        """Replace all rows, unless the snapshot is older; return whether it was used.
 
-        Another VM may have been ahead of an answer of the store that was on its way.
+        It may be older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
             self._changed = max(self._changed, snapshot.changed)
@@ -96,10 +93,10 @@
         return True
 
     def take_changes(self, snapshot):
-        """Take changed rows; return a :class:`Snapshot` of those that were news.
+        """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
-        A table that is read in pages may hold rows that are newer than its version: an
-        earlier change of such a row must not undo the later one.
+        Rows may be newer than the version of the table, which is read in pages, and
+        must not be overwritten by older changes.
         """
         news = [each for each in snapshot.rows if self._take(each)]
         self._version = max(self._version, snapshot.version)
@@ -108,9 +105,9 @@
         )
 
     def note_changes(self, keys, version):
-        """Note that the rows of some keys changed in a way that mattered.
+        """Record significant changes to the rows with some keys.
 
-        :param version: the version of the last change of the table that mattered.
+        :param version: the version of the table's last significant change.
         """
         self._changed = max(self._changed, version)
         for key in keys:
@@ -119,11 +116,9 @@
                 self._changed_at[key] = min(row.version, self._changed)
 
     def since(self, version, lapsing):
-        """Return a :class:`Snapshot` of what changed since a version, and mattered.
+        """Return a :class:`Snapshot` of the significant changes since a version.
 
-        It is whole for a VM that knows nothing (0), or that missed removals that are
-        not remembered or were not seen here. Otherwise only the few changed rows are
-        told, since every VM decodes what it is told row by row.
+        It is whole if the version is 0 or removals since then may be unknown here.
 
         :param lapsing: see :class:`Snapshot`.
         """
@@ -150,7 +145,7 @@
             self._floor = max(self._floor, self._gaps.pop(0).until)
 
     def _take(self, row):
-        """Take one changed row; return whether it was news."""
+        """Merge one changed row; return whether it was new."""
         known = self._rows.get(row.key)
         if row.version <= (known.version if known else self._gone_at(row.key)):
             return False
@@ -163,11 +158,11 @@
         return True
 
     def _gone_at(self, key):
-        """Return the version as of which there was no row of a key."""
+        """Return the latest version at which a missing row is known to be missing."""
         return max(self._floor, self._removals.get(key, 0))
 
     def _forget(self, key, version):
-        """Note the removal of a row."""
+        """Record the removal of a row."""
         self._changed_at.pop(key, None)
         self._removals.pop(key, None)
         self._removals[key] = version
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -1,4 +1,4 @@
-"""Following a table of the store, through other VMs while the store is away."""
+"""Following of a table, from the store or from other VMs."""
 
 from random import uniform
 
@@ -10,32 +10,29 @@
 from heathercleat.steering.process.store.copy import TableCopy
 from heathercleat.steering.process.store.protocol import HistoryLostError
 
-#: Seconds between two tries of a reader while the store does not answer: short enough
-#: for a configuration to be in force within its bound after the store's return.
+#: Mean seconds between two calls of a reader while the store does not answer.
 RETRY_INTERVAL = 0.3
-#: The same for other VMs, which learn of its return from a reader.
+#: Seconds between two calls of other VMs in that case; a reader tells them earlier.
 IDLE_RETRY_INTERVAL = 2.0
-#: Seconds after its first reading of a table from which a VM knows whether it is for it
-#: to read: by then it has heard others.
+#: Seconds after its first read until a VM knows the other VMs, and thus whether it is
+#: a reader.
 SETTLE_SECONDS = 1.0
-#: Seconds for which an answer shows that the store answers a VM: what passes between
-#: two answers to one that reads it, in quiet times, is up to 1.8 s.
+#: Seconds for which a response shows that the store answers this VM; more than the
+#: longest time between two responses to a reader.
 ANSWER_LIFE = 2.5
-#: Seconds between two looks of a VM that does not read the store at what others know,
-#: while one of them knows a newer change; of one that knows none until it is told.
+#: Seconds between two requests to other VMs while one of them has a newer change.
 PEER_INTERVAL = 0.1
+#: Maximum seconds between two checks for newer changes at other VMs.
 IDLE_PEER_INTERVAL = 0.5
 
 
 class Outage:
-    """The time in which the store does not answer this VM.
-
-    :param began_at: instant at which this was noticed.
-    :param tried_at: instant at which the last call that failed was begun.
-    :param is_total: whether the store answered no other VM at that instant, as far as
-        these told. Only then can targets have failed to report: a VM that the store
-        had turned away alone took an entry that was removed for a lapsed one, and sent
-        requests to its target for 2.2 s and more.
+    """A period in which the store does not answer this VM.
+
+    :param began_at: instant at which it was detected.
+    :param tried_at: start of the last failed call.
+    :param is_total: whether no other VM reported responses of the store at that time.
+        Only then may missing entries be due to targets that could not report.
     """
 
     __slots__ = ("began_at", "tried_at", "is_total")
@@ -49,25 +46,24 @@
 class TableFollower:
     """Keeps a copy of one table up to date.
 
-    Some VMs read the store; the others fetch the table from a VM whose heartbeat tells
-    of a newer change. With 10 to 16 VMs that saved 58% of the calls to the store.
+    Some VMs, the readers, poll the store. The others fetch the table from a VM whose
+    heartbeat announces a newer change, which saves calls to the store.
 
     :param table: name of the table.
-    :param store: a :class:`Store` of its own.
+    :param store: a :class:`Store` that only this follower uses.
     :param wait: seconds for which a call waits for a change.
-    :param pause: seconds between two calls, to bound their number.
-    :param apply: called with a :class:`Snapshot`; returns the keys of the rows that
-        mattered.
-    :param relay: fetches a :class:`Snapshot` with a newer change from another VM, or
-        returns ``None``; a coroutine function of the last change known here and the
-        instant since which others know a newer one.
-    :param newest: returns the newest change of which another VM has told.
-    :param is_reader: returns whether this VM reads the store.
+    :param pause: mean seconds between two calls.
+    :param apply: called with a :class:`Snapshot`; returns the keys of the rows with
+        significant changes.
+    :param relay: a coroutine function that fetches a newer :class:`Snapshot` from
+        another VM, or returns ``None``. Its arguments are the last change known here
+        and the instant since which another VM has a newer one.
+    :param newest: returns the newest change that another VM announced.
+    :param is_reader: returns whether this VM is a reader.
     :param is_answered_elsewhere: returns whether the store answers another VM.
-    :param lapsing: returns the seconds for which what a removed row stood for is still
-        used, by key.
-    :param on_return: called when the store answers after it was away for all, with the
-        earliest instant at which it can have returned.
+    :param lapsing: returns the seconds for which removed rows are still used, by key.
+    :param on_return: called at the end of an outage for all VMs, with the earliest
+        instant at which it can have ended.
     """
 
     def __init__(
@@ -108,22 +104,21 @@
         self._outage = None
         self._read_at = None
         self._try_at = 0.0
-        # Instant until which the changes are left to VMs that called more often.
+        # Instant until which this VM leaves reading to VMs that called more often.
         self._yields_until = 0.0
 
     @property
     def changed(self):
-        """Return the store's version of the last change that mattered."""
+        """Return the store version of the last significant change."""
         return self._copy.changed
 
     @property
     def told(self):
-        """Return the last change of which this VM tells others.
+        """Return the last change that this VM announces to others.
 
-        What it read as a whole at its start is newer than what they know, but hardly
-        ever tells them of a change: each start would have every other VM fetch the
-        table. A VM whose task it is to read tells it all the same, a little later: the
-        others may have no one else to learn it from.
+        The version of the first read at the start is not announced, since it is higher
+        without being a change, and every VM would fetch the table. Readers announce it
+        after :data:`SETTLE_SECONDS`, in case nobody else can.
         """
         if self._told_changed < self.changed and self._reads_for_others():
             self._told_changed = self.changed
@@ -131,27 +126,27 @@
 
     @property
     def lost(self):
-        """Return whether the store did not answer the last call."""
+        """Return whether the last call to the store failed."""
         return self._outage is not None
 
     @property
     def answered(self):
-        """Return whether the store answers this VM's calls."""
+        """Return whether the store recently answered a call of this VM."""
         if self.lost or self._read_at is None:
             return False
         return self._clock.now() <= self._read_at + ANSWER_LIFE
 
     @property
     def read_at(self):
-        """Return the instant of the last answer of the store, or ``None``."""
+        """Return the instant of the store's last response, or ``None``."""
         return self._read_at
 
     def snapshot(self, after=0):
-        """Return what changed since a version, for another VM; all rows by default."""
+        """Return a :class:`Snapshot` of the changes since a version; 0 for all rows."""
         return self._copy.since(after, self._lapsing())
 
     async def notice(self):
-        """Look at once at what others know, if one of them knows a newer change."""
+        """Fetch the table from another VM now, if one announced a newer change."""
         if self._is_behind() and not self._newer_heard.is_set():
             await self._newer_heard.set()
 
@@ -166,10 +161,9 @@
                 await self._pause_for_peers()
 
     async def _pause_for_peers(self):
-        """Wait until it is time to look again at what others know.
+        """Wait until the next check for newer changes at other VMs.
 
-        Two tables that looked each 0.1 s were a quarter of the wake-ups of a process
-        without requests (20 of 85 a second, counted over 30 s).
+        The wait is longer while none is known, to save wake-ups of an idle process.
         """
         if self.lost or self._is_behind():
             await sleep(PEER_INTERVAL)
@@ -188,8 +182,8 @@
     async def _read_beside_peers(self):
         """Make one call and return the seconds until the next one.
 
-        Meanwhile take what other VMs know: a call whose answer is lost lasts up to six
-        seconds, in which this VM was the only one without the new configuration.
+        Also accept changes from other VMs meanwhile, since a call whose response is
+        lost takes until its timeout.
         """
         watch = await spawn(self._watch_peers)
         try:
@@ -198,7 +192,7 @@
             await watch.cancel()
 
     def _is_behind(self):
-        """Return whether another VM has told of a newer change; note since when."""
+        """Return whether another VM announced a newer change; record since when."""
         if self._newest() <= self.changed:
             self._behind_since = None
         elif self._behind_since is None:
@@ -232,14 +226,14 @@
             self._note_answer()
             self._take_whole(snapshot)
             return
-        # To wait for a change would tell of the store's return a second later.
+        # During an outage, a call that waits for changes would detect its end late.
         wait = 0.0 if self.lost else self._wait
         only_asks = self.lost and not self._is_reader()
         changes = await self._store.follow(self._table, self._copy.version, wait)
         self._note_answer()
         if only_asks:
-            # This VM called rarely: of the store's return it knows too little to say
-            # for how long what the removed rows stood for may still be used.
+            # This VM calls rarely, so it cannot tell when the outage ended and for how
+            # long removed rows may still be used.
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
         self._take_changes(changes)
@@ -268,11 +262,10 @@
         return settled and self._is_reader()
 
     def _take_whole(self, snapshot):
-        """Take all rows, as the store told them.
+        """Apply all rows of the table, as read from the store.
 
-        What is read again since the history was gone may hold a change that no answer
-        tells of any more. Told only with the next one, up to five seconds later, it
-        was in force at other VMs too late (two of eight drawn days).
+        After a lost history the rows may include a change that no later response
+        contains, so the version is announced at once.
         """
         first, self._loaded = not self._copy.version, True
         if not self._copy.take_whole(snapshot):
@@ -286,13 +279,13 @@
             self._told_changed = self.changed
 
     def _take_changes(self, snapshot):
-        """Take changed rows, as the store told them."""
+        """Apply changed rows from the store."""
         keys = self._apply(self._copy.take_changes(snapshot))
         if keys:
             self._copy.note_changes(keys, self._copy.version)
 
     def _take_relayed(self, snapshot):
-        """Take what another VM told, all rows or the changed ones."""
+        """Apply all or changed rows from another VM."""
         if not snapshot.is_whole:
             self._apply(self._copy.take_changes(snapshot))
         elif self._copy.take_whole(snapshot):
@@ -315,11 +308,10 @@
         self._outage.is_total = is_total
 
     def _reconsider_outage(self):
-        """Note that the store answers nobody, between two calls of this VM.
+        """Mark the outage as total if the store answers no VM any more.
 
-        Others are taken for answered for some time after their last answer. A VM whose
-        calls all fell into that time took an outage of 3 s for its own, and dropped a
-        target whose entry had lapsed.
+        Checked between calls too, because other VMs still report responses for
+        :data:`ANSWER_LIFE` after an outage began.
         """
         if self.lost and not self._is_answered_elsewhere():
             self._outage.is_total = True
--- a/src/heathercleat/steering/process/store/member_rows.py
+++ b/src/heathercleat/steering/process/store/member_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table in which VMs tell of themselves."""
+"""Encoding of the rows in which VMs register themselves in the store."""
 
 from ipaddress import IPv4Address
 
@@ -8,14 +8,14 @@
 
 
 def encode_member(ip, failure_domain, region):
-    """Return the value of a VM's row."""
+    """Return the encoded value of a VM's row."""
     return msgpack.packb([ip, failure_domain, region])
 
 
 def decode_member(row):
     """Return the :class:`Member` of a row.
 
-    :raises ValueError: when the row names no VM.
+    :raises ValueError: when the row is malformed.
     """
     fields = msgpack.unpackb(row.value)
     if not isinstance(fields, list) or len(fields) != 3:
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -1,14 +1,14 @@
-"""Interface of the table service that keeps what must last."""
+"""Interface of the platform's table service."""
 
 from typing import Protocol
 
 
 class HistoryLostError(Exception):
-    """The store no longer has the changes asked for: read the table again."""
+    """The store no longer has the requested changes; read the whole table again."""
 
 
 class StoreRow:
-    """A row of a table; ``value`` is ``None`` for a row that was removed."""
+    """A row of a table; ``value`` is ``None`` for a removed row."""
 
     __slots__ = ("key", "value", "version")
 
@@ -19,13 +19,13 @@
 
 
 class Snapshot:
-    """Rows of a table: all of them, or those that changed since some version.
+    """All rows of a table, or the rows that changed since some version.
 
-    :param version: the store's version that they are current as of.
-    :param changed: the version of the last change that mattered.
-    :param lapsing: seconds for which the VM that told this goes on using what removed
-        rows stood for, by key; ``None`` when the store told it.
-    :param is_whole: whether a row that it does not hold does not exist.
+    :param version: the store version of the rows.
+    :param changed: the version of the last significant change.
+    :param lapsing: seconds for which the sending VM still uses removed rows, by key;
+        ``None`` if the snapshot is from the store.
+    :param is_whole: whether it has all rows of the table.
     """
 
     __slots__ = ("version", "rows", "changed", "lapsing", "is_whole")
@@ -38,19 +38,23 @@
         self.is_whole = is_whole
 
     def age(self, seconds):
-        """Shorten what is told in seconds by the time that the answer took."""
+        """Reduce the remaining times by the seconds that the transfer took."""
         if self.lapsing is not None:
             self.lapsing = {key: each - seconds for key, each in self.lapsing.items()}
 
 
 class Store(Protocol):
-    """A table service. Every call raises ``PlatformError`` when it does not answer."""
+    """A table service; each call raises ``PlatformError`` when it does not answer."""
 
     async def read(self, table):
-        """Return a :class:`Snapshot` of all rows of a table."""
+        """Return a whole :class:`Snapshot` of a table."""
 
     async def follow(self, table, after, wait):
-        """Return the rows changed since ``after`` as a :class:`Snapshot`."""
+        """Return the rows changed since version ``after`` as a :class:`Snapshot`.
+
+        :param wait: seconds to wait for a change.
+        :raises HistoryLostError: when the changes are no longer available.
+        """
 
     async def write(self, table, key, value):
-        """Put a value, or remove the row for ``None``."""
+        """Write a row, or remove it if ``value`` is ``None``."""
--- a/src/heathercleat/steering/process/store/rejections.py
+++ b/src/heathercleat/steering/process/store/rejections.py
@@ -1,17 +1,17 @@
-"""Rows of tables that cannot be used, in the log."""
+"""Log lines for invalid table rows."""
 
 from heathercleat.events import Event
 
-#: Lines that are written in a window, and its seconds: a writer that repeats itself
-#: each millisecond fills no log (2 lines a second; an estimate of what a reader needs).
+#: Maximum lines per window.
 MOST_LINES = 20
+#: Length of a window, in seconds.
 WINDOW = 10.0
-#: Characters of a key and of a reason that a line shows.
+#: Maximum characters of a key and of a reason in a line.
 _SHOWN = 200
 
 
 class Rejections:
-    """Logs rejected rows, a bounded number of lines a window."""
+    """Logs rejected rows, with a rate limit."""
 
     def __init__(self, journal, clock):
         self._journal = journal
@@ -21,7 +21,7 @@
         self._left_out = 0
 
     def note(self, key, error):
-        """Log that the row of a key was rejected."""
+        """Log a rejected row, or count it if the rate limit is reached."""
         now = self._clock.now()
         if now >= self._window_until:
             self._window_until = now + WINDOW
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the store that a VM follows, and what it takes from them."""
+"""The tables of the store that a VM follows, and how it applies them."""
 
 from math import ceil
 
@@ -18,25 +18,25 @@
 from heathercleat.version.hashing import ranked
 
 MEMBER_TABLE = "heathercleat-members"
-#: Seconds that a call to the store may take beside the time it waits for a change.
+#: Timeout of a call to the store in seconds, in addition to its wait for a change.
 STORE_TIMEOUT = 1.0
-#: The operators' table changes rarely: a call that waits costs one call a change.
+#: Seconds for which calls wait for a change of the operators' table, which is rare.
 OPERATOR_WAIT = 5.0
-#: Targets change their entries at every heartbeat: pausing between calls bounds their
-#: number, and a target that leaves is noticed within half of the shortest drain.
+#: The same for the targets' table, whose entries change at every heartbeat of a target.
 TARGET_WAIT = 1.0
+#: Seconds between two calls for the targets' table, to limit their number.
 TARGET_PAUSE = 0.6
-#: VMs find each other by heartbeats; the table tells a new VM of them.
+#: The members' table is polled rarely: it is only needed for the first contact.
 MEMBER_WAIT = 0.0
 MEMBER_PAUSE = 60.0
-#: VMs that read the store, over all regions: any of them tells all others.
+#: Number of VMs that read the store, over all regions.
 READERS = 3
-#: Seconds in which another VM has to answer for a table.
+#: Timeout for fetching a table from another VM, in seconds.
 RELAY_TIMEOUT = 0.5
-#: Seconds for which a VM waits for one of its failure domain or region to know a newer
-#: table, before it fetches it over a longer way: at 80 VMs, two of three in another
-#: region, a table could cross between regions 50 times at each change of the targets.
+#: Seconds before a VM fetches a newer table from another failure domain of its region;
+#: meanwhile a VM of its own failure domain may get it.
 REGION_DELAY = 0.15
+#: The same for fetching from another region, to limit traffic between regions.
 FAR_DELAY = 0.5
 MAX_STATE_BYTES = 16 << 20
 REGISTER_INTERVAL = 0.5
@@ -46,9 +46,9 @@
     """Follows the operators', the targets' and the members' tables.
 
     :param settings: the :class:`NodeSettings`.
-    :param registry: takes targets and evacuations.
-    :param members: takes VMs; asked for those that know newer tables.
-    :param pool: connections to other VMs.
+    :param registry: the :class:`TargetRegistry` for targets and evacuations.
+    :param members: the :class:`Members`.
+    :param pool: the connection pool for other VMs.
     :param adopt: called with each new :class:`RoutingTable`.
     """
 
@@ -92,34 +92,39 @@
 
     @property
     def store_answers(self):
-        """Return whether the store answers this VM's calls for targets."""
+        """Return whether the store recently answered a call for targets."""
         return self.targets.answered
 
     @property
     def store_lost(self):
-        """Return whether the store does not answer this VM."""
+        """Return whether the last call for targets or configuration failed."""
         return self.operator.lost or self.targets.lost
 
     def snapshot(self, table, after):
-        """Return what changed in a followed table since a version; all of it for 0."""
+        """Return a :class:`Snapshot` of a table's changes since a version.
+
+        :param table: the operators' or the targets' table.
+        :param after: the version, or 0 for all rows.
+        """
         followers = {OPERATOR_TABLE: self.operator, TARGET_TABLE: self.targets}
         return followers[table].snapshot(after)
 
     async def notice(self):
-        """Take it that heartbeats may have told of newer tables."""
+        """Fetch newer tables now, if heartbeats announced any."""
         await self.operator.notice()
         await self.targets.notice()
 
     async def follow_members(self):
-        """Register this VM, then learn of the others until cancelled.
+        """Register this VM, then follow the members' table until cancelled.
 
-        Of two VMs that start together, the one that reads last sees both rows.
+        Registering first ensures that of two VMs starting together, at least one sees
+        the other.
         """
         await self._register()
         await self.member_rows.run()
 
     async def _register(self):
-        """Write this VM's row, so that others find it."""
+        """Write this VM's row; retry until it succeeds."""
         settings = self._settings
         value = encode_member(settings.ip, settings.failure_domain, settings.region)
         while True:
@@ -131,14 +136,14 @@
                 await sleep(REGISTER_INTERVAL)
 
     async def deregister(self):
-        """Remove this VM's row; others notice its silence if that fails."""
+        """Remove this VM's row; a failure is only logged."""
         try:
             await self._own_store.write(MEMBER_TABLE, self._settings.vm, None)
         except PlatformError as error:
             self._journal.write(Event.PLATFORM_FAILED, reason=str(error))
 
     def new_store(self):
-        """Return a new client of the store."""
+        """Return a new :class:`TableStore`."""
         settings = self._settings
         return TableStore(settings.store, self._clock, STORE_TIMEOUT, settings.ip)
 
@@ -174,9 +179,9 @@
         )
 
     def is_reader(self):
-        """Return whether this VM is one of those of its region that read the store.
+        """Return whether this VM is one of its region's readers of the store.
 
-        VMs that the store does not answer leave it to others, while there are any.
+        VMs whose calls to the store fail are readers only if no others are available.
         """
         own = self._members.own
         active = self._members.active() or [own, *self._members.live_others()]
@@ -193,10 +198,9 @@
         return own.vm in ranked("reader", names)[: ceil(READERS / regions)]
 
     def reads_members(self):
-        """Return whether this VM goes on reading the members' table after its start.
+        """Return whether this VM keeps reading the members' table after its start.
 
-        In a large fleet readers do, and tell the others whom they hear by it: else each
-        row that a stop or a start changes would be read by every VM.
+        In a large fleet only readers do; the others learn of new VMs by gossip.
         """
         return self._members.topology.is_mesh or self.is_reader()
 
@@ -204,7 +208,7 @@
         return any(each.store_answers for each in self._members.live_others())
 
     def _take_operator(self, snapshot):
-        """Take the whole table again: it is small and a removed row matters."""
+        """Apply the whole operators' table; it is small, and removed rows matter."""
         changed = [row.key for row in snapshot.rows]
         if not snapshot.is_whole and not changed:
             return changed
@@ -256,7 +260,7 @@
         return [row.key for row in snapshot.rows]
 
     def _decode(self, rows, decode):
-        """Yield what the rows stand for; log those that cannot be used."""
+        """Yield the decoded rows; log invalid ones."""
         for row in rows:
             try:
                 yield decode(row)
@@ -286,7 +290,7 @@
         return snapshot
 
     def _relay_delay(self, member):
-        """Return the seconds for which a nearer VM than ``member`` is waited for."""
+        """Return the seconds to wait for a nearer VM before fetching from one."""
         own = self._members.own
         if member.failure_domain == own.failure_domain:
             return 0.0
