--- a/src/heathercleat/steering/process/__init__.py
+++ b/src/heathercleat/steering/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a process."""
+"""The long-lived parts of the steering process."""
--- a/src/heathercleat/steering/process/leavers.py
+++ b/src/heathercleat/steering/process/leavers.py
@@ -35,7 +35,7 @@
             self._calls.discard(call)
 
     async def run(self):
-        """Check all streams until cancelled; interrupt calls with a closed one."""
+        """Interrupt calls whose stream is closed, until cancelled."""
         while True:
             for call in list(self._calls):
                 if not call.left and call.stream.is_closed():
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -1,4 +1,4 @@
-"""Following of a table, from the store or from other VMs."""
+"""Replication of a table, from the store or from other VMs."""
 
 from random import uniform
 
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -47,7 +47,7 @@
     """A table service; each call raises ``PlatformError`` when it does not answer."""
 
     async def read(self, table):
-        """Return a whole :class:`Snapshot` of a table."""
+        """Return a :class:`Snapshot` of all rows of a table."""
 
     async def follow(self, table, after, wait):
         """Return the rows changed since version ``after`` as a :class:`Snapshot`.
