--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -21,18 +21,18 @@
     HeartbeatAck,
     MemberRecord,
     ViewExchange,
-    Vms,
+    VmListResponse,
     encode,
 )
 from heathercleat.process.capacity.readiness import WATCH_SECONDS
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.heartbeats import Heartbeats
-from heathercleat.process.membership.members import SETTLE, Membership
+from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
 from heathercleat.process.settings import parse_settings
 from heathercleat.process.vm import EntryVM
 from heathercleat.request.lookup import answer_lookup
-from heathercleat.version.blocks import BlockTable
+from heathercleat.version.client_blocks import ClientBlockTable
 from heathercleat.version.document import Document
 from heathercleat.version.placement import Placement
 from heathercleat.version.text import parse_text
@@ -102,13 +102,13 @@
         step = (1 << 32) // size
         runs = ((index * step, index % DOMAINS) for index in range(size))
         started = time.process_time()
-        table = BlockTable(names, runs)
+        table = ClientBlockTable(names, runs)
         slopes.add("block table: build", "s", size, time.process_time() - started)
         slopes.add("block table: memory", "MB", size, table.size_bytes / 1e6)
         addresses = [random.randrange(1 << 32) for _ in range(100_000)]
         started = time.process_time()
         for address in addresses:
-            table.find_number(address)
+            table.find_by_number(address)
         seconds = (time.process_time() - started) / len(addresses)
         slopes.add("block table: look-up", "us", size, seconds * 1e6)
 
@@ -155,7 +155,9 @@
         )
         tracemalloc.stop()
         fields = vm.directory.to_fields()
-        slopes.add("VM list: message", "KB", vms, len(encode(Vms(1, fields))) / 1e3)
+        slopes.add(
+            "VM list: message", "KB", vms, len(encode(VmListResponse(1, fields))) / 1e3
+        )
         seconds = timed(partial(adopt, make_list(vms)), 20)
         slopes.add("VM list: adopt", "ms", vms, seconds * 1e3)
         query = {"service": "lookup"}
@@ -204,20 +206,20 @@
         slopes.add("heartbeat: message", "bytes", size, len(encode(beat)))
         view = len(encode(ViewExchange(membership.records())))
         slopes.add("view exchange: message", "KB", size, view / 1e3)
-        clock.time += SETTLE
-        membership.note_tick()
+        clock.time += SETTLE_SECONDS
+        membership.record_tick()
         assert size == len(membership.running()) + 1
-        seconds = timed(partial(membership.heard, beat), 2000)
+        seconds = timed(partial(membership.record_heartbeat, beat), 2000)
         slopes.add("heartbeat: taken", "us", size, seconds * 1e6)
         seconds = timed(membership.may_act, 2000)
         slopes.add("right to act: checked", "us", size, seconds * 1e6)
 
         heartbeats = Heartbeats(vm, membership, links, clock)
 
-        def judge(heartbeats=heartbeats):
-            run(heartbeats.judge)
+        def detect_failures(heartbeats=heartbeats):
+            run(heartbeats.detect_failures)
 
-        slopes.add("monitors: judged", "us", size, timed(judge, 20) * 1e6)
+        slopes.add("monitors: judged", "us", size, timed(detect_failures, 20) * 1e6)
 
 
 def measure_placement(slopes):
--- a/bench/control.py
+++ b/bench/control.py
@@ -13,8 +13,8 @@
 
 from bench.report import Row
 from heathercleat.events import Event
+from heathercleat.process.at_most_once.claims import Claims
 from heathercleat.process.logs import Journal, JsonFormatter, LogWriter
-from heathercleat.process.once.claims import Claims
 from heathercleat.version.text import parse_text
 from standins.demo import demo_text
 from standins.fleet import Fleet, wait_for
--- a/bench/places.py
+++ b/bench/places.py
@@ -4,14 +4,14 @@
 
 from bench.report import Row
 from heathercleat.steering.process.capacity.admission import Admission
-from heathercleat.steering.process.capacity.losses import RegionLosses
-from heathercleat.steering.process.capacity.pressure import Pressure
-from heathercleat.steering.process.capacity.rooms import RoomView
-from heathercleat.steering.process.capacity.shift import ShiftLimit
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.loss_rates import LossRates
+from heathercleat.steering.process.capacity.region_loss_rates import RegionLossRates
+from heathercleat.steering.process.capacity.region_shift import RegionShiftLimit
+from heathercleat.steering.process.capacity.response_times import ResponseTimes
 from heathercleat.steering.process.capacity.view import TargetView
-from heathercleat.steering.process.capacity.work import WorkTimes
+from heathercleat.steering.request.destinations import DestinationSelector
 from heathercleat.steering.request.estimates import Estimates
-from heathercleat.steering.request.places import Places
 from tests.steering_parts import Parts, beat, call, entry, route
 
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
@@ -57,7 +57,7 @@
     for domain, region in DOMAINS.items():
         for number in range(VMS_EACH):
             made = beat(f"{domain}-{number}", domain, region)
-            parts.members.heard(made)
+            parts.members.record_heartbeat(made)
     names = list(DOMAINS)
     parts.registry.replace(
         [
@@ -70,26 +70,26 @@
 
 def _places(parts):
     clock, members = parts.clock, parts.members
-    rooms, pressure = RoomView(clock), Pressure()
+    rooms, pressure = CapacityReports(clock), LossRates()
     for member in members.live_others():
         rooms.report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
     for owned in parts.ledger.all():
         for _ in range(SLOTS):
             owned.take(clock.now())
     admission = Admission(parts.ledger, members.region_of, clock)
-    return Places(
+    return DestinationSelector(
         TargetView(members, parts.registry, parts.owners, parts.ledger, rooms),
         members,
-        Estimates(members, admission, rooms, lambda vm: TRIP, WorkTimes(), clock),
-        RegionLosses(members, rooms, pressure, clock),
-        ShiftLimit(0.15, clock),
+        Estimates(members, admission, rooms, lambda vm: TRIP, ResponseTimes(), clock),
+        RegionLossRates(members, rooms, pressure, clock),
+        RegionShiftLimit(0.15, clock),
         clock,
     )
 
 
 def _call(clock, number):
     made = call(clock, route(sticky=True), affinity=f"/{number % OBJECTS}")
-    made.patient_until = clock.now() + 0.1
+    made.give_up_at = clock.now() + 0.1
     return made
 
 
@@ -99,6 +99,6 @@
     for made in calls:
         clock.time += 0.001
         places.free(made, nothing, nothing)
-        places.relief(made, nothing, nothing)
+        places.select_spillover(made, nothing, nothing)
         places.waiting(made, nothing, nothing)
         places.describe(made)
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -8,7 +8,11 @@
 from bench.report import Row
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.quarantine.suspects import Suspects
-from heathercleat.steering.request.answer import Answer, End, TryResult
+from heathercleat.steering.request.attempt_result import (
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
 from heathercleat.steering.request.containment import Containment
 from heathercleat.steering.request.fingerprint import fingerprint
 from tests.fakes import ManualClock
@@ -54,7 +58,7 @@
     clock = ManualClock()
     suspects = Suspects(Journal("vm-1", "north-a"), clock)
     containment = Containment(suspects, clock)
-    answered = TryResult(End.ANSWERED, Answer(200, [], b""))
+    answered = AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b""))
 
     made = call(clock)
     made.headers = HEADERS
@@ -65,7 +69,7 @@
         containment.refusal(made)
         suspects.refused_until(made.fingerprint)
         suspects.answered(made.fingerprint)
-        containment.took(made, answered, True)
+        containment.record_result(made, answered, True)
 
     return guard
 
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -3,7 +3,7 @@
 import random
 
 from bench.report import Row
-from heathercleat.steering.process.directory import LOOKUP_TTL, MOST_OVER_SHARE
+from heathercleat.steering.process.directory import LOOKUP_TTL, MAX_OVER_SHARE
 from standins.simulated_clients import SimulatedClients
 from standins.stop_simulation import STOP_SECONDS, settled
 from tests.test_fleet_stops import Bill, in_turn
@@ -38,7 +38,7 @@
             1.0,
             "",
             "an even share",
-            MOST_OVER_SHARE,
+            MAX_OVER_SHARE,
         )
     )
 
--- a/src/heathercleat/cli/_quarantine.py
+++ b/src/heathercleat/cli/_quarantine.py
@@ -8,7 +8,7 @@
 from heathercleat.codes import ResultCode
 from heathercleat.errors import HeathercleatError
 from heathercleat.platform.settings import load_node_settings
-from heathercleat.platform.store import TableStore
+from heathercleat.platform.store import TableStoreClient
 from heathercleat.process.clock import SystemClock
 from heathercleat.steering.process.quarantine.rows import (
     QUARANTINE_TABLE,
@@ -142,7 +142,7 @@
     settings = load_node_settings(args.settings)
 
     async def main():
-        store = TableStore(settings.store, SystemClock(), STORE_SECONDS)
+        store = TableStoreClient(settings.store, SystemClock(), STORE_SECONDS)
         try:
             return await make_call(store)
         finally:
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -16,12 +16,12 @@
     read_body,
     send_message,
 )
-from heathercleat.connection.serving import ServingConnection, head_error
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.connection.server import ServerConnection, head_error
+from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.clock import from_wall, to_wall
+from heathercleat.request.at_most_once import run_once
 from heathercleat.request.call import Call
-from heathercleat.request.carry import carry
 from heathercleat.request.headers import (
     CODE,
     DEADLINE,
@@ -37,7 +37,7 @@
     find,
 )
 from heathercleat.request.lookup import answer_lookup
-from heathercleat.request.run_once import run_once
+from heathercleat.request.proxying import carry
 from heathercleat.request.ticket import read as read_ticket
 from heathercleat.version.text import Semantics
 
@@ -51,7 +51,7 @@
 ID_BYTES = 8
 
 
-class CallerConnection(ServingConnection):
+class CallerConnection(ServerConnection):
     """One connection of a caller, or of a VM that forwards requests.
 
     :param vm: the process that serves it.
@@ -74,7 +74,7 @@
             await self._serve(head)
         except RequestError as error:
             await self._refuse(error)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             self._vm.journal.write(Event.CALLER_LEFT, caller=self._caller)
             self._stream.abort()
             return False
@@ -89,7 +89,7 @@
         try:
             event = await before(deadline, self._vm.clock, self._stream.next_event())
         except TimeoutError:
-            if self._stream.head_begun:
+            if self._stream.has_partial_head:
                 message = "the request head took too long"
                 await self._refuse(RequestError(ResultCode.SLOW_SENDER, message))
             return None
@@ -125,7 +125,7 @@
             name: values[0] for name, values in parse_qs(urlsplit(path).query).items()
         }
         if self._vm.text is not None:
-            await self._vm.readiness.wait_asked()
+            await self._vm.readiness.wait_first_round()
         answer = answer_lookup(self._vm, query, self._caller)
         self._vm.metrics.count_lookup(answer["service"])
         max_age = max(0, int(answer["expires_at"] - self._vm.clock.wall()))
@@ -254,7 +254,7 @@
 
     async def _refuse(self, error):
         """Send the final answer for an error, or cut an answer that has begun."""
-        if not self._stream.can_answer:
+        if not self._stream.can_respond:
             self._stream.abort()
             return
         code = error.code
@@ -275,7 +275,7 @@
             wait = max(0.0, error.retry_at - self._vm.clock.wall())
             headers["retry-after"] = str(ceil(wait))
             headers[RETRY_AT] = f"{error.retry_at:.3f}"
-        if not self._stream.request_complete:
+        if not self._stream.is_request_complete:
             headers["connection"] = "close"
         message = Message(
             status=code.status, headers=headers, body=dumps(body).encode()
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -41,23 +41,23 @@
         return self._bytes_sent
 
     @property
-    def body_started(self):
+    def has_body_started(self):
         """Return whether a part of the current message's body was read."""
         return self._body_started
 
     @property
-    def head_begun(self):
+    def has_partial_head(self):
         """Return whether a part of the next message's head was read."""
         return bool(self._conn.trailing_data[0])
 
     @property
-    def can_answer(self):
+    def can_respond(self):
         """Return whether a response may still be sent."""
         states = (h11.IDLE, h11.SEND_RESPONSE)
         return self._conn.our_state in states
 
     @property
-    def request_complete(self):
+    def is_request_complete(self):
         """Return whether the other side has sent its whole message."""
         return self._conn.their_state in (h11.DONE, h11.MUST_CLOSE)
 
@@ -98,7 +98,7 @@
         self._conn.receive_data(data)
         return not data
 
-    def expect_another(self, request):
+    def reset_for_response(self, request):
         """Read one more answer to a request whose answer was not meant for it.
 
         :param request: the h11 events of the request, which are not sent again.
@@ -110,7 +110,7 @@
         if rest:
             self._conn.receive_data(rest)
 
-    def following(self):
+    def next_message_stream(self):
         """Return the stream of the next message on this connection, or ``None``.
 
         The message on this one may still be answered. ``None`` where either side closes
@@ -128,7 +128,7 @@
             stream._conn.receive_data(b"")
         return stream
 
-    def finish(self):
+    def shutdown_write(self):
         """Send no more, so that the other side sees the end after what was sent."""
         try:
             self._sock._socket.shutdown(socket.SHUT_WR)
@@ -180,7 +180,7 @@
         A close with unread bytes would reset the connection, and the other side could
         lose the answer that it has not read yet.
         """
-        self.finish()
+        self.shutdown_write()
         try:
             while limit > 0 and (data := await self._sock.recv(RECEIVE_BYTES)):
                 limit -= len(data)
@@ -318,7 +318,7 @@
             if not stream.next_cycle():
                 return
     except ValueError as error:
-        if stream.can_answer:
+        if stream.can_respond:
             await send_message(stream, Message(status=413, body=str(error).encode()))
     except CONNECTION_ERRORS:
         return
--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -116,7 +116,7 @@
 
 
 @message(9)
-class Acquire:
+class AcquireTargets:
     """The sender is to become the home of these targets."""
 
     vm: str
@@ -130,7 +130,7 @@
     It names each occupied slot of the targets that the receiver was the home of.
     ``levels`` holds ``{target: [[instant, slots of spill], ...]}`` within the window of
     the shift cap. ``vouched`` holds what it vouches for as a monitor, as lists of the
-    fields of ``Vouched``.
+    fields of ``OccupancyBound``.
     """
 
     targets: dict
@@ -139,7 +139,7 @@
 
 
 @message(11)
-class Released:
+class SlotReleased:
     """A request handed over with its target is done."""
 
     target: str
@@ -226,12 +226,12 @@
 
 
 @message(21)
-class FetchVms:
+class VmListRequest:
     """The sender wants the VM list that the receiver knows."""
 
 
 @message(22)
-class Vms:
+class VmListResponse:
     """The VM list as ``[name, host, failure domain, leaving]`` entries."""
 
     serial: int
@@ -239,7 +239,7 @@
 
 
 @message(23)
-class Cover:
+class OccupancyNotice:
     """The sender's targets: ``{target: [instant, instant]}``.
 
     Each may be occupied until the first instant, and by what earlier homes admitted
--- a/src/heathercleat/connection/kept.py
+++ b/src/heathercleat/connection/persistent.py
@@ -5,7 +5,7 @@
 from heathercleat.connection.http import exchange
 
 
-class KeptConnection:
+class PersistentConnection:
     """Runs exchanges one after the other, on a new connection where it must.
 
     :param connect: opens a client :class:`HttpStream`; a coroutine function.
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -14,7 +14,7 @@
     """A target already has as many connections as it takes."""
 
 
-class Pool:
+class ConnectionPool:
     """Connections by address; one is only kept when nothing on it is uncertain.
 
     :param source_ip: the local IP number to connect from.
@@ -48,7 +48,7 @@
             ``None`` for any time.
         :raises OSError: when no connection can be made.
         """
-        await self._fence().pass_through(host)
+        await self._fence().wait_if_fenced(host)
         address = (host, port)
         idle = self._idle.setdefault(address, deque())
         await self._drop_old(address, idle)
@@ -71,7 +71,7 @@
             self._open[address] -= 1
             raise
 
-    async def give_back(self, host, port, stream, keep_for=None):
+    async def checkin(self, host, port, stream, keep_for=None):
         """Keep a connection for later if its last exchange was whole.
 
         :param keep_for: seconds for which the other side keeps it, if that is known.
@@ -85,7 +85,7 @@
         kept = _Kept(stream, now, expires_at)
         self._idle.setdefault((host, port), deque()).append(kept)
 
-    async def keep_new(self, host, port, stream):
+    async def add_unused(self, host, port, stream):
         """Keep a connection on which nothing was sent yet."""
         now = self._clock.now()
         kept = _Kept(stream, now, now + self._idle_seconds)
--- a/src/heathercleat/connection/serving.py
+++ b/src/heathercleat/connection/server.py
@@ -4,12 +4,12 @@
 
 from heathercleat.codes import ResultCode
 from heathercleat.connection.http import CONNECTION_ERRORS
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.errors import CallerDisconnectedError, RequestError
 
 _HEADERS_TOO_LARGE = 431
 
 
-class ServingConnection:
+class ServerConnection:
     """The loop of a connection; a subclass serves one request at a time.
 
     :param stream: the :class:`HttpStream`.
@@ -25,9 +25,9 @@
         self._busy = False
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether a request is under way or has begun to arrive."""
-        return self._busy or self._stream.head_begun
+        return self._busy or self._stream.has_partial_head
 
     def close_if_idle(self):
         """Close the connection unless a request is under way or has begun to arrive."""
@@ -39,7 +39,7 @@
         try:
             while await self._serve_next():
                 self._busy = False
-        except (CallerLeftError, *CONNECTION_ERRORS):
+        except (CallerDisconnectedError, *CONNECTION_ERRORS):
             return
         finally:
             self._busy = False
@@ -50,7 +50,7 @@
 
     async def _can_go_on(self):
         """Return whether the connection can take another request after this one."""
-        if not self._stream.request_complete:
+        if not self._stream.is_request_complete:
             async with ignore_after(self._linger_seconds):
                 await self._stream.linger(self._linger_bytes)
             return False
--- a/src/heathercleat/errors.py
+++ b/src/heathercleat/errors.py
@@ -60,7 +60,7 @@
         super().__init__(ResultCode.VM_UNREACHABLE, message)
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before its answer was complete."""
 
 
--- a/src/heathercleat/platform/decode.py
+++ b/src/heathercleat/platform/decode.py
@@ -2,15 +2,15 @@
 
 import json
 
-from heathercleat.platform.names import CONFIG_KEY, EVACUATE_PREFIX
-from heathercleat.platform.units import seconds, version_number
+from heathercleat.platform.units import parse_duration, parse_version
+from heathercleat.platform.wire_names import CONFIG_KEY, EVACUATE_PREFIX
 from heathercleat.steering.version.routing import (
-    Kind,
     Limits,
+    RequestKind,
     Route,
     RoutingTable,
     Service,
-    Share,
+    ServiceShare,
 )
 
 #: Seconds until the answer to a request of a route that names no timeout.
@@ -48,7 +48,7 @@
             for path in host["paths"]
         ]
         return RoutingTable(
-            version=version_number(document["version"]),
+            version=parse_version(document["version"]),
             routes=routes,
             services=services,
             limits=_limits(document["limits"]),
@@ -59,8 +59,8 @@
 
 def _service(document):
     # Requests a second that a cold target stands.
-    cold_rate = float(document.get("coldPerS", 0)) or None
-    return Service(document["name"], cold_rate)
+    cold_requests_per_second = float(document.get("coldPerS", 0)) or None
+    return Service(document["name"], cold_requests_per_second)
 
 
 def _route(host, document):
@@ -68,9 +68,11 @@
         name=document["name"],
         host=host,
         prefix=document["prefix"],
-        kind=Kind(document["kind"]),
-        timeout=seconds(document.get("timeout", DEFAULT_TIMEOUT)),
-        latency_aim=seconds(document.get("targetLatency", DEFAULT_LATENCY_AIM)),
+        kind=RequestKind(document["kind"]),
+        timeout=parse_duration(document.get("timeout", DEFAULT_TIMEOUT)),
+        latency_objective=parse_duration(
+            document.get("targetLatency", DEFAULT_LATENCY_AIM)
+        ),
         priority=int(document.get("priority", 0)),
         max_attempts=int(document.get("maxAttempts", 1)),
         sticky=bool(document.get("sessionAffinity", False)),
@@ -82,15 +84,15 @@
 def _shares(document):
     if document.get("trafficSplit"):
         for part in document["trafficSplit"]:
-            yield Share(part["service"], float(part["weight"]))
+            yield ServiceShare(part["service"], float(part["weight"]))
     else:
-        yield Share(document["service"], 1.0)
+        yield ServiceShare(document["service"], 1.0)
 
 
 def _limits(document):
     return Limits(
         header_bytes=int(document["maxHeaderBytes"]),
         body_bytes=int(document["maxBodyBytes"]),
-        header_timeout=seconds(document["headerTimeout"]),
-        idle_timeout=seconds(document["idleTimeout"]),
+        header_timeout=parse_duration(document["headerTimeout"]),
+        idle_timeout=parse_duration(document["idleTimeout"]),
     )
--- a/src/heathercleat/platform/entry.py
+++ b/src/heathercleat/platform/endpoints.py
@@ -4,12 +4,12 @@
 from urllib.parse import parse_qs, urlsplit
 
 from heathercleat.connection.http import Message
-from heathercleat.platform.names import READY_PATH, RESOLVE_PATH
+from heathercleat.platform.wire_names import READY_PATH, RESOLVE_PATH
 
 _JSON = {"content-type": "application/json"}
 
 
-def answer_entry(message, is_ready, lookup):
+def handle_platform_request(message, is_ready, lookup):
     """Return the answer to a call of the platform or of a client's look-up.
 
     :param message: the request, a :class:`Message`.
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -1,27 +1,27 @@
 """Headers of clients and targets, decoded and written once."""
 
-from heathercleat.platform.names import (
+from heathercleat.platform.wire_names import (
     AFFINITY_COOKIE,
     DEADLINE_MS,
     EXPECTED_INSTANCE,
     NOT_EXECUTED,
     REQUEST_ID,
+    RESPONSE_SIGNATURE,
     RETRY_AFTER,
-    SIGNATURE,
     TARGET_LOAD,
 )
-from heathercleat.steering.request.answer import AnswerHead
+from heathercleat.steering.request.attempt_result import TargetResponseHead
 from heathercleat.steering.request.call import ClientHead
 
 #: Seconds that a client waits which does not say how long.
 DEFAULT_WAIT = 30.0
 #: Statuses that promise a client that its request has not run.
-PROMISE_STATUSES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _MISDIRECTED = 421
 _SET_HERE = (DEADLINE_MS, EXPECTED_INSTANCE)
 
 
-def read_client_head(headers):
+def parse_client_head(headers):
     """Return the :class:`ClientHead` of a request's headers."""
     request_id, wait, affinity = None, DEFAULT_WAIT, None
     for name, value in headers:
@@ -34,7 +34,7 @@
     return ClientHead(request_id, wait, affinity)
 
 
-def request_headers(headers, remaining, target_id):
+def target_request_headers(headers, remaining, target_id):
     """Yield the headers of a request to a target.
 
     :param headers: the end-to-end headers of the client.
@@ -48,13 +48,13 @@
     yield EXPECTED_INSTANCE, target_id.encode()
 
 
-def read_answer_head(status, headers):
-    """Return the :class:`AnswerHead` of a target's answer."""
-    head = AnswerHead()
+def parse_response_head(status, headers):
+    """Return the :class:`TargetResponseHead` of a target's answer."""
+    head = TargetResponseHead()
     for name, value in headers:
         if name == REQUEST_ID:
             head.request_id = value.decode("latin-1")
-        elif name == SIGNATURE:
+        elif name == RESPONSE_SIGNATURE:
             head.signed = True
         elif name == NOT_EXECUTED:
             head.not_run = True
@@ -67,11 +67,11 @@
     if status == _MISDIRECTED:
         head.not_run = True
         head.replaced = True
-    head.promises = status in PROMISE_STATUSES
+    head.promises = status in NOT_RUN_STATUSES
     return head
 
 
-def refusal_headers(wait):
+def retry_after_headers(wait):
     """Return the headers that ask a client to come back after ``wait`` seconds."""
     return [(RETRY_AFTER, f"{wait:.3f}".encode())]
 
--- a/src/heathercleat/platform/settings.py
+++ b/src/heathercleat/platform/settings.py
@@ -9,8 +9,8 @@
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import Finding, FindingsError, HeathercleatError
-from heathercleat.platform.names import SETTINGS_VARIABLE
-from heathercleat.platform.units import seconds
+from heathercleat.platform.units import parse_duration
+from heathercleat.platform.wire_names import SETTINGS_VARIABLE
 from heathercleat.steering.process.settings import Address, Bounds, NodeSettings
 
 _MEGABYTE = 1 << 20
@@ -147,12 +147,12 @@
 
 #: Name on the wire, field of :class:`Bounds`, conversion.
 _BOUND_FIELDS = (
-    ("grace", "stop_grace", seconds),
+    ("grace", "stop_grace", parse_duration),
     ("retryBudgetRatio", "retry_ratio", float),
-    ("budgetWindow", "retry_window", seconds),
+    ("budgetWindow", "retry_window", parse_duration),
     ("budgetSlack", "retry_slack", float),
     ("coldOver", "cold_factor", float),
     ("coldSlack", "cold_slack", float),
-    ("ttl_max", "lookup_ttl", seconds),
+    ("ttl_max", "lookup_ttl", parse_duration),
     ("shiftMost", "shift_share", float),
 )
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -10,10 +10,10 @@
     before,
     connect,
 )
-from heathercleat.connection.kept import KeptConnection
-from heathercleat.connection.sockets import watch_silence
+from heathercleat.connection.persistent import PersistentConnection
+from heathercleat.connection.socket_options import enable_keepalive
 from heathercleat.errors import PlatformError
-from heathercleat.platform.names import FEED_PATH, READ_PATH, TRANSACT_PATH
+from heathercleat.platform.wire_names import FEED_PATH, READ_PATH, TRANSACT_PATH
 from heathercleat.steering.process.store.protocol import (
     HistoryLostError,
     Snapshot,
@@ -26,7 +26,7 @@
 _JSON = {"content-type": "application/json"}
 
 
-class TableStore:
+class TableStoreClient:
     """A client with one connection, which runs one call at a time.
 
     :param address: the store's :class:`Address`.
@@ -40,7 +40,7 @@
         self._clock = clock
         self._timeout = timeout
         self._source_ip = source_ip
-        self._connection = KeptConnection(self._connect, MAX_ANSWER_BYTES)
+        self._connection = PersistentConnection(self._connect, MAX_ANSWER_BYTES)
 
     async def read(self, table):
         """Return a :class:`Snapshot` of all rows of a table.
@@ -117,7 +117,7 @@
         deadline = self._clock.now() + self._timeout
         host, port = self._address.host, self._address.port
         stream = await connect(host, port, deadline, self._clock, self._source_ip)
-        watch_silence(stream.socket)
+        enable_keepalive(stream.socket)
         return stream
 
 
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -9,16 +9,16 @@
 from ipaddress import IPv4Address
 from math import isfinite
 
-from heathercleat.platform.units import seconds
+from heathercleat.platform.units import parse_duration
 from heathercleat.steering.process.capacity.target import TargetEntry
 
 #: State on the wire, and whether such a target takes no new requests.
 _STATES = {"ready": False, "draining": True}
 _MOST_PORT = 65535
 #: Far above what any target is known to take (3 to 6), and what this VM could send it.
-MOST_SLOTS = 10_000
+MAX_SLOTS = 10_000
 #: Counts and times of day beyond this are no such thing (2 to the power of 63).
-MOST_COUNT = 1 << 63
+MAX_COUNT = 1 << 63
 #: Characters of a value that an error shows.
 _SHOWN = 60
 
@@ -40,7 +40,7 @@
         host=host,
         port=port,
         failure_domain=_text(document, "zone"),
-        slots=_whole(document, "slots", least=1, most=MOST_SLOTS),
+        slots=_whole(document, "slots", least=1, most=MAX_SLOTS),
         draining=_draining(document),
         cold_for=_cold_for(document),
         sequence=_whole(document, "sequence"),
@@ -89,7 +89,7 @@
 
 def _cold_for(document):
     text = _text(document, "coldRemaining")
-    number = seconds(text)
+    number = parse_duration(text)
     if not (isfinite(number) and number >= 0):
         raise _bad("coldRemaining", text, "a time of 0 or more")
     return number
@@ -103,7 +103,7 @@
     return value
 
 
-def _whole(document, name, least=0, most=MOST_COUNT):
+def _whole(document, name, least=0, most=MAX_COUNT):
     """Return a field that is a whole number; ``True`` is none."""
     value = document.get(name)
     if type(value) is not int or not least <= value <= most:
--- a/src/heathercleat/platform/units.py
+++ b/src/heathercleat/platform/units.py
@@ -3,7 +3,7 @@
 _MILLISECONDS = "ms"
 
 
-def seconds(text):
+def parse_duration(text):
     """Return the seconds of a time such as ``1500ms`` or ``2.5s``.
 
     :raises ValueError: when the text has no such form.
@@ -15,7 +15,7 @@
     raise ValueError(f'"{text}" is not a time; write it like 1500ms or 2.5s')
 
 
-def version_number(text):
+def parse_version(text):
     """Return the number of a version such as ``r12``.
 
     :raises ValueError: when the text has no such form.
--- a/src/heathercleat/platform/names.py
+++ b/src/heathercleat/platform/wire_names.py
@@ -7,7 +7,7 @@
 #: Name of the cookie that groups requests for the same object.
 AFFINITY_COOKIE = "Affinity-Key"
 #: A target's proof that the answer is its own.
-SIGNATURE = b"response-signature"
+RESPONSE_SIGNATURE = b"response-signature"
 #: The incarnation of a target that a request is meant for.
 EXPECTED_INSTANCE = b"expected-instance"
 #: Running requests, waiting requests and slots of a target, with commas.
--- a/src/heathercleat/process/once/ledger.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -39,7 +39,7 @@
     finished: Signal = field(default_factory=Signal)
 
 
-class OnceLedger:
+class DeduplicationTable:
     """Entries by ticket id and key.
 
     :param clock: source of instants.
--- a/src/heathercleat/process/once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -10,10 +10,10 @@
 
 from heathercleat.errors import PlatformError
 from heathercleat.events import Event
+from heathercleat.process.at_most_once.claims import CLAIM_PREFIX, bucket_end
+from heathercleat.process.at_most_once.deduplication import RETENTION
 from heathercleat.process.configuration.platform import Condition, Write
-from heathercleat.process.once.claims import CLAIM_PREFIX, bucket_end
-from heathercleat.process.once.ledger import RETENTION
-from heathercleat.version.hashing import ranked
+from heathercleat.version.hashing import rank_by_weight
 
 #: Seconds between two looks for old rows, and between two full batches.
 SWEEP_INTERVAL = 60.0
@@ -65,7 +65,7 @@
 
     def _is_sweeper(self):
         names = [entry.name for entry in self._vm.directory.entries]
-        return ranked("sweeper", names)[:1] == [self._vm.name]
+        return rank_by_weight("sweeper", names)[:1] == [self._vm.name]
 
     async def _sweep_batch(self):
         """Remove the oldest rows; keys are in the order of their buckets."""
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -14,12 +14,12 @@
 from curio.errors import TaskTimeout
 
 from heathercleat.codes import ResultCode
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.capacity.queue import ServiceQueue, Waiter
 
 #: The expected wait where there is no slot: a lease may still come.
-NEVER = float("inf")
+UNBOUNDED_WAIT = float("inf")
 PUMP_INTERVAL = 0.02
 #: Shortest mean time after which a refused caller is asked to come back, in seconds.
 MIN_RETURN = 1.0
@@ -65,7 +65,7 @@
         self._queues = {}
         self._waiter_came = Signal()
         self._on_handed_over = None
-        holder.on_room(self.pump)
+        holder.on_lease_gained(self.pump)
 
     def on_handed_over(self, callback):
         """Call ``await callback(vm, use)`` when a handed-over request is done."""
@@ -80,7 +80,7 @@
 
         :param avoid: names of targets that the request must not go to.
         :raises RequestError: when there is no room within the queue's limits.
-        :raises CallerLeftError: when the caller leaves while the request waits.
+        :raises CallerDisconnectedError: when the caller leaves while the request waits.
         """
         queue = self._queue(request.service.name)
         if not queue.waiters:
@@ -156,9 +156,9 @@
 
         Until a search for leases has fallen short, more slots than those held may come.
         """
-        if self._holder.short_at(service.name) < queue.empty_at:
+        if self._holder.last_shortfall_at(service.name) < queue.empty_at:
             return False
-        return longest < self._drain_time(service) < NEVER
+        return longest < self._drain_time(service) < UNBOUNDED_WAIT
 
     def _local_slots(self, service):
         if not self._membership.may_act():
@@ -176,7 +176,7 @@
     def _wait_with(self, service, slots):
         queue = self._queue(service.name)
         if not slots:
-            return NEVER
+            return UNBOUNDED_WAIT
         return (len(queue.waiters) + 1) * queue.mean_hold / slots
 
     def _try(self, request, avoid, patience):
@@ -258,7 +258,7 @@
     async def _wait_until(self, waiter, limit):
         """Wait for a permit, the loss of the place, or the instant ``limit``.
 
-        :raises CallerLeftError: when the caller leaves meanwhile.
+        :raises CallerDisconnectedError: when the caller leaves meanwhile.
         """
         watcher = None
         if waiter.request.ends_with_caller:
@@ -271,7 +271,7 @@
             if watcher is not None:
                 await watcher.cancel()
         if waiter.left:
-            raise CallerLeftError
+            raise CallerDisconnectedError
 
     async def _watch_caller(self, waiter):
         if await waiter.request.stream.wait_closed():
@@ -318,7 +318,7 @@
 
     def _refusal(self, request, reason):
         wait = self.expected_wait(request.service)
-        mean = max(MIN_RETURN, 0.0 if wait == NEVER else wait)
+        mean = max(MIN_RETURN, 0.0 if wait == UNBOUNDED_WAIT else wait)
         retry_at = self._clock.wall() + uniform(0.5 * mean, 1.5 * mean)
         self._vm.journal.write(
             Event.ROUTE_REFUSED,
@@ -375,4 +375,4 @@
 
     @staticmethod
     def _round(seconds):
-        return None if seconds == NEVER else round(seconds, 4)
+        return None if seconds == UNBOUNDED_WAIT else round(seconds, 4)
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from heathercleat.version.reach import Reach
+from heathercleat.version.domain_ranking import DomainRanking
 
 #: Seconds for which candidates are kept, and so a drain may be noticed late.
-KEPT_SECONDS = 0.2
+CACHE_TTL_SECONDS = 0.2
 #: Failure domains that a look-up falls back on.
 MAX_FAR_DOMAINS = 3
 #: Weight of a VM that is the home of no target, against one slot.
@@ -62,7 +62,7 @@
         state = self._state()
         if known is None or known.state != state or known.expires_at <= now:
             domains = list(self._build(service, domain, avoided))
-            known = Candidates(domains, state, now + KEPT_SECONDS)
+            known = Candidates(domains, state, now + CACHE_TTL_SECONDS)
             self._candidates[place] = known
         return known.domains
 
@@ -72,9 +72,9 @@
 
     def _build(self, service, domain, avoided):
         """Yield the best domains with entry VMs; those without targets come last."""
-        reach = Reach(self._vm.text, self._clock.wall(), avoided)
+        reach = DomainRanking(self._vm.text, self._clock.wall(), avoided)
         found = 0
-        for other in reach.ordered(service, domain):
+        for other in reach.rank_domains(service, domain):
             entries = self._vm.entry_vms(other)
             if not entries:
                 continue
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -55,7 +55,7 @@
     trial_at: float = 0.0
 
 
-class HealthBoard:
+class HealthTracker:
     """The health of every target homed here.
 
     :param vm: the process: settings, text, journal.
@@ -81,7 +81,7 @@
         load = (entry.used(self._clock.now()) + 1) / limit
         return load * (self.of(entry.target.name).latency + 0.001)
 
-    def succeeded(self, target, seconds):
+    def record_success(self, target, seconds):
         """Note a whole answer that took ``seconds``."""
         health = self.of(target.name)
         health.failures = 0
@@ -107,13 +107,13 @@
         health.trial_at = now + TRIAL_INTERVAL
         return True
 
-    def refused(self, target):
+    def record_refusal(self, target):
         """Note that the target shed a request: offer it less for a moment."""
         entry = self._ledger.targets.get(target.name)
         if entry is not None:
             self._warm_up(entry)
 
-    def failed(self, target, reason):
+    def record_failure(self, target, reason):
         """Note a failure of the target itself."""
         health = self.of(target.name)
         health.failures += 1
@@ -196,7 +196,7 @@
         )
 
     def _reason(self, entry, text, now, wall):
-        drain = text.draining(entry.target, wall)
+        drain = text.find_drain(entry.target, wall)
         if drain is not None:
             return f"drain {drain.id}"
         health = self.of(entry.target.name)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -11,25 +11,25 @@
 
 from curio import TaskGroup, sleep
 
-from heathercleat.connection.messages import Acquire, Handover, Released
+from heathercleat.connection.messages import AcquireTargets, Handover, SlotReleased
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.capacity.covers import Vouched, occupied_until
+from heathercleat.process.capacity.occupancy import OccupancyBound, occupied_until
 from heathercleat.process.capacity.slots import CANCEL_GRACE, CLOCK_SKEW, Hold
 from heathercleat.process.clock import from_wall, to_wall
-from heathercleat.process.membership.member import DEAD_AFTER, LEASE
-from heathercleat.version.transition import Transition
+from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
+from heathercleat.version.version_transition import VersionTransition
 
 CHECK_INTERVAL = 0.1
 #: Seconds between attempts to tell that a request handed over is done.
 TELL_INTERVAL = 0.25
 #: Seconds for which a handover is kept while other VMs do not answer: until one of them
 #: that is silent counts as dead.
-HANDOVER_KEPT = DEAD_AFTER + LEASE
+HANDOVER_RETENTION_SECONDS = DEAD_AFTER + HOME_LEASE_SECONDS
 
 
 @dataclass(slots=True, frozen=True)
-class KeptHandover:
+class PendingHandover:
     """What an earlier home told of a target that is not adopted yet.
 
     ``holds`` and ``levels`` are as in a :class:`Handover`; ``until`` is an instant.
@@ -40,7 +40,7 @@
     until: float
 
 
-class Homes:
+class HomeManager:
     """Keeps the ledger's targets equal to those that this VM is the home of.
 
     :param vm: the process: settings, text in force, journal.
@@ -63,12 +63,12 @@
         self._contested = set()
         self._kept = {}
         self._released = set()
-        self._transition = Transition()
+        self._transition = VersionTransition()
         self._desired_state = None
         self._desired_pairs = []
 
     async def run(self):
-        """Acquire targets as the text and the membership change."""
+        """AcquireTargets targets as the text and the membership change."""
         while True:
             if self._vm.text is not None:
                 self._follow_text()
@@ -86,7 +86,7 @@
         self._released.clear()
 
     def hand_over(self, receiver, names):
-        """Answer an :class:`Acquire` with what is known of the occupied slots.
+        """Answer an :class:`AcquireTargets` with what is known of the occupied slots.
 
         :raises PeerError: when this VM is acquiring one of them and goes first.
         """
@@ -119,7 +119,7 @@
         vouched = [astuple(each) for each in self._records.vouched(names)]
         return Handover(targets, levels, vouched)
 
-    async def tell_released(self, receiver, use):
+    async def report_released(self, receiver, use):
         """Tell the new home of a target that a request handed over with it is done.
 
         It is told again until it answers or has no slot held for the request any more.
@@ -134,24 +134,24 @@
         if member is None:
             return True
         try:
-            await self._links.call(member.host, Released(use.target, use.id))
+            await self._links.call(member.host, SlotReleased(use.target, use.id))
         except PeerError:
             return False
         return True
 
-    def note_released(self, target, use_id):
+    def record_released(self, target, use_id):
         """Free the slot of a request that an earlier home reported as done.
 
         The report may overtake the adoption of the target, which waits for other VMs.
         """
         if target in self._acquiring or target in self._kept:
             self._released.add((target, use_id))
-        self._ledger.drop_hold(target, use_id)
+        self._ledger.release_hold(target, use_id)
 
     def _follow_text(self):
         """Take the limits of the text in force, the smaller ones while it spreads."""
         text, now = self._vm.text, self._clock.now()
-        settled = self._transition.settle(now)
+        settled = self._transition.expire_superseded(now)
         if text is self._transition.text and not settled:
             return
         if text is not self._transition.text:
@@ -210,7 +210,7 @@
 
     async def _ask_all(self, names):
         """Return the handover of every running VM, ``None`` for one without answer."""
-        question = Acquire(self._vm.name, names)
+        question = AcquireTargets(self._vm.name, names)
         async with TaskGroup() as group:
             tasks = [
                 await group.spawn(self._ask, member.host, question)
@@ -225,12 +225,12 @@
             return None
 
     def _keep(self, handovers):
-        until = self._clock.now() + HANDOVER_KEPT
+        until = self._clock.now() + HANDOVER_RETENTION_SECONDS
         for handover in handovers:
             if handover is None:
                 continue
             for name, holds in handover.targets.items():
-                kept = KeptHandover(holds, handover.levels[name], until)
+                kept = PendingHandover(holds, handover.levels[name], until)
                 self._kept.setdefault(name, []).append(kept)
 
     def _take_kept(self, name):
@@ -278,7 +278,7 @@
     def _occupied_until(self, service, target, handovers):
         vouched = list(self._records.vouched([target.name]))
         for handover in handovers:
-            told = (Vouched(*fields) for fields in handover.vouched)
+            told = (OccupancyBound(*fields) for fields in handover.vouched)
             vouched.extend(each for each in told if each.target == target.name)
         return occupied_until(self._clock, service, vouched)
 
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -20,7 +20,7 @@
 )
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.clock import NEVER, from_wall, to_wall
+from heathercleat.process.clock import DISTANT_PAST, from_wall, to_wall
 
 #: Seconds for which a lease is granted or renewed.
 LEASE_TTL = 1.0
@@ -163,7 +163,7 @@
 class LeaseHolder:
     """The leases that this VM holds, and the search for more.
 
-    :param on_room: a coroutine function called with the service that gained room.
+    :param on_lease_gained: a coroutine function called with the service that gained room.
     """
 
     def __init__(self, vm, links, directory, clock):
@@ -178,7 +178,7 @@
         self._on_room = None
         self._gained = Signal()
 
-    def on_room(self, callback):
+    def on_lease_gained(self, callback):
         """Call ``await callback(service)`` whenever a lease is gained."""
         self._on_room = callback
 
@@ -186,9 +186,9 @@
         """Return the leases held for a service."""
         return self._leases.get(service, [])
 
-    def short_at(self, service):
+    def last_shortfall_at(self, service):
         """Return when a search last ended without all the slots that it wanted."""
-        return self._short_at.get(service, NEVER)
+        return self._short_at.get(service, DISTANT_PAST)
 
     def take(self, service, avoid, patience):
         """Use a slot of the nearest lease with room.
--- a/src/heathercleat/process/capacity/covers.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -14,23 +14,23 @@
 from curio import Lock, TaskGroup
 
 from heathercleat.codes import ResultCode
-from heathercleat.connection.messages import Cover
+from heathercleat.connection.messages import OccupancyNotice
 from heathercleat.errors import PeerError, RequestError
-from heathercleat.process.clock import NEVER, from_wall, to_wall
+from heathercleat.process.clock import DISTANT_PAST, from_wall, to_wall
 
 #: Requests that end within this many seconds need no cover.
-SHORT = 2.0
+MAX_UNANNOUNCED_SECONDS = 2.0
 #: Seconds by which a cover is announced further than needed, to announce it seldom.
-SLACK = 5.0
+ANNOUNCEMENT_MARGIN_SECONDS = 5.0
 
 
 #: Seconds back to which a VM that was found dead, and may still run, could have been
 #: the home of a target without having said so.
-UNCERTAIN = 2 * SHORT
+UNCERTAIN_HOME_SECONDS = 2 * MAX_UNANNOUNCED_SECONDS
 
 
 @dataclass(slots=True, frozen=True)
-class Vouched:
+class OccupancyBound:
     """What a monitor knows of a home that ended.
 
     The target may be occupied until ``until`` (epoch seconds). ``gone`` tells that the
@@ -51,7 +51,7 @@
     edition: int
 
 
-class CoverPublisher:
+class OccupancyPublisher:
     """Announces the covers of the targets homed here to the monitors of this VM.
 
     :param vm: the identity of this VM.
@@ -77,11 +77,11 @@
         :param deadline: an instant of this process.
         :raises RequestError: when a monitor does not acknowledge; nothing was run.
         """
-        if deadline <= self._clock.now() + SHORT:
+        if deadline <= self._clock.now() + MAX_UNANNOUNCED_SECONDS:
             return
         async with self._lock:
             if self._until.get(target, 0.0) < deadline:
-                self._set(target, deadline + SLACK)
+                self._set(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
             if not await self._tell_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
@@ -99,9 +99,9 @@
                 del self._editions[target]
                 self._edition += 1
             for target, until in holds.items():
-                if until > self._held.get(target, NEVER):
+                if until > self._held.get(target, DISTANT_PAST):
                     self._held[target] = until
-                    self._set(target, max(until, self._until.get(target, NEVER)))
+                    self._set(target, max(until, self._until.get(target, DISTANT_PAST)))
             if self._until or self._told:
                 await self._tell_all(self._edition)
 
@@ -112,7 +112,7 @@
 
     async def _tell_all(self, edition):
         """Tell the monitors that have not acknowledged an edition; return success."""
-        monitors = self._membership.answering_monitors()
+        monitors = self._membership.responsive_monitors()
         names = {member.vm for member in monitors}
         self._told = {name: told for name, told in self._told.items() if name in names}
         missing = [each for each in monitors if not self._knows(each, edition)]
@@ -140,7 +140,7 @@
             for target, until in self._until.items()
         }
         try:
-            cover = Cover(self._vm.name, self._vm.incarnation, covers)
+            cover = OccupancyNotice(self._vm.name, self._vm.incarnation, covers)
             await self._links.call(member.host, cover)
         except PeerError:
             return False
@@ -148,7 +148,7 @@
         return True
 
 
-class CoverRecords:
+class OccupancyRecords:
     """The covers that other homes have announced to this VM as their monitor.
 
     :param membership: tells whether this VM heard a home until its end.
@@ -168,7 +168,7 @@
         self._records.clear()
 
     def vouched(self, targets):
-        """Yield a :class:`Vouched` for each of the targets of homes that ended."""
+        """Yield a :class:`OccupancyBound` for each of the targets of homes that ended."""
         for vm, (incarnation, covers) in self._records.items():
             if not self._membership.heard_until_end(vm, incarnation):
                 continue
@@ -176,19 +176,19 @@
             for target in targets:
                 if target in covers:
                     until, held = covers[target]
-                    yield Vouched(target, vm, held if gone else until, gone)
+                    yield OccupancyBound(target, vm, held if gone else until, gone)
 
     def _is_gone(self, vm, incarnation):
         # Another VM may have become the home a moment before it was lost as well.
         return self._membership.is_gone(vm, incarnation) and self._membership.all_gone(
-            UNCERTAIN
+            UNCERTAIN_HOME_SECONDS
         )
 
 
 def occupied_until(clock, service, vouched):
     """Return the instant until which a target may be occupied that nobody handed over.
 
-    :param vouched: a :class:`Vouched` of every monitor that has one; without any only
+    :param vouched: a :class:`OccupancyBound` of every monitor that has one; without any only
         the longest timeout of the service is certain.
     """
     now = clock.now()
@@ -205,5 +205,5 @@
 
 
 def _occupied(clock, vouched, now):
-    least = now if vouched.gone else now + SHORT
+    least = now if vouched.gone else now + MAX_UNANNOUNCED_SECONDS
     return max(from_wall(clock, vouched.until), least)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -17,8 +17,8 @@
 
 from heathercleat.connection.messages import FetchReadiness, Readiness
 from heathercleat.errors import PeerError
-from heathercleat.process.clock import NEVER
-from heathercleat.process.membership.peers import CALL_TIMEOUT
+from heathercleat.process.clock import DISTANT_PAST
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT
 
 CHECK_INTERVAL = 0.25
 #: Seconds for which look-ups wait until a VM that starts has asked homes once.
@@ -29,9 +29,9 @@
 ENOUGH = 0.5
 #: Seconds for which a domain that was ready may not be before callers are sent away:
 #: homes that are handed over are back sooner, and a look-up is kept for longer.
-GRACE = 0.5
+DIVERT_DELAY_SECONDS = 0.5
 #: Seconds for which the answer for a service is kept.
-KEPT_SECONDS = 0.1
+SHARE_CACHE_TTL_SECONDS = 0.1
 #: Other failure domains asked while this one is not ready, the nearest first.
 MAX_DOMAINS = 6
 
@@ -44,7 +44,7 @@
     expires_at: float
 
 
-class ReadinessBoard:
+class ReadinessTracker:
     """The readiness of each service, here and in near failure domains.
 
     :param vm: the process: text, settings, homes, VM list.
@@ -88,12 +88,15 @@
         :param position: the caller's position, from 0 up to 1.
         """
         shares = self._shares(service)
-        ready_at = self._ready_at.get(service.name, NEVER)
-        if position < shares[self._here] or self._clock.now() < ready_at + GRACE:
+        ready_at = self._ready_at.get(service.name, DISTANT_PAST)
+        if (
+            position < shares[self._here]
+            or self._clock.now() < ready_at + DIVERT_DELAY_SECONDS
+        ):
             return frozenset()
         return frozenset(name for name, each in shares.items() if position >= each)
 
-    async def wait_asked(self):
+    async def wait_first_round(self):
         """Return when homes were asked once, or after ``FIRST_ROUND``.
 
         A VM that has just started would else send callers to homes that start as well.
@@ -177,7 +180,7 @@
             else:
                 for domain in self._near_domains():
                     shares[domain] = self._share(service, domain)
-            known = KnownShares(shares, now + KEPT_SECONDS)
+            known = KnownShares(shares, now + SHARE_CACHE_TTL_SECONDS)
             self._known[service.name] = known
         return known.shares
 
@@ -185,7 +188,7 @@
         wall = self._clock.wall()
         homes, totals = self._homes(domain), {}
         for target in service.targets_in(domain):
-            if not self._vm.text.draining(target, wall):
+            if not self._vm.text.find_drain(target, wall):
                 home = homes.get(target.name)
                 totals[home] = totals.get(home, 0) + target.limit
         total = sum(totals.values())
--- a/src/heathercleat/process/capacity/budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -1,9 +1,9 @@
 """A budget that keeps retries to a share of the requests."""
 
 #: Retries earned by each request.
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 #: Retries that may be saved up.
-MAX_SAVED = 10.0
+MAX_BALANCE = 10.0
 
 
 class RetryBudget:
@@ -13,7 +13,7 @@
     :param saved: how many retries may be saved up.
     """
 
-    def __init__(self, share=RETRY_SHARE, saved=MAX_SAVED):
+    def __init__(self, share=RETRY_RATIO, saved=MAX_BALANCE):
         self._share = share
         self._limit = saved
         self._balance = saved
@@ -23,11 +23,11 @@
         """Return the retries left."""
         return self._balance
 
-    def earn(self):
+    def deposit(self):
         """Note a first attempt."""
         self._balance = min(self._limit, self._balance + self._share)
 
-    def spend(self):
+    def withdraw(self):
         """Take one retry; return whether there was one."""
         if self._balance < 1:
             return False
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -10,7 +10,7 @@
 from math import ceil
 from secrets import randbits
 
-from heathercleat.process.capacity.shift import ShiftWindow
+from heathercleat.process.capacity.shift_window import ShiftWindow
 
 #: Seconds that a target may need to free the slot of a cancelled request.
 CANCEL_GRACE = 0.25
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Use:
+class SlotUse:
     """A request of this VM or of a lease holder that occupies a slot of a target."""
 
     id: int
@@ -158,7 +158,7 @@
         for id_ in lapsed:
             del self.leases[id_]
 
-    def note_shift(self, now):
+    def record_spill(self, now):
         """Tell the shift window how many slots other failure domains hold."""
         if self.shift is not None:
             self.shift.record(self.foreign(now), now)
@@ -211,7 +211,7 @@
         cap = target.shift_cap
         if entry.shift is None or cap is None:
             entry.shift = _shift_window(target)
-            entry.note_shift(self._clock.now())
+            entry.record_spill(self._clock.now())
         else:
             entry.shift.adjust(cap.slots, cap.window)
         entry.target = target
@@ -230,7 +230,7 @@
         self._index()
         now = self._clock.now()
         entry.closed = True
-        entry.note_shift(now)
+        entry.record_spill(now)
         for use in entry.uses.values():
             self._handed_over[use.id] = receiver
         levels = entry.shift.points if entry.shift is not None else []
@@ -247,7 +247,7 @@
         """Occupy a free slot for a request of this VM, or return ``None``."""
         if not entry.free(self._clock.now()):
             return None
-        use = Use(self._new_id(), entry.target.name, deadline)
+        use = SlotUse(self._new_id(), entry.target.name, deadline)
         entry.uses[use.id] = use
         return use
 
@@ -268,7 +268,7 @@
             expires_at,
         )
         entry.leases[lease.id] = lease
-        entry.note_shift(self._clock.now())
+        entry.record_spill(self._clock.now())
         return lease
 
     def renew(self, lease_id, expires_at):
@@ -296,11 +296,11 @@
         if self._targets[lease.target].blocked:
             return None
         lease.uses += 1
-        use = Use(self._new_id(), lease.target, deadline, lease)
+        use = SlotUse(self._new_id(), lease.target, deadline, lease)
         self._targets[lease.target].uses[use.id] = use
         return use
 
-    def give_back(self, lease_id, keep=0):
+    def return_lease(self, lease_id, keep=0):
         """Take back the slots of a lease beyond ``keep``, or end it early.
 
         Requests under the lease keep their slots.
@@ -314,7 +314,7 @@
             lease.expires_at = now
         entry = self._targets[lease.target]
         entry.prune(now)
-        entry.note_shift(now)
+        entry.record_spill(now)
 
     def release(self, use, certain):
         """Free the slot of a request.
@@ -332,16 +332,16 @@
             use.lease.uses -= 1
         if not certain:
             self._linger(entry, use, now)
-        entry.note_shift(now)
+        entry.record_spill(now)
         return receiver
 
-    def drop_hold(self, target, use_id):
+    def release_hold(self, target, use_id):
         """Free the slot of a request that an earlier home reported as done."""
         entry = self._targets.get(target)
         if entry is None:
             return
         entry.holds = [hold for hold in entry.holds if hold.use_id != use_id]
-        entry.note_shift(self._clock.now())
+        entry.record_spill(self._clock.now())
 
     def _linger(self, entry, use, now):
         # The lease shrinks by the slot held here, or its holder could fill it again
--- a/src/heathercleat/process/clock.py
+++ b/src/heathercleat/process/clock.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 #: An instant before every other one.
-NEVER = float("-inf")
+DISTANT_PAST = float("-inf")
 
 
 class Clock(Protocol):
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -10,12 +10,12 @@
 from heathercleat.version.document import (
     HEAD_KEY,
     Document,
-    Head,
+    VersionHead,
     object_key,
     unpack_document,
     unpack_head,
 )
-from heathercleat.version.ramp import away_share
+from heathercleat.version.drain_ramp import departed_share
 from heathercleat.version.text import Drain, DrainScope
 
 #: Tries to find out whether an edit took effect after a lost reply.
@@ -86,7 +86,7 @@
         raise HeathercleatError(ResultCode.EDIT_UNKNOWN, message)
 
     async def history(self):
-        """Return every :class:`Head`, the newest first."""
+        """Return every :class:`VersionHead`, the newest first."""
         rows = await self._platform.read_range("config/version/")
         heads = [unpack_head(row.value) for row in rows]
         return sorted(heads, key=lambda head: head.version, reverse=True)
@@ -135,7 +135,7 @@
     async def _write(self, edit, data, row):
         version = edit.base_version + 1
         at = self._clock.wall()
-        head = Head(version, object_key(data), edit.id, edit.author, at).pack()
+        head = VersionHead(version, object_key(data), edit.id, edit.author, at).pack()
         commit = await self._platform.transact(
             [
                 Condition(HEAD_KEY, ABSENT if row is None else row.version),
@@ -193,7 +193,7 @@
     """
     if drain.scope is not DrainScope.FAILURE_DOMAIN:
         return drain
-    return replace(drain, at=max(drain.at, now + text.ramps.lead(drain.name)))
+    return replace(drain, at=max(drain.at, now + text.ramps.ramp_seconds(drain.name)))
 
 
 def plan_drain(document, drain, now):
@@ -235,8 +235,12 @@
     drains = dict(_drains_kept(document, text, now))
     ended = drains.pop(drain_id, None)
     drain = text.drains[drain_id]
-    lead = _lead_of(text, drain)
-    if ended is not None and lead and away_share(drain, lead, now) > 0:
+    ramp_seconds = _lead_of(text, drain)
+    if (
+        ended is not None
+        and ramp_seconds
+        and departed_share(drain, ramp_seconds, now) > 0
+    ):
         drains[drain_id] = [*ended[:3], drain.until or now]
     return Document(document.source, drains)
 
@@ -245,14 +249,14 @@
     """Yield the planned drains, without those whose callers have returned."""
     for id_, fields in document.drains.items():
         drain = text.drains[id_]
-        if drain.until is None or away_share(drain, _lead_of(text, drain), now) > 0:
+        if drain.until is None or departed_share(drain, _lead_of(text, drain), now) > 0:
             yield id_, fields
 
 
 def _lead_of(text, drain):
     if drain.scope is not DrainScope.FAILURE_DOMAIN:
         return 0.0
-    return text.ramps.lead(drain.name)
+    return text.ramps.ramp_seconds(drain.name)
 
 
 def to_drain(id_, scope, name, at):
--- a/src/heathercleat/process/configuration/keeper.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -14,9 +14,9 @@
     Announcement,
     Configuration,
     FetchConfiguration,
-    FetchVms,
     MemberRecord,
-    Vms,
+    VmListRequest,
+    VmListResponse,
 )
 from heathercleat.errors import FindingsError, PeerError, PlatformError
 from heathercleat.events import Event
@@ -28,7 +28,7 @@
     unpack_document,
     unpack_head,
 )
-from heathercleat.version.hashing import ranked
+from heathercleat.version.hashing import rank_by_weight
 
 #: VMs of a failure domain that ask the platform.
 READERS = 2
@@ -40,7 +40,7 @@
 FETCH_TIMEOUT = 5.0
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Keeps the newest configuration and VM list that this VM has seen.
 
     :param vm: the process, told of each new version.
@@ -115,7 +115,7 @@
         self._vm.configuration_changed(text)
         return True
 
-    async def hint(self, host, version, vm_serial):
+    async def fetch_if_newer(self, host, version, vm_serial):
         """Fetch what a peer has that is newer than what is known here."""
         newer = version > self._version or vm_serial > self._directory.serial
         if newer and host not in self._fetching:
@@ -140,7 +140,7 @@
         self.adopt_vms(vms)
         return True
 
-    def note_claim_failure(self):
+    def record_claim_failure(self):
         """Note that the platform failed a claim, so that tickets do without."""
         self._platform_failures += 1
 
@@ -185,7 +185,9 @@
 
     def _is_reader(self):
         live = self._membership.live()
-        return self._vm.name in ranked("readers", live)[:READERS] or len(live) <= 1
+        return (
+            self._vm.name in rank_by_weight("readers", live)[:READERS] or len(live) <= 1
+        )
 
     def _fallback_due(self):
         interval = FALLBACK_INTERVAL if self._text is not None else READ_INTERVAL
@@ -218,15 +220,15 @@
             theirs = await self._links.call(host, mine)
         except PeerError:
             return
-        await self.hint(host, theirs.version, theirs.vm_serial)
+        await self.fetch_if_newer(host, theirs.version, theirs.vm_serial)
 
     async def _fetch(self, host):
         try:
             answer = await self._links.call(host, FetchConfiguration(), FETCH_TIMEOUT)
             if isinstance(answer, Configuration) and answer.version:
                 self.adopt(answer.version, answer.document, host)
-            vms = await self._links.call(host, FetchVms(), FETCH_TIMEOUT)
-            if isinstance(vms, Vms) and vms.serial >= 0:
+            vms = await self._links.call(host, VmListRequest(), FETCH_TIMEOUT)
+            if isinstance(vms, VmListResponse) and vms.serial >= 0:
                 self.adopt_vms(vm_list(vms.serial, vms.entries))
         except PeerError:
             return
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -17,7 +17,7 @@
     before,
     connect,
 )
-from heathercleat.connection.kept import KeptConnection
+from heathercleat.connection.persistent import PersistentConnection
 from heathercleat.errors import PlatformError
 
 ABSENT = 0
@@ -127,7 +127,7 @@
         self._clock = clock
         self._timeout = timeout
         self._fence = fence
-        self._connection = KeptConnection(self._connect, MAX_ANSWER_BYTES)
+        self._connection = PersistentConnection(self._connect, MAX_ANSWER_BYTES)
 
     async def transact(self, conditions, writes):
         """Apply all writes if every condition holds; return a :class:`Commit`."""
@@ -186,7 +186,7 @@
         return answer
 
     async def _exchange(self, message):
-        await self._fence().pass_through(self._host)
+        await self._fence().wait_if_fenced(self._host)
         return await self._connection.exchange(message)
 
     async def _connect(self):
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -49,11 +49,11 @@
         "distance": distance,
         "slots": target.limit,
     }
-    drain = vm.text.draining(target, vm.clock.wall())
+    drain = vm.text.find_drain(target, vm.clock.wall())
     entry = vm.ledger.targets.get(target.name)
     leases = [
         lease
-        for lease in vm.holder.held(target.service)
+        for lease in vm.lease_holder.held(target.service)
         if lease.target == target.name and lease.has_room(now)
     ]
     if drain is not None:
--- a/src/heathercleat/process/fence.py
+++ b/src/heathercleat/process/fence.py
@@ -28,7 +28,7 @@
         address = ip_address(host)
         return any(address in network for network in self._networks)
 
-    async def pass_through(self, host):
+    async def wait_if_fenced(self, host):
         """Return at once, or never when ``host`` lies behind the fence."""
         if self.covers(host):
             await sleep(FOREVER)
--- a/src/heathercleat/process/listeners.py
+++ b/src/heathercleat/process/listeners.py
@@ -32,9 +32,9 @@
         return len(self._connections)
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether any request is under way."""
-        return any(connection.busy for connection in self._connections)
+        return any(connection.is_busy for connection in self._connections)
 
     def listen(self):
         """Open every port.
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -33,9 +33,9 @@
     async def run(self):
         """Send heartbeats and judge the VMs that this one monitors."""
         while True:
-            self._membership.note_tick()
+            self._membership.record_tick()
             await self._start_tasks()
-            await self.judge()
+            await self.detect_failures()
             await sleep(HEARTBEAT_INTERVAL)
 
     async def send(self, name, host):
@@ -60,14 +60,14 @@
             return
         if ack.accused and heartbeat.incarnation == self._vm.incarnation:
             self._vm.journal.write(Event.ACCUSED, by=name)
-            membership.start_new_life()
+            membership.start_new_incarnation()
             await spawn(membership.announce, daemon=True)
             return
         member.acked_at = max(member.acked_at, sent_at)
         member.silent_from = self._clock.now()
         if ack.digest != membership.digest:
             await membership.exchange_views(host)
-        await self._vm.hint(host, ack.version, ack.vm_serial)
+        await self._vm.fetch_if_newer(host, ack.version, ack.vm_serial)
 
     async def end(self, member):
         """Note that the process of a VM has ended."""
@@ -76,7 +76,7 @@
             self._membership.declare_dead(member)
             await self._membership.announce()
 
-    async def judge(self):
+    async def detect_failures(self):
         """Declare the VMs dead that this one monitors and has not heard."""
         if not self._membership.settled:
             return
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 
 #: Seconds for which an acknowledged heartbeat lets a VM act as a home.
-LEASE = 1.0
+HOME_LEASE_SECONDS = 1.0
 #: Seconds of silence after which a monitor presumes a VM dead.
 DEAD_AFTER = 1.5
 
@@ -41,15 +41,15 @@
     heard_at: float
     acked_at: float
     silent_from: float
-    beat_at: float = NEVER
-    died_at: float = NEVER
+    beat_at: float = DISTANT_PAST
+    died_at: float = DISTANT_PAST
     heard_before: int | None = None
     gone: bool = False
 
     @property
     def heard_to_the_end(self):
         """Return whether heartbeats came until a monitor would have noticed the end."""
-        return self.died_at - self.beat_at <= DEAD_AFTER + LEASE
+        return self.died_at - self.beat_at <= DEAD_AFTER + HOME_LEASE_SECONDS
 
     @property
     def rank(self):
--- a/src/heathercleat/process/membership/members.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -2,7 +2,7 @@
 
 Every VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 does not grow with the number of VMs. A VM may act as a home only while its monitors
-have acknowledged a heartbeat within ``LEASE``; a monitor presumes a VM dead only after
+have acknowledged a heartbeat within ``HOME_LEASE_SECONDS``; a monitor presumes a VM dead only after
 ``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore finds its
 right to act lapsed before anybody takes its place.
 """
@@ -14,7 +14,11 @@
 from heathercleat.connection.messages import MemberRecord, ViewExchange, fields_of
 from heathercleat.errors import PeerError
 from heathercleat.events import Event
-from heathercleat.process.membership.member import LEASE, Member, MemberState
+from heathercleat.process.membership.member import (
+    HOME_LEASE_SECONDS,
+    Member,
+    MemberState,
+)
 from heathercleat.version.hashing import weight
 
 #: Seconds of silence after which a monitor no longer has to acknowledge.
@@ -22,7 +26,7 @@
 #: A gap between two ticks that counts as a pause of this process.
 PAUSE_GAP = 0.75
 #: Seconds after a pause in which this VM only listens.
-SETTLE = 0.5
+SETTLE_SECONDS = 0.5
 #: Seconds for which the record of a dead VM is kept against late news of its life.
 DEAD_KEPT = 3600.0
 MONITORS = 3
@@ -42,7 +46,7 @@
         self._clock = clock
         self._members = {}
         self._digest = 0
-        self._settled_at = clock.now() + SETTLE
+        self._settled_at = clock.now() + SETTLE_SECONDS
         self._last_tick = clock.now()
         self._on_presumed_dead = None
         self._on_pause = None
@@ -98,10 +102,11 @@
         if now < self._settled_at or now - self._last_tick > PAUSE_GAP:
             return False
         return all(
-            member.acked_at + LEASE > now for member in self.answering_monitors()
+            member.acked_at + HOME_LEASE_SECONDS > now
+            for member in self.responsive_monitors()
         )
 
-    def answering_monitors(self):
+    def responsive_monitors(self):
         """Return the monitors whose acknowledgement this VM needs."""
         now = self._clock.now()
         return [
@@ -177,7 +182,7 @@
         """Return the whole view as message fields."""
         return [fields_of(self._to_record(member)) for member in self._members.values()]
 
-    def heard(self, heartbeat):
+    def record_heartbeat(self, heartbeat):
         """Take a heartbeat and return whether its sender was presumed dead."""
         member = self._members.get(heartbeat.vm)
         if member is None or heartbeat.incarnation < member.incarnation:
@@ -253,7 +258,7 @@
             return True
         return member.silent_from + SILENT_AFTER <= now
 
-    def note_tick(self):
+    def record_tick(self):
         """Note that this VM runs, and find out whether it was paused before."""
         now = self._clock.now()
         gap = now - self._last_tick
@@ -262,17 +267,17 @@
             return
         # What was not heard during a pause says nothing about the others. Their silence
         # before it counts, or a VM that stalls often would take no dead one's place.
-        self._settled_at = now + SETTLE
+        self._settled_at = now + SETTLE_SECONDS
         for member in self._members.values():
             member.heard_at = min(now, member.heard_at + gap)
             member.silent_from = min(now, member.silent_from + gap)
         self._vm.journal.write(Event.VM_PAUSED, gap=round(gap, 3))
         if self._on_pause is not None:
             self._on_pause()
-        if gap > LEASE:
-            self.start_new_life()
+        if gap > HOME_LEASE_SECONDS:
+            self.start_new_incarnation()
 
-    def start_new_life(self):
+    def start_new_incarnation(self):
         """Take a new incarnation, after a pause or when it was presumed dead."""
         self._vm.renew_incarnation()
         self._add_self(self._members[self._vm.name].state)
@@ -310,7 +315,7 @@
         if MemberState(item.state) is not MemberState.DEAD:
             return False
         self._vm.journal.write(Event.ACCUSED, by="view")
-        self.start_new_life()
+        self.start_new_incarnation()
         return True
 
     def _add_self(self, state):
--- a/src/heathercleat/process/membership/peers.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -75,7 +75,7 @@
             await stream.close()
 
     async def _call(self, item):
-        await self._vm.fence.pass_through(self._host)
+        await self._vm.fence.wait_if_fenced(self._host)
         async with self._lock:
             done = False
             try:
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -7,32 +7,32 @@
 from heathercleat.codes import ResultCode
 from heathercleat.connection.messages import (
     Accepted,
-    Acquire,
+    AcquireTargets,
     Announcement,
     Challenge,
     ClosedOut,
     CloseOut,
     Configuration,
-    Cover,
     FetchConfiguration,
     FetchReadiness,
-    FetchVms,
     Heartbeat,
     HeartbeatAck,
     Hello,
     LeaseRenewal,
     LeaseRequest,
     LeaseReturn,
+    OccupancyNotice,
     Readiness,
     Refused,
-    Released,
+    SlotReleased,
     ViewExchange,
-    Vms,
+    VmListRequest,
+    VmListResponse,
 )
 from heathercleat.connection.peer import NONCE_BYTES, MessageStream, verify
 from heathercleat.errors import PeerError, RequestError
 from heathercleat.events import Event
-from heathercleat.process.once.ledger import EntryState
+from heathercleat.process.at_most_once.deduplication import EntryState
 
 HELLO_SECONDS = 2.0
 
@@ -48,15 +48,15 @@
         self._handlers = {
             Heartbeat: self._heartbeat,
             ViewExchange: self._view_exchange,
-            Acquire: self._acquire,
-            Released: self._released,
-            Cover: self._cover,
+            AcquireTargets: self._acquire,
+            SlotReleased: self._released,
+            OccupancyNotice: self._cover,
             LeaseRequest: self._lease_request,
             LeaseRenewal: self._lease_renewal,
             LeaseReturn: self._lease_return,
             CloseOut: self._close_out,
             FetchConfiguration: self._fetch_configuration,
-            FetchVms: self._fetch_vms,
+            VmListRequest: self._fetch_vms,
             Announcement: self._announcement,
             FetchReadiness: self._fetch_readiness,
         }
@@ -112,8 +112,8 @@
 
     async def _heartbeat(self, item, hello):
         vm = self._vm
-        accused = vm.membership.heard(item)
-        await vm.configuration.hint(hello.host, item.version, item.vm_serial)
+        accused = vm.membership.record_heartbeat(item)
+        await vm.configuration.fetch_if_newer(hello.host, item.version, item.vm_serial)
         return HeartbeatAck(
             item.sequence, accused, vm.membership.digest, vm.version, vm.vm_serial
         )
@@ -126,21 +126,21 @@
         return self._vm.homes.hand_over(item.vm, item.targets)
 
     async def _released(self, item, hello):
-        self._vm.homes.note_released(item.target, item.use_id)
+        self._vm.homes.record_released(item.target, item.use_id)
         return Accepted()
 
     async def _cover(self, item, hello):
-        self._vm.cover_records.record(item.vm, item.incarnation, item.covers)
+        self._vm.occupancy_records.record(item.vm, item.incarnation, item.covers)
         return Accepted()
 
     async def _lease_request(self, item, hello):
-        return self._vm.granter.grant(item, hello.vm, hello.failure_domain)
+        return self._vm.lease_granter.grant(item, hello.vm, hello.failure_domain)
 
     async def _lease_renewal(self, item, hello):
-        return self._vm.granter.renew(item.lease_id)
+        return self._vm.lease_granter.renew(item.lease_id)
 
     async def _lease_return(self, item, hello):
-        self._vm.ledger.give_back(item.lease_id, item.slots)
+        self._vm.ledger.return_lease(item.lease_id, item.slots)
         return Accepted()
 
     async def _close_out(self, item, hello):
@@ -162,7 +162,7 @@
 
     async def _fetch_vms(self, item, hello):
         directory = self._vm.directory
-        return Vms(directory.serial, directory.to_fields())
+        return VmListResponse(directory.serial, directory.to_fields())
 
     async def _fetch_readiness(self, item, hello):
         text = self._vm.text
@@ -170,5 +170,5 @@
 
     async def _announcement(self, item, hello):
         vm = self._vm
-        await vm.configuration.hint(hello.host, item.version, item.vm_serial)
+        await vm.configuration.fetch_if_newer(hello.host, item.version, item.vm_serial)
         return Announcement(vm.version, vm.vm_serial)
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -29,10 +29,10 @@
             yield observed
         except RequestError as error:
             code, event = error.code, Event.REQUEST_REFUSED
-            if not call.stream.can_answer:
+            if not call.stream.can_respond:
                 event = Event.REQUEST_CUT
             if code is ResultCode.CLAIM_FAILED:
-                self._vm.configuration.note_claim_failure()
+                self._vm.configuration.record_claim_failure()
             raise
         finally:
             if observed.answered:
--- a/src/heathercleat/process/signals.py
+++ b/src/heathercleat/process/signals.py
@@ -27,7 +27,7 @@
             signal.signal(number, self._on_signal)
 
     @property
-    def came_at(self):
+    def received_at(self):
         """Return the instant at which the last signal came that was returned."""
         return self._came_at
 
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -57,5 +57,5 @@
         "free": sum(entry.free(now) for entry in entries),
         "waiting": vm.admission.waiting(name),
         "ready_share": vm.readiness.share(service),
-        "leased": sum(lease.slots for lease in vm.holder.held(name)),
+        "leased": sum(lease.slots for lease in vm.lease_holder.held(name)),
     }
--- a/src/heathercleat/process/guard.py
+++ b/src/heathercleat/process/supervision.py
@@ -5,7 +5,7 @@
 from heathercleat.events import Event
 
 
-async def run_guarded(run, journal, pause):
+async def run_supervised(run, journal, pause):
     """Run a loop; an error in it is logged and the loop starts again.
 
     :param run: the loop, a coroutine function.
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -5,39 +5,39 @@
 
 from curio import TaskGroup, sleep, spawn
 
-from heathercleat.connection.pool import Pool
+from heathercleat.connection.pool import ConnectionPool
 from heathercleat.events import Event
+from heathercleat.process.at_most_once.claims import Claims
+from heathercleat.process.at_most_once.deduplication import DeduplicationTable
+from heathercleat.process.at_most_once.sweeper import ClaimSweeper
 from heathercleat.process.capacity.admission import Admission
-from heathercleat.process.capacity.budget import RetryBudget
 from heathercleat.process.capacity.candidates import CandidateCache
-from heathercleat.process.capacity.covers import CoverPublisher, CoverRecords
-from heathercleat.process.capacity.health import HealthBoard
-from heathercleat.process.capacity.homes import Homes
+from heathercleat.process.capacity.health import HealthTracker
+from heathercleat.process.capacity.homes import HomeManager
 from heathercleat.process.capacity.leases import LeaseGranter, LeaseHolder
-from heathercleat.process.capacity.readiness import ReadinessBoard
+from heathercleat.process.capacity.occupancy import OccupancyPublisher, OccupancyRecords
+from heathercleat.process.capacity.readiness import ReadinessTracker
+from heathercleat.process.capacity.retry_budget import RetryBudget
 from heathercleat.process.capacity.slots import SlotLedger
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.configuration.editing import Editor
-from heathercleat.process.configuration.keeper import ConfigurationKeeper
+from heathercleat.process.configuration.manager import ConfigurationManager
 from heathercleat.process.configuration.platform import HttpPlatform, VmEntry
 from heathercleat.process.fence import Fence
-from heathercleat.process.guard import run_guarded
 from heathercleat.process.listeners import Listeners
 from heathercleat.process.logs import Journal
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.heartbeats import Heartbeats
 from heathercleat.process.membership.member import MemberState
-from heathercleat.process.membership.members import Membership
-from heathercleat.process.membership.peers import PeerLinks
+from heathercleat.process.membership.membership import Membership
+from heathercleat.process.membership.peer_links import PeerLinks
+from heathercleat.process.membership.peer_tokens import PeerTokens
 from heathercleat.process.metrics import Metrics
 from heathercleat.process.observer import CallObserver
-from heathercleat.process.once.claims import Claims
-from heathercleat.process.once.ledger import OnceLedger
-from heathercleat.process.once.sweeper import ClaimSweeper
-from heathercleat.process.once.tokens import PeerTokens
 from heathercleat.process.settings import load_settings
 from heathercleat.process.stalls import Stalls
-from heathercleat.version.blocks import build_blocks
+from heathercleat.process.supervision import run_supervised
+from heathercleat.version.client_blocks import build_client_blocks
 
 #: Seconds added to the life of look-ups before a leaving VM stops listening.
 LEAVE_MARGIN = 1.0
@@ -61,7 +61,7 @@
         self._birth = token_hex(8)
         self._incarnation = int(self._clock.wall() * MILLISECONDS)
         self._journal = Journal(settings.vm, settings.failure_domain)
-        self._blocks = build_blocks({}, [])
+        self._blocks = build_client_blocks({}, [])
         self._budgets = {}
         self._peer_bytes = 0
         self._leave_requested = False
@@ -86,40 +86,40 @@
         self.links = PeerLinks(self, clock)
         self.directory = Directory()
         self.ledger = SlotLedger(clock)
-        self.once = OnceLedger(clock)
-        self.pool = Pool(clock, self._settings.address, self._get_fence)
+        self.once = DeduplicationTable(clock)
+        self.pool = ConnectionPool(clock, self._settings.address, self._get_fence)
         self.membership = Membership(self, self.links, clock)
         self.heartbeats = Heartbeats(self, self.membership, self.links, clock)
-        self.configuration = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             self, self._platform, self.links, self.membership, self.directory, clock
         )
-        self.health = HealthBoard(self, self.ledger, clock)
-        self.cover_records = CoverRecords(self.membership, clock)
-        self.covers = CoverPublisher(self, self.membership, self.links, clock)
-        self.homes = Homes(
+        self.health = HealthTracker(self, self.ledger, clock)
+        self.occupancy_records = OccupancyRecords(self.membership, clock)
+        self.covers = OccupancyPublisher(self, self.membership, self.links, clock)
+        self.homes = HomeManager(
             self,
             self.membership,
             self.ledger,
             self.links,
-            self.cover_records,
+            self.occupancy_records,
             self.covers,
             clock,
         )
-        self.holder = LeaseHolder(self, self.links, self.directory, clock)
+        self.lease_holder = LeaseHolder(self, self.links, self.directory, clock)
         self.stalls = Stalls(clock)
         self.admission = Admission(
             self,
             self.ledger,
-            self.holder,
+            self.lease_holder,
             self.membership,
             self.health,
             self.stalls,
             clock,
         )
-        self.readiness = ReadinessBoard(
+        self.readiness = ReadinessTracker(
             self, self.ledger, self.membership, self.links, clock
         )
-        self.granter = LeaseGranter(
+        self.lease_granter = LeaseGranter(
             self,
             self.ledger,
             self.membership,
@@ -136,8 +136,8 @@
         self.tokens = PeerTokens(self.name, lambda: self._settings.keys, clock)
         self._listeners = Listeners(self)
         self.membership.on_presumed_dead(self.homes.drop_all)
-        self.membership.on_pause(self.cover_records.clear)
-        self.admission.on_handed_over(self.homes.tell_released)
+        self.membership.on_pause(self.occupancy_records.clear)
+        self.admission.on_handed_over(self.homes.report_released)
 
     @property
     def settings(self):
@@ -186,7 +186,7 @@
 
     @property
     def blocks(self):
-        """Return the :class:`BlockTable` in force here."""
+        """Return the :class:`ClientBlockTable` in force here."""
         return self._blocks
 
     @property
@@ -222,9 +222,9 @@
         wall = int(self._clock.wall() * MILLISECONDS)
         self._incarnation = max(self._incarnation + 1, wall)
 
-    async def hint(self, host, version, vm_serial):
+    async def fetch_if_newer(self, host, version, vm_serial):
         """Learn from a peer that a newer version or VM list exists."""
-        await self.configuration.hint(host, version, vm_serial)
+        await self.configuration.fetch_if_newer(host, version, vm_serial)
 
     def budget(self, service):
         """Return the :class:`RetryBudget` of a service."""
@@ -232,7 +232,7 @@
 
     def configuration_changed(self, text):
         """Take a new version of the text."""
-        self._blocks = build_blocks(text.client_blocks, text.failure_domains)
+        self._blocks = build_client_blocks(text.client_blocks, text.failure_domains)
         self.health.check(self._clock.now())
 
     def count_peer_bytes(self, count):
@@ -245,7 +245,7 @@
         return [
             entry
             for entry in self._known_vms(domain)
-            if not self.text.vm_draining(entry.name, domain, now)
+            if not self.text.find_vm_drain(entry.name, domain, now)
         ]
 
     def local_homes(self, service):
@@ -281,7 +281,7 @@
             await group.spawn(self._shut_down)
             await group.spawn(self._listeners.run)
             for run in self._loops():
-                await group.spawn(run_guarded, run, self._journal, CHECK_INTERVAL)
+                await group.spawn(run_supervised, run, self._journal, CHECK_INTERVAL)
         await self.links.close()
         await self.pool.close()
         seconds = round(self._clock.now() - self._left_at, 3)
@@ -294,7 +294,7 @@
             self.configuration.run,
             self.homes.run,
             self.readiness.run,
-            self.holder.run,
+            self.lease_holder.run,
             self.admission.run,
             self.health.run,
             self.claims.run,
@@ -333,14 +333,14 @@
         await sleep(self._settings.lookup_ttl + LEAVE_MARGIN)
         # What came later could be cut by the end of the process.
         await self._listeners.close_to_callers()
-        while self._listeners.busy:
+        while self._listeners.is_busy:
             await sleep(CHECK_INTERVAL)
 
     async def _follow_own_drain(self):
         """Leave the domain's work while a planned drain of this VM is in force."""
         if self.text is None:
             return
-        drain = self.text.vm_draining(self.name, None, self._clock.wall())
+        drain = self.text.find_vm_drain(self.name, None, self._clock.wall())
         if drain is not None and not self.leaving:
             self._journal.write(Event.VM_LEAVING, drain=drain.id)
             await self.membership.leave()
--- a/src/heathercleat/request/run_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -7,10 +7,10 @@
 from heathercleat.connection.messages import CloseOut
 from heathercleat.errors import PeerError, PlatformError, RequestError
 from heathercleat.events import Event
-from heathercleat.process.once.claims import RowState
-from heathercleat.process.once.ledger import EntryState, check_age
+from heathercleat.process.at_most_once.claims import RowState
+from heathercleat.process.at_most_once.deduplication import EntryState, check_age
 from heathercleat.request.call import Outcome
-from heathercleat.request.carry import carry_whole
+from heathercleat.request.proxying import proxy_buffered
 
 
 async def run_once(vm, call):
@@ -22,7 +22,7 @@
     :raises RequestError: with what is known about the run.
     """
     if call.ticket is None:
-        return await carry_whole(vm, call)
+        return await proxy_buffered(vm, call)
     if call.key is None:
         raise RequestError(ResultCode.KEY_MISSING, "a ticket needs an Idempotency-Key")
     if call.ticket.service != call.service.name:
@@ -40,7 +40,7 @@
     state, outcome = EntryState.UNKNOWN, None
     try:
         await _claim(vm, call, entry)
-        outcome = await carry_whole(vm, call)
+        outcome = await proxy_buffered(vm, call)
         state = EntryState.DONE
     except RequestError as error:
         if error.code is ResultCode.TICKET_CLOSED:
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -6,7 +6,7 @@
 
 from heathercleat.codes import ResultCode, Run
 from heathercleat.connection.http import CONNECTION_ERRORS
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.request.headers import (
     CODE,
     DEADLINE,
@@ -98,7 +98,7 @@
 
         :param fresh: use a new connection.
         :raises AttemptFailedError: when it could not be sent.
-        :raises CallerLeftError: when the caller left while its body was sent on.
+        :raises CallerDisconnectedError: when the caller left while its body was sent on.
         """
         await self._connect(fresh)
         try:
@@ -160,7 +160,7 @@
         self._ended = True
         place = self._upstream.host, self._upstream.port
         if whole:
-            await self._pool.give_back(*place, stream)
+            await self._pool.checkin(*place, stream)
         else:
             await self._pool.discard(*place, stream)
 
@@ -227,7 +227,7 @@
                     self.abort()
                     raise AttemptFailedError(code, message)
             elif not isinstance(event, h11.EndOfMessage):
-                raise CallerLeftError
+                raise CallerDisconnectedError
             if not await self._send_part(event):
                 return
             if isinstance(event, h11.EndOfMessage):
@@ -238,7 +238,7 @@
         try:
             event = await self._call.stream.next_event()
         except CONNECTION_ERRORS:
-            raise CallerLeftError from None
+            raise CallerDisconnectedError from None
         self._reading_caller = False
         return event
 
--- a/src/heathercleat/request/call.py
+++ b/src/heathercleat/request/call.py
@@ -39,7 +39,7 @@
         """
         if self.kind.semantics is Semantics.AT_MOST_ONCE:
             return False
-        return self.stream is not None and self.stream.request_complete
+        return self.stream is not None and self.stream.is_request_complete
 
 
 @dataclass(slots=True)
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -7,8 +7,8 @@
 from heathercleat.codes import ResultCode
 from heathercleat.errors import RequestError
 from heathercleat.events import Event
-from heathercleat.request.ticket import issue
-from heathercleat.version.ramp import position_of
+from heathercleat.request.ticket import issue_ticket
+from heathercleat.version.drain_ramp import ramp_position
 from heathercleat.version.text import Semantics
 
 #: Entry VMs in an answer: the nearest ones first, then others to fall back on.
@@ -76,7 +76,7 @@
     drained = vm.text.avoided(client, vm.clock.wall())
     if vm.readiness.share(service) >= 1:
         return drained
-    return drained | vm.readiness.avoided(service, position_of(client))
+    return drained | vm.readiness.avoided(service, ramp_position(client))
 
 
 def _client(query, caller):
@@ -128,7 +128,7 @@
         return {"ticket": None}
     expires_at = now + vm.settings.ticket_ttl
     settings = vm.settings
-    ticket = issue(
+    ticket = issue_ticket(
         settings.keys, vm.name, vm.birth, service.name, vm.claims_wanted, expires_at
     )
     return {
--- a/src/heathercleat/request/carry.py
+++ b/src/heathercleat/request/proxying.py
@@ -5,7 +5,7 @@
 
 from heathercleat.codes import ResultCode, Run
 from heathercleat.connection.http import CONNECTION_ERRORS, before
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.events import Event
 from heathercleat.process.capacity.admission import LeasedPermit
 from heathercleat.request.attempt import (
@@ -37,7 +37,7 @@
 
     :param extra_headers: headers to add to the answer.
     :raises RequestError: with the final answer when there is none from a target.
-    :raises CallerLeftError: when the caller left; its request is cancelled.
+    :raises CallerDisconnectedError: when the caller left; its request is cancelled.
     """
 
     async def deliver(attempt, target):
@@ -46,7 +46,7 @@
     await _attempts(vm, call, deliver)
 
 
-async def carry_whole(vm, call):
+async def proxy_buffered(vm, call):
     """Run a request and return its answer as an :class:`Outcome`.
 
     :raises RequestError: when there is no answer from a target.
@@ -59,7 +59,7 @@
     tried = set()
     uncertain = None
     budget = vm.budget(call.service.name)
-    budget.earn()
+    budget.deposit()
     for number in range(1, MAX_ATTEMPTS + 1):
         target = None
         try:
@@ -71,7 +71,7 @@
             if uncertain is None and error.code.run is not Run.NOT_RUN:
                 uncertain = error
             last = number == MAX_ATTEMPTS or target is None
-            if last or not _may_retry(vm, call, error) or not budget.spend():
+            if last or not _may_retry(vm, call, error) or not budget.withdraw():
                 raise uncertain or error from None
             tried.add(target)
             _log_retry(vm, call, target, error, budget)
@@ -150,8 +150,8 @@
 
 async def _exchange(vm, call, permit, attempt, deliver):
     once = call.kind.semantics is Semantics.AT_MOST_ONCE
-    if not once and call.stream.request_complete and call.stream.is_closed():
-        raise CallerLeftError
+    if not once and call.stream.is_request_complete and call.stream.is_closed():
+        raise CallerDisconnectedError
     await attempt.send(fresh=once)
     if once and call.lease is None:
         # The run goes on without its caller, who gets the outcome with a repeat.
@@ -161,7 +161,7 @@
         return await _receive(vm, call, permit, attempt, deliver)
     except AttemptFailedError:
         if watcher.terminated and watcher.result:
-            raise CallerLeftError from None
+            raise CallerDisconnectedError from None
         raise
     finally:
         await watcher.cancel()
@@ -196,13 +196,13 @@
         return
     status = response.status_code
     if status in REFUSAL_STATUSES:
-        vm.health.refused(permit.target)
+        vm.health.record_refusal(permit.target)
         trusted = call.service.trust_refusals
         if trusted or call.kind.semantics is Semantics.IDEMPOTENT:
             code = ResultCode.TARGET_REFUSED if trusted else ResultCode.ANSWER_LOST
             raise AttemptFailedError(code, f"{permit.target.name} answered {status}")
     if status in SERVER_ERRORS:
-        vm.health.failed(permit.target, "status")
+        vm.health.record_failure(permit.target, "status")
         if call.kind.semantics is Semantics.IDEMPOTENT and status != 500:
             code = ResultCode.ANSWER_LOST
             raise AttemptFailedError(code, f"{permit.target.name} answered {status}")
@@ -212,24 +212,24 @@
     if isinstance(permit, LeasedPermit):
         return
     if attempt.response.status_code not in SERVER_ERRORS:
-        vm.health.succeeded(permit.target, seconds)
+        vm.health.record_success(permit.target, seconds)
 
 
 def _note_failure(vm, permit, error):
     if isinstance(permit, LeasedPermit):
         # The granter refused, or could not be reached: the lease is worth nothing.
-        vm.holder.end(permit.lease)
+        vm.lease_holder.end(permit.lease)
     elif error.blame is not None:
-        vm.health.failed(permit.target, error.blame)
+        vm.health.record_failure(permit.target, error.blame)
 
 
 def _may_retry(vm, call, error):
     """Return whether another attempt can neither double the work nor lose a part."""
     if call.lease is not None or vm.clock.now() >= call.deadline:
         return False
-    if not call.stream.can_answer:
+    if not call.stream.can_respond:
         return False
-    if call.body is None and call.stream.body_started:
+    if call.body is None and call.stream.has_body_started:
         return False
     if error.code.run is Run.NOT_RUN:
         return error.code is not ResultCode.BODY_TOO_LARGE
@@ -255,7 +255,7 @@
         try:
             await call.stream.send(*pending)
         except CONNECTION_ERRORS:
-            raise CallerLeftError from None
+            raise CallerDisconnectedError from None
         pending = []
         if isinstance(event, h11.EndOfMessage):
             return
@@ -263,7 +263,7 @@
 
 async def _watch_caller(call, attempt):
     """Return whether the caller left, after cancelling its request."""
-    if not call.stream.request_complete:
+    if not call.stream.is_request_complete:
         return False
     if not await call.stream.wait_closed():
         return False
--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -33,7 +33,7 @@
     expires_at: float
 
 
-def issue(keys, vm, birth, service, claims, expires_at):
+def issue_ticket(keys, vm, birth, service, claims, expires_at):
     """Return a new ticket as text."""
     ticket_id = token_hex(_ID_BYTES)
     data = msgpack.packb([ticket_id, vm, birth, service, claims, expires_at])
--- a/src/heathercleat/steering/connection/reading.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -8,7 +8,7 @@
 from heathercleat.codes import ResultCode
 from heathercleat.connection.http import before, read_body
 from heathercleat.errors import RequestError
-from heathercleat.platform.headers import read_client_head
+from heathercleat.platform.headers import parse_client_head
 from heathercleat.request.headers import check_framing, end_to_end, find
 from heathercleat.steering.request.call import Call
 from heathercleat.steering.request.fingerprint import fingerprint
@@ -35,14 +35,14 @@
     async def read(self, turn):
         """Read the rest of a request and return its :class:`Call`.
 
-        :param turn: its :class:`Turn`, which takes the body and the memory held.
+        :param turn: its :class:`PipelinedRequest`, which takes the body and the memory held.
         :raises RequestError: with the final answer, when it cannot be served.
         """
         head, arrived_at = turn.head, turn.arrived_at
         headers = list(head.headers)
         check_framing(headers, ResultCode.BAD_REQUEST)
         await self._wait_for_start(arrived_at + START_PATIENCE)
-        client = read_client_head(headers)
+        client = parse_client_head(headers)
         route = self._match(head, headers)
         passed = [each for each in end_to_end(headers) if each[0] != b"content-length"]
         call = Call(
@@ -58,15 +58,15 @@
         call.arrived_at = arrived_at
         call.deadline = arrived_at + min(client.wait, route.timeout)
         now = self._clock.now()
-        call.stop_estimate = self._node.departure.estimate(call, now)
-        self._node.departure.check(call, now)
+        call.stop_estimate = self._node.shutdown.estimate(call, now)
+        self._node.shutdown.check(call, now)
         if turn.body is None:
             turn.body = await self._read_body(turn, headers, call.deadline)
         call.body = turn.body
         # The aim counts from the first attempt: what is late already leaves the slots
         # to those that are not.
-        elapsed = self._node.repeats.elapsed(route.name, client.wait)
-        call.aim_at = arrived_at + route.latency_aim - elapsed
+        elapsed = self._node.retry_detector.elapsed(route.name, client.wait)
+        call.soft_deadline = arrived_at + route.latency_objective - elapsed
         call.returned = elapsed > 0.0
         call.affinity = client.affinity
         call.client_wait = client.wait
@@ -119,7 +119,7 @@
         """
         if size <= 0:
             return
-        if not self._node.bodies.take(size):
+        if not self._node.body_memory.take(size):
             message = f"no memory for a body of {size} bytes beside the others"
             retry_at = self._clock.now() + UNKNOWN_RETURN
             raise RequestError(ResultCode.NO_ROOM, message, retry_at)
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -10,19 +10,19 @@
     before,
     read_body,
 )
-from heathercleat.connection.serving import head_error
-from heathercleat.errors import CallerLeftError, RequestError
-from heathercleat.platform.headers import refusal_headers
+from heathercleat.connection.server import head_error
+from heathercleat.errors import CallerDisconnectedError, RequestError
+from heathercleat.platform.headers import retry_after_headers
 from heathercleat.request.headers import find
-from heathercleat.steering.connection.pipeline import Pipeline, Turn
-from heathercleat.steering.connection.reading import CallReader
+from heathercleat.steering.connection.call_reader import CallReader
+from heathercleat.steering.connection.pipeline import Pipeline, PipelinedRequest
 
 #: Seconds and bytes for which what a client still sends is read after the last answer.
 LINGER_SECONDS = 0.5
 LINGER_BYTES = 8 << 20
 #: Requests of one connection that are served at the same time: an estimate. Each may
 #: take a slot of a target, so that one client could take all of a small service.
-MOST_AHEAD = 8
+MAX_PIPELINED_REQUESTS = 8
 #: Methods whose requests change nothing: RFC 9112, section 9.3.2, lets a server run
 #: several at the same time.
 _SAFE_METHODS = (b"GET", b"HEAD")
@@ -40,24 +40,24 @@
         self._node = node
         self._clock = node.clock
         self._reader = CallReader(node)
-        self._pipeline = Pipeline(MOST_AHEAD, self._abort)
+        self._pipeline = Pipeline(MAX_PIPELINED_REQUESTS, self._abort)
         self._reading = False
         self._closed = False
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether a request is under way or has begun to arrive."""
-        return self._reading or self._pipeline.busy
+        return self._reading or self._pipeline.is_busy
 
     def close_idle(self):
         """End the connection if no request is under way."""
-        if not self.busy:
+        if not self.is_busy:
             self._closed = True
             self._abort()
 
-    async def give_up_blocking(self):
+    async def cancel_blocking_requests(self):
         """Give up the requests that keep ready answers from being sent."""
-        await self._pipeline.give_up_blocking()
+        await self._pipeline.cancel_blocking_requests()
 
     async def serve(self):
         """Read requests and have them served until either side closes."""
@@ -71,7 +71,7 @@
         except CancelledError:
             await self._pipeline.cancel()
             raise
-        except (CallerLeftError, *CONNECTION_ERRORS):
+        except (CallerDisconnectedError, *CONNECTION_ERRORS):
             self._reading = False
             await self._pipeline.drain()
         finally:
@@ -84,7 +84,7 @@
         head = await self._read_head()
         if head is None:
             return False
-        turn = Turn(self._stream, head, self._clock.now())
+        turn = PipelinedRequest(self._stream, head, self._clock.now())
         if not _may_overlap(head):
             async with self._pipeline.alone(turn):
                 await self._serve(turn)
@@ -96,13 +96,13 @@
 
     async def _follow(self):
         """Go on to the next request; return whether the connection can take one."""
-        if not self._stream.request_complete:
+        if not self._stream.is_request_complete:
             await self._linger()
             return False
-        following = self._stream.following()
-        if following is None:
+        next_message_stream = self._stream.next_message_stream()
+        if next_message_stream is None:
             return False
-        self._stream = following
+        self._stream = next_message_stream
         return True
 
     async def _linger(self):
@@ -117,23 +117,23 @@
             call = await self._reader.read(turn)
             answer = await self._steer(turn, call)
             await self._send(turn, answer.status, answer.headers, answer.body)
-            self._node.record.answered(call, answer, self._clock.now())
+            self._node.request_log.answered(call, answer, self._clock.now())
         except RequestError as error:
-            self._node.record.refused(call, error, self._clock.now())
+            self._node.request_log.refused(call, error, self._clock.now())
             await self._refuse(turn, error)
-        except CallerLeftError:
-            self._node.record.left(call, self._clock.now())
+        except CallerDisconnectedError:
+            self._node.request_log.left(call, self._clock.now())
             self._abort()
             raise
         finally:
-            self._node.bodies.give(turn.held)
+            self._node.body_memory.give(turn.held)
 
     async def _steer(self, turn, call):
         """Return the :class:`Answer` to a call.
 
         :raises RequestError: also when it is given up for the answers behind it.
         """
-        with self._node.leavers.watch(call):
+        with self._node.active_requests.watch(call):
             try:
                 return await self._node.steer(call)
             except CancelledError:
@@ -144,9 +144,9 @@
 
     async def _read_head(self):
         """Return the head of the next request, or ``None`` to close."""
-        if not self._stream.head_begun and not await self._wait_for_bytes():
+        if not self._stream.has_partial_head and not await self._wait_for_bytes():
             return None
-        if self._clock.now() >= self._node.departure.keeps_until:
+        if self._clock.now() >= self._node.shutdown.keep_alive_until:
             # The last of the answers that are due closes the connection.
             await self._pipeline.drain()
         if self._closed:
@@ -174,25 +174,27 @@
                 waiting = self._stream.wait_closed()
                 return not await before(idle_until, self._clock, waiting)
             except TimeoutError:
-                if not self._pipeline.busy:
+                if not self._pipeline.is_busy:
                     return False
 
     async def _refuse_head(self, error):
         """Send the final answer to a request whose head could not be read."""
         await self._pipeline.drain()
-        self._node.record.refused(None, error, self._clock.now())
-        await self._refuse(Turn(self._stream, None, self._clock.now()), error)
+        self._node.request_log.refused(None, error, self._clock.now())
+        await self._refuse(
+            PipelinedRequest(self._stream, None, self._clock.now()), error
+        )
 
     async def _refuse(self, turn, error):
         """Send the final answer for an error."""
-        if not turn.stream.can_answer:
+        if not turn.stream.can_respond:
             self._abort()
             return
         headers = [(b"content-type", b"text/plain")]
         if error.retry_at is not None:
             wait = max(0.0, error.retry_at - self._clock.now())
-            headers.extend(refusal_headers(wait))
-        if not turn.stream.request_complete:
+            headers.extend(retry_after_headers(wait))
+        if not turn.stream.is_request_complete:
             headers.append((b"connection", b"close"))
         body = f"{error.code.number} {error.code.name.lower()}\n".encode()
         await self._send(turn, error.code.status, headers, body)
@@ -213,7 +215,7 @@
         await turn.stream.send(*events, h11.EndOfMessage())
         turn.sent = True
         if closes and turn.task is not None:
-            turn.stream.finish()
+            turn.stream.shutdown_write()
 
     def _abort(self):
         self._stream.abort()
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -8,11 +8,11 @@
 from heathercleat.connection.http import CONNECTION_ERRORS, HttpStream, read_body
 from heathercleat.request.headers import end_to_end
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
-from heathercleat.steering.request.answer import End
+from heathercleat.steering.request.attempt_result import AttemptOutcome
 from heathercleat.steering.request.forward import (
-    ORDER,
+    ORDER_HEADER,
     ForwardOrder,
-    call_of,
+    call_from_order,
     result_header,
 )
 
@@ -37,10 +37,10 @@
         version.
     """
 
-    def __init__(self, sock, local, leavers, snapshot, clock):
+    def __init__(self, sock, local, active_requests, snapshot, clock):
         self._stream = HttpStream(sock, h11.SERVER)
         self._local = local
-        self._leavers = leavers
+        self._leavers = active_requests
         self._snapshot = snapshot
         self._clock = clock
 
@@ -60,7 +60,7 @@
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH):
-            await self._send_state(*read_state_path(head.target))
+            await self._send_state(*parse_state_path(head.target))
         else:
             await self._serve_request(head, body, arrived_at)
         return self._stream.next_cycle()
@@ -70,10 +70,10 @@
 
     async def _serve_request(self, head, body, arrived_at):
         headers = list(head.headers)
-        packed = next(value for name, value in headers if name == ORDER)
+        packed = next(value for name, value in headers if name == ORDER_HEADER)
         order = ForwardOrder.unpack(packed)
         passed = [each for each in end_to_end(headers) if each[0] != b"content-length"]
-        call = call_of(order, head, passed, body, self._stream, arrived_at)
+        call = call_from_order(order, head, passed, body, self._stream, arrived_at)
         until = arrived_at + order.wait_for
         # The VM does not end before its answer to the other VM is sent.
         with self._leavers.watch(call):
@@ -84,7 +84,7 @@
             await self._send_result(result)
 
     async def _send_result(self, result):
-        if result.end is End.ANSWERED:
+        if result.end is AttemptOutcome.ANSWERED:
             answer = result.answer
             headers = [*answer.headers, result_header(result)]
             await self._send(answer.status, headers, answer.body)
@@ -104,7 +104,7 @@
     return f"{STATE_PATH.decode()}{table}/{after}"
 
 
-def read_state_path(path):
+def parse_state_path(path):
     """Return the name of the table and the version in the path of a call.
 
     :raises ValueError: when it names none.
@@ -126,7 +126,7 @@
     return zlib.compress(msgpack.packb(fields), FAST)
 
 
-def read_state(body):
+def unpack_state(body):
     """Return the :class:`Snapshot` in an answer for a table.
 
     :raises ValueError: when it does not decode.
--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -7,10 +7,10 @@
 from curio import Event as Signal
 
 from heathercleat.connection.http import CONNECTION_ERRORS
-from heathercleat.errors import CallerLeftError
+from heathercleat.errors import CallerDisconnectedError
 
 
-class Turn:
+class PipelinedRequest:
     """One request's place in the order of answers.
 
     :param stream: the :class:`HttpStream` that its answer is sent on.
@@ -83,7 +83,7 @@
         self._failure = None
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether a request waits for its answer."""
         return bool(self._turns)
 
@@ -101,7 +101,7 @@
     async def start(self, turn, serve):
         """Serve a request beside those before it.
 
-        :param serve: a coroutine that serves the :class:`Turn` to its end.
+        :param serve: a coroutine that serves the :class:`PipelinedRequest` to its end.
         """
         turn.before = self._turns[-1] if self._turns else None
         self._turns.append(turn)
@@ -127,7 +127,7 @@
         while self._turns:
             await self._turns[0].over.wait()
 
-    async def give_up_blocking(self):
+    async def cancel_blocking_requests(self):
         """Give up the requests whose answers are waited for by others that are ready.
 
         A process that ends would lose the ready ones with them.
@@ -148,7 +148,7 @@
     async def _run(self, turn, serve):
         try:
             await serve(turn)
-        except (CallerLeftError, *CONNECTION_ERRORS):
+        except (CallerDisconnectedError, *CONNECTION_ERRORS):
             self._abort()
         except CancelledError:
             self._abort()
--- a/src/heathercleat/steering/process/leavers.py
+++ b/src/heathercleat/steering/process/active_requests.py
@@ -10,7 +10,7 @@
 IDLE_INTERVAL = 0.25
 
 
-class Leavers:
+class ActiveRequests:
     """The requests in progress, each with the stream of its caller."""
 
     def __init__(self):
--- a/src/heathercleat/steering/process/bodies.py
+++ b/src/heathercleat/steering/process/body_memory.py
@@ -2,7 +2,7 @@
 
 #: Fraction of the process memory for bodies; the rest is for socket buffers and the
 #: program.
-SHARE = 0.25
+BODY_MEMORY_SHARE = 0.25
 
 
 class BodyMemory:
@@ -14,7 +14,7 @@
     __slots__ = ("_limit", "_held")
 
     def __init__(self, memory):
-        self._limit = SHARE * memory
+        self._limit = BODY_MEMORY_SHARE * memory
         self._held = 0
 
     @property
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -3,11 +3,15 @@
 from curio import timeout_after
 from curio.errors import TaskTimeout
 
-from heathercleat.steering.process.capacity.queue import ServiceQueue, Waiter, Waits
+from heathercleat.steering.process.capacity.queue import (
+    ServiceQueue,
+    Waiter,
+    WaitEstimate,
+)
 
 #: Seconds by which an expected wait may exceed a request's patience: waits vary by
 #: about a quarter of the time for which a request holds a slot.
-SLACK = 0.05
+WAIT_TOLERANCE_SECONDS = 0.05
 
 
 class Admission:
@@ -23,7 +27,7 @@
         self._clock = clock
         self._queues = {}
 
-    def waiting(self, service):
+    def waiting_count(self, service):
         """Return the number of requests that wait for a service."""
         queue = self._queues.get(service)
         return len(queue.waiters) if queue else 0
@@ -38,7 +42,7 @@
         return 0 if early else target.free(now)
 
     def waits(self, service, call=None):
-        """Return the :class:`Waits` at the targets of a service.
+        """Return the :class:`WaitEstimate` at the targets of a service.
 
         ``None`` without a slot.
 
@@ -47,16 +51,16 @@
         now, queue = self._clock.now(), self._queue(service)
         targets = self._ledger.of_service(service)
         if not queue.early(now) and any(target.free(now) for target in targets):
-            return Waits(0.0, 0.0)
+            return WaitEstimate(0.0, 0.0)
         slots = sum(target.limit(now) for target in targets)
         if not slots:
             return None
-        return queue.waits(slots, now, call and queue.late_before(call, now))
+        return queue.waits(slots, now, call and queue.count_late_before(call, now))
 
-    def wait_of(self, call):
+    def expected_wait(self, call):
         """Return the seconds that a call would wait, ``None`` without a slot."""
         waits = self.waits(call.service, call)
-        hold = self._queue(call.service).mean_hold
+        hold = self._queue(call.service).mean_hold_seconds
         return waits and waits.of(call, self._clock.now(), hold)
 
     async def acquire(self, call, preferred, avoid, until):
@@ -72,16 +76,16 @@
             use = self._try(waiter)
             if use is not None:
                 return use
-        if until <= self._clock.now() or self.is_hopeless(call):
+        if until <= self._clock.now() or self.is_wait_too_long(call):
             return None
         queue.waiters.append(waiter)
-        await self.pump(call.service)
+        await self.admit_queued(call.service)
         try:
             await self._wait(waiter, until)
         finally:
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
-        return waiter.permit
+        return waiter.slot_use
 
     async def release(self, use, answered):
         """Free a slot and give it to the next waiter.
@@ -91,14 +95,14 @@
         service = use.target.entry.service
         now, queue = self._clock.now(), self._queue(service)
         if answered:
-            queue.observe(now - use.began_at)
+            queue.record_hold(now - use.started_at)
         self._ledger.release(use)
         free = use.target.free(now)
         if free:
-            queue.observe_turn(use.target.entry, free, now)
-        await self.pump(service)
+            queue.record_free_slot(use.target.entry, free, now)
+        await self.admit_queued(service)
 
-    async def pump(self, service):
+    async def admit_queued(self, service):
         """Give free slots to the waiters of a service."""
         queue = self._queue(service)
         if not queue.waiters:
@@ -106,15 +110,18 @@
         for target in self._ledger.of_service(service):
             await self._fill(queue, target)
 
-    async def pump_all(self):
+    async def admit_all_queued(self):
         """Give out the slots that came free by the passing of time."""
         for service in list(self._queues):
-            await self.pump(service)
+            await self.admit_queued(service)
 
-    def is_hopeless(self, call):
+    def is_wait_too_long(self, call):
         """Return whether no slot will come free while the request is patient."""
-        wait = self.wait_of(call)
-        return wait is None or self._clock.now() + wait > call.patient_until + SLACK
+        wait = self.expected_wait(call)
+        return (
+            wait is None
+            or self._clock.now() + wait > call.give_up_at + WAIT_TOLERANCE_SECONDS
+        )
 
     async def _fill(self, queue, target):
         """Give the free slots of a target to waiters."""
@@ -124,12 +131,12 @@
             if waiter is None:
                 return
             queue.waiters.remove(waiter)
-            waiter.permit = target.take(now, waiter.call.deadline)
+            waiter.slot_use = target.take(now, waiter.call.deadline)
             await waiter.signal.set()
 
     async def _wait(self, waiter, until):
         """Wait for a turn; a client that leaves ends it as well."""
-        if waiter.permit is not None or waiter.call.left:
+        if waiter.slot_use is not None or waiter.call.left:
             return
         waiter.call.on_leave = waiter
         remaining = until - self._clock.now()
@@ -147,7 +154,7 @@
         free = [
             target
             for target in self._ledger.of_service(waiter.call.service)
-            if waiter.may_use(target.entry, target.free(now), now)
+            if waiter.can_use(target.entry, target.free(now), now)
         ]
         if not free:
             return None
--- a/src/heathercleat/steering/process/capacity/rooms.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -1,29 +1,29 @@
 """What this VM believes of the free slots at targets that others own."""
 
-from heathercleat.process.clock import NEVER
-from heathercleat.steering.process.capacity.queue import Waits
+from heathercleat.process.clock import DISTANT_PAST
+from heathercleat.steering.process.capacity.queue import WaitEstimate
 
 #: Seconds after which a report of room is no longer believed.
-REPORT_LIFE = 1.5
+REPORT_TTL_SECONDS = 1.5
 
 
-class Report:
+class OwnerReport:
     """What one owner said last: rooms by target, waits and losses by service."""
 
-    __slots__ = ("rooms", "waits", "losses", "told_at", "valid_until")
+    __slots__ = ("rooms", "waits", "losses", "reported_at", "valid_until")
 
     def __init__(self):
         self.rooms = {}
         self.waits = {}
         self.losses = {}
-        self.told_at = NEVER
+        self.reported_at = DISTANT_PAST
         self.valid_until = 0.0
 
 
-class Room:
+class ReportedCapacity:
     """The last report on one target, corrected by what this VM sent since.
 
-    :param report: the :class:`Report` of the target's owner.
+    :param report: the :class:`OwnerReport` of the target's owner.
     """
 
     __slots__ = ("_report", "_free", "_limit", "_used", "_valid_until")
@@ -75,17 +75,17 @@
         """Note a request sent to the target."""
         self._free = max(0, self._free - 1)
 
-    def give_back(self):
+    def release(self):
         """Note the end of a request that was sent to the target."""
         if self._limit is not None:
             self._free = min(self._limit, self._free + 1)
 
-    def fill(self):
+    def mark_no_free_slot(self):
         """Note that the owner had no room."""
         self._free = 0
 
 
-class RoomView:
+class CapacityReports:
     """Reports of owners on their targets and queues."""
 
     def __init__(self, clock):
@@ -102,16 +102,16 @@
         :param losses: ``(service, part)`` of their worth that its clients lose.
         """
         now = self._clock.now()
-        valid_until = now + REPORT_LIFE
+        valid_until = now + REPORT_TTL_SECONDS
         report = self._report(owner)
-        report.told_at = now
-        for room in report.rooms.values():
-            room.expire()
+        report.reported_at = now
+        for capacity in report.rooms.values():
+            capacity.expire()
         for target_id, free, limit, used in rooms:
-            self.room(target_id, owner).report(free, limit, used, valid_until)
+            self.capacity(target_id, owner).report(free, limit, used, valid_until)
         report.valid_until = valid_until
         report.waits = {
-            service: None if early is None else Waits(early, late)
+            service: None if early is None else WaitEstimate(early, late)
             for service, early, late in waits
         }
         report.losses = dict(losses)
@@ -121,24 +121,24 @@
         for owner in self._reports.keys() - owners:
             del self._reports[owner]
 
-    def room(self, target_id, owner):
-        """Return the :class:`Room` at a target of an owner; the same one each time."""
+    def capacity(self, target_id, owner):
+        """Return the :class:`ReportedCapacity` at a target of an owner; the same one each time."""
         report = self._report(owner)
-        room = report.rooms.get(target_id)
-        if room is None:
-            room = report.rooms[target_id] = Room(report)
-        return room
+        capacity = report.rooms.get(target_id)
+        if capacity is None:
+            capacity = report.rooms[target_id] = ReportedCapacity(report)
+        return capacity
 
     def owners(self):
         """Return the names of the VMs that have reported."""
         return list(self._reports)
 
-    def told_at(self, owner):
+    def reported_at(self, owner):
         """Return the instant of an owner's last report."""
-        return self._report(owner).told_at
+        return self._report(owner).reported_at
 
-    def reported(self, target_id, owner):
-        """Return the :class:`Room` at a target of an owner, ``None`` if it has none."""
+    def find(self, target_id, owner):
+        """Return the :class:`ReportedCapacity` at a target of an owner, ``None`` if it has none."""
         return self._report(owner).rooms.get(target_id)
 
     def is_known(self, owner):
@@ -146,30 +146,30 @@
         return self._clock.now() < self._report(owner).valid_until
 
     def waits(self, owner, service):
-        """Return the :class:`Waits` at an owner, or ``None`` without a slot."""
+        """Return the :class:`WaitEstimate` at an owner, or ``None`` without a slot."""
         return self._report(owner).waits.get(service)
 
-    def loss(self, owner, service):
+    def loss_rate(self, owner, service):
         """Return the part of their worth that an owner's clients lose.
 
         ``None`` where the owner does not report to this VM.
         """
         return self._report(owner).losses.get(service)
 
-    def full(self, target_id, owner, service, wait):
+    def record_full(self, target_id, owner, service, wait):
         """Note that an owner had no room for a request.
 
         :param target_id: the target that seemed to have some, or ``None``.
         :param wait: seconds that the request would have to wait there, or ``None``.
         """
         if target_id is not None:
-            self.room(target_id, owner).fill()
+            self.capacity(target_id, owner).mark_no_free_slot()
         report = self._report(owner)
-        report.waits[service] = None if wait is None else Waits(wait, wait)
-        report.valid_until = self._clock.now() + REPORT_LIFE
+        report.waits[service] = None if wait is None else WaitEstimate(wait, wait)
+        report.valid_until = self._clock.now() + REPORT_TTL_SECONDS
 
     def _report(self, owner):
         report = self._reports.get(owner)
         if report is None:
-            report = self._reports[owner] = Report()
+            report = self._reports[owner] = OwnerReport()
         return report
--- a/src/heathercleat/steering/process/capacity/rests.py
+++ b/src/heathercleat/steering/process/capacity/ejection_limit.py
@@ -7,10 +7,10 @@
 """
 
 #: Part of the targets of a service that may rest for failed answers at the same time.
-MOST_RESTING = 1 / 3
+MAX_EJECTED_SHARE = 1 / 3
 
 
-class RestLimit:
+class EjectionLimit:
     """Decides whether one more target of a service may rest.
 
     :param view: the :class:`TargetView`.
@@ -20,14 +20,14 @@
         self._view = view
         self._clock = clock
 
-    def may_rest(self, service):
+    def may_eject(self, service):
         """Return whether enough of the known targets of a service are at work."""
         now = self._clock.now()
         limits = [
-            candidate.room.limit(now)
+            candidate.capacity.limit(now)
             for targets in self._view.regions(service).values()
             for candidate in targets.candidates
-            if candidate.room.is_known(now)
+            if candidate.capacity.is_known(now)
         ]
         resting = sum(limit == 0 for limit in limits)
-        return resting + 1 <= max(1.0, MOST_RESTING * len(limits))
+        return resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))
--- a/src/heathercleat/steering/process/capacity/held.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -2,7 +2,7 @@
 
 #: Seconds in which the VM that owned a target before tells what it still has there: two
 #: heartbeats, the first of which may come before it has learned of the change.
-TELL_SECONDS = 0.3
+FORMER_OWNER_REPORT_SECONDS = 0.3
 #: Stands for all slots of a target.
 _ALL = 1 << 20
 
@@ -29,7 +29,7 @@
     request, and all of a VM's end with its process.
 
     :param members: the live VMs.
-    :param rooms: the :class:`RoomView`; tells what an owner had before it has heard
+    :param rooms: the :class:`CapacityReports`; tells what an owner had before it has heard
         that it is none any more.
     """
 
@@ -55,20 +55,23 @@
         for target_id, count, seconds in held:
             self._put(target_id, vm, Hold(count, now + seconds))
 
-    def expect(self, target_id, former):
+    def add_target(self, target_id, former):
         """Begin to count for a target that this VM owns from now on.
 
         The owner before it may not know yet. Until it tells what it still has there,
         its last report as the owner counts. Where it has not reported of late all slots
-        are taken to be in use until it tells, for :data:`TELL_SECONDS` at most.
+        are taken to be in use until it tells, for :data:`FORMER_OWNER_REPORT_SECONDS` at most.
 
         :param former: name of that owner, or ``None``.
         """
         now = self._clock.now()
-        if former is not None and self._rooms.told_at(former) < now - TELL_SECONDS:
-            self._put(target_id, former, Hold(_ALL, now + TELL_SECONDS))
+        if (
+            former is not None
+            and self._rooms.reported_at(former) < now - FORMER_OWNER_REPORT_SECONDS
+        ):
+            self._put(target_id, former, Hold(_ALL, now + FORMER_OWNER_REPORT_SECONDS))
         for vm in self._rooms.owners():
-            if self._rooms.told_at(vm) >= now - TELL_SECONDS:
+            if self._rooms.reported_at(vm) >= now - FORMER_OWNER_REPORT_SECONDS:
                 self._expect_of(target_id, vm, now)
 
     def count(self, target_id, now):
@@ -89,9 +92,9 @@
             del self._incarnations[vm]
 
     def _expect_of(self, target_id, vm, now):
-        room = self._rooms.reported(target_id, vm)
-        if room is not None and now < room.valid_until:
-            self._put(target_id, vm, Hold(room.used, room.valid_until))
+        capacity = self._rooms.find(target_id, vm)
+        if capacity is not None and now < capacity.valid_until:
+            self._put(target_id, vm, Hold(capacity.used, capacity.valid_until))
 
     def _put(self, target_id, vm, hold):
         member = self._members.live(vm)
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -5,10 +5,10 @@
 targets and the VMs it knows, by rendezvous hashing.
 """
 
-from heathercleat.version.hashing import assign
+from heathercleat.version.hashing import assign_evenly
 
 
-class Division:
+class Assignment:
     """The owners of a service's targets in a failure domain, and what gave them."""
 
     __slots__ = ("targets", "candidates", "owners")
@@ -16,7 +16,7 @@
     def __init__(self, targets, candidates):
         self.targets = targets
         self.candidates = candidates
-        self.owners = assign(targets, candidates)
+        self.owners = assign_evenly(targets, candidates)
 
 
 class Owners:
@@ -95,11 +95,11 @@
 
 
 def _divide(before, targets, candidates):
-    """Return the :class:`Division`, the one before where nothing has changed.
+    """Return the :class:`Assignment`, the one before where nothing has changed.
 
     Dividing 450 targets over 300 VMs takes 0.4 s; most changes touch one service of one
     failure domain.
     """
     if before and before.targets == targets and before.candidates == candidates:
         return before
-    return Division(targets, candidates)
+    return Assignment(targets, candidates)
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -7,20 +7,20 @@
 
 from curio import Event as Signal
 
-from heathercleat.steering.process.capacity.slots import is_open
+from heathercleat.steering.process.capacity.slots import can_take_slot
 
 #: Seconds that a request holds a slot, before the first one is measured.
-FIRST_HOLD = 0.2
+INITIAL_HOLD_SECONDS = 0.2
 HOLD_WEIGHT = 0.05
 #: Weight of the newest turn in the share that is left over. In bursts of 1.3 times the
 #: slots 7.3% of the requests were not served, with twenty turns in place of fifty 8.9%;
 #: in a lasting overload of 1.5 times 1.2% waited in vain, and 0.5% (simulated).
 SPARE_WEIGHT = 0.02
 #: Share of the turns that is taken to be left over at least: the wait stays finite.
-LEAST_SPARE = 0.01
+MIN_SPARE_SHARE = 0.01
 
 
-class Waits:
+class WaitEstimate:
     """Seconds that a new request would wait: one in time, and one that is late."""
 
     __slots__ = ("early", "late")
@@ -34,33 +34,33 @@
 
         :param work: seconds that its run takes.
         """
-        in_time = now + self.early + work <= call.aim_at
+        in_time = now + self.early + work <= call.soft_deadline
         return self.early if in_time else self.late
 
 
 class Waiter:
-    """A request in a queue; ``permit`` is set when its turn comes.
+    """A request in a queue; ``slot_use`` is set when its turn comes.
 
     :param preferred: ids of the targets that know its object, the best first.
     :param avoid: ids of targets not to use.
     :param region_of: returns the region of a failure domain.
     """
 
-    __slots__ = ("call", "preferred", "avoid", "signal", "permit", "_region_of")
+    __slots__ = ("call", "preferred", "avoid", "signal", "slot_use", "_region_of")
 
     def __init__(self, call, preferred, avoid, region_of):
         self.call = call
         self.preferred = preferred
         self.avoid = avoid
         self.signal = Signal()
-        self.permit = None
+        self.slot_use = None
         self._region_of = region_of
 
     async def interrupt(self):
         """End the wait: the client left."""
         await self.signal.set()
 
-    def may_use(self, entry, free, now):
+    def can_use(self, entry, free, now):
         """Return whether the request may use one of the free slots of a target.
 
         A VM may own targets of regions that have no VM of their own at the moment: the
@@ -70,9 +70,9 @@
             return False
         if not self.call.route.allows(self._region_of(entry.failure_domain)):
             return False
-        if self.preferred and now < self.call.home_until:
+        if self.preferred and now < self.call.affinity_until:
             return entry.id in self.preferred
-        return is_open(entry, free, self.preferred)
+        return can_take_slot(entry, free, self.preferred)
 
     def place(self, target_id):
         """Return how well a target knows the object: 0 is best."""
@@ -93,11 +93,11 @@
         known = self.place(target_id)
         if self.is_late(now, hold):
             return True, True, call.route.priority, known, call.deadline
-        return False, not call.returned, call.route.priority, known, call.aim_at
+        return False, not call.returned, call.route.priority, known, call.soft_deadline
 
     def is_late(self, now, hold):
         """Return whether an answer comes after the aim if it starts now."""
-        return now + hold > self.call.aim_at
+        return now + hold > self.call.soft_deadline
 
 
 class ServiceQueue:
@@ -107,22 +107,22 @@
 
     def __init__(self):
         self.waiters = []
-        self._mean_hold = FIRST_HOLD
+        self._mean_hold = INITIAL_HOLD_SECONDS
         self._spare = 1.0
 
     @property
-    def mean_hold(self):
+    def mean_hold_seconds(self):
         """Return the mean time for which a request holds its slot, in seconds."""
         return self._mean_hold
 
-    def observe(self, seconds):
+    def record_hold(self, seconds):
         """Take the time for which a request held its slot."""
         self._mean_hold += HOLD_WEIGHT * (seconds - self._mean_hold)
 
-    def observe_turn(self, entry, free, now):
+    def record_free_slot(self, entry, free, now):
         """Note whether a slot that came free finds no request in time for it."""
         wanted = any(
-            each.may_use(entry, free, now) and not each.is_late(now, self._mean_hold)
+            each.can_use(entry, free, now) and not each.is_late(now, self._mean_hold)
             for each in self.waiters
         )
         self._spare += SPARE_WEIGHT * ((not wanted) - self._spare)
@@ -136,27 +136,27 @@
 
         :param entry: the :class:`TargetEntry`.
         """
-        willing = [each for each in self.waiters if each.may_use(entry, free, now)]
+        willing = [each for each in self.waiters if each.can_use(entry, free, now)]
         return min(
             willing,
             key=lambda each: each.rank(now, self._mean_hold, entry.id),
             default=None,
         )
 
-    def waits(self, slots, now, late_before=None):
-        """Return the :class:`Waits` for one of ``slots``.
+    def waits(self, slots, now, count_late_before=None):
+        """Return the :class:`WaitEstimate` for one of ``slots``.
 
-        :param late_before: late waiters that go before it; all when ``None``.
+        :param count_late_before: late waiters that go before it; all when ``None``.
         """
         early = self.early(now)
-        if late_before is None:
-            late_before = len(self.waiters) - early
+        if count_late_before is None:
+            count_late_before = len(self.waiters) - early
         turn = self._mean_hold / slots
         first = (early + 1) * turn
-        left_over = max(LEAST_SPARE, self._spare)
-        return Waits(first, first + (late_before + 1) * turn / left_over)
+        left_over = max(MIN_SPARE_SHARE, self._spare)
+        return WaitEstimate(first, first + (count_late_before + 1) * turn / left_over)
 
-    def late_before(self, call, now):
+    def count_late_before(self, call, now):
         """Return how many late waiters go before a late call, at any target."""
         own = _late_order(call)
         return sum(
--- a/src/heathercleat/steering/process/capacity/losses.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -1,15 +1,15 @@
 """What the clients of each region lose, from what their VMs report."""
 
 #: Seconds for which the means are kept: a third of the interval of heartbeats.
-LIFE = 0.05
+CACHE_TTL_SECONDS = 0.05
 
 
-class RegionLosses:
+class RegionLossRates:
     """The mean loss of the clients of each region's VMs, by service.
 
     :param members: the live VMs.
-    :param rooms: what other VMs' clients lose, a :class:`RoomView`.
-    :param pressure: what this VM's clients lose, a :class:`Pressure`.
+    :param rooms: what other VMs' clients lose, a :class:`CapacityReports`.
+    :param pressure: what this VM's clients lose, a :class:`LossRates`.
     """
 
     def __init__(self, members, rooms, pressure, clock):
@@ -25,7 +25,7 @@
         now = self._clock.now()
         if now >= self._until:
             self._means.clear()
-            self._until = now + LIFE
+            self._until = now + CACHE_TTL_SECONDS
         means = self._means.get(service)
         if means is None:
             means = self._means[service] = self._compute(service)
@@ -34,12 +34,12 @@
     def _compute(self, service):
         regions = {}
         for member in self._members.serving():
-            loss = self._loss(member.vm, service)
-            if loss is not None:
-                regions.setdefault(member.region, []).append(loss)
+            loss_rate = self._loss(member.vm, service)
+            if loss_rate is not None:
+                regions.setdefault(member.region, []).append(loss_rate)
         return {region: sum(each) / len(each) for region, each in regions.items()}
 
     def _loss(self, vm, service):
         if vm == self._members.own.vm:
-            return self._pressure.lost(service)
-        return self._rooms.loss(vm, service)
+            return self._pressure.rate(service)
+        return self._rooms.loss_rate(vm, service)
--- a/src/heathercleat/steering/process/capacity/shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -1,15 +1,15 @@
 """A limit on how fast requests move between regions."""
 
 #: Seconds of one window.
-WINDOW = 1.0
+WINDOW_SECONDS = 1.0
 #: Change of the share within one window, as a part of the change that is allowed within
 #: two seconds: the VMs of a region count apart, and windows of any beginning count.
-USED_SHARE = 0.35
+STEP_SHARE = 0.35
 #: Requests below which a window says nothing of shares.
-LEAST_REQUESTS = 10
+MIN_REQUESTS = 10
 
 
-class ShiftLimit:
+class RegionShiftLimit:
     """Counts the requests that this VM sends to other regions, by window.
 
     A VM that has sent nothing yet may move any share: nothing changes region then.
@@ -20,7 +20,7 @@
     __slots__ = ("_step", "_clock", "_ends_at", "_total", "_moved", "_last_share")
 
     def __init__(self, most, clock):
-        self._step = USED_SHARE * most
+        self._step = STEP_SHARE * most
         self._clock = clock
         self._ends_at = 0.0
         self._total = 0
@@ -44,7 +44,7 @@
         if self._last_share is None:
             return True
         limit = self._last_share + self._step
-        return self._moved + 1 <= limit * max(self._total + 1, LEAST_REQUESTS)
+        return self._moved + 1 <= limit * max(self._total + 1, MIN_REQUESTS)
 
     def must_move(self):
         """Return whether a request that may go elsewhere should, to return slowly."""
@@ -57,7 +57,7 @@
         now = self._clock.now()
         if now < self._ends_at:
             return
-        if self._total >= LEAST_REQUESTS:
+        if self._total >= MIN_REQUESTS:
             self._last_share = self._moved / self._total
-        self._ends_at = now + WINDOW
+        self._ends_at = now + WINDOW_SECONDS
         self._total = self._moved = 0
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -6,13 +6,13 @@
 #: Seconds after the store's return in which entries that lapsed meanwhile come back:
 #: two by the platform's word, and up to 0.45 between two tries of a VM that reads the
 #: store, the first of which is taken for the earliest instant of the return.
-LAPSE_GRACE = 2.45
+LAPSE_GRACE_SECONDS = 2.45
 #: Seconds for which the last entry of a target that is gone is remembered: ten times
 #: the longest time by which the store may do a write late.
-DEPARTED_LIFE = 60.0
+REMOVED_RETENTION_SECONDS = 60.0
 
 
-class Departed:
+class RemovedTarget:
     """The last entry of a target that is gone.
 
     :param forget_at: instant from which it is of no use.
@@ -29,7 +29,7 @@
     """All known targets by id.
 
     An entry that vanished while the store was away for all VMs lapses: its target may
-    be alive and about to come back, and is used until :data:`LAPSE_GRACE` is over. One
+    be alive and about to come back, and is used until :data:`LAPSE_GRACE_SECONDS` is over. One
     that vanishes at any other time has left. A lapse has a deadline, which is kept even
     if nothing else changes, and which nothing that is told later extends.
 
@@ -97,7 +97,7 @@
 
         :param since: the earliest instant at which it can have returned.
         """
-        self._lapse_until = since + LAPSE_GRACE
+        self._lapse_until = since + LAPSE_GRACE_SECONDS
 
     def lapsing(self):
         """Return the seconds for which targets without an entry are used, by id."""
@@ -206,8 +206,8 @@
         if restarted:
             self._log.restarted(before, entry)
         elif entry.draining != before.draining:
-            self._log.turned(before, entry)
-        return turned_cold or not entry.steers_like(before)
+            self._log.log_draining(before, entry)
+        return turned_cold or not entry.has_same_steering_fields(before)
 
     def _is_old_news(self, entry, before):
         """Return whether a target said more since it reported an entry, or is gone.
@@ -259,10 +259,12 @@
         now = self._clock.now()
         self._forget_departed(now)
         entry = self._targets.pop(target_id)
-        self._departed[target_id] = Departed(entry, now + DEPARTED_LIFE)
+        self._departed[target_id] = RemovedTarget(
+            entry, now + REMOVED_RETENTION_SECONDS
+        )
         self._lapsing.pop(target_id, None)
         self._cold_until.pop(target_id, None)
-        self._log.gone(target_id, reason)
+        self._log.log_removal(target_id, reason)
 
     def _forget_departed(self, now):
         """Forget the targets that are gone for long; they stand in that order."""
--- a/src/heathercleat/steering/process/capacity/budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -26,7 +26,7 @@
         self._requests = deque()
         self._repeats = deque()
 
-    def count_request(self, now):
+    def record_request(self, now):
         """Note a request of a client."""
         self._requests.append(now)
         self._expire(now)
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -4,34 +4,34 @@
 from contextlib import contextmanager
 
 #: Runs that are remembered for each route and service.
-REMEMBERED = 100
+MAX_SAMPLES = 100
 #: Runs below which no bound is known.
-LEAST_RUNS = 30
+MIN_RUNS = 30
 #: What a bound is multiplied by, so that few runs beyond the longest one exceed it.
-BOUND_MARGIN = 1.25
+BOUND_FACTOR = 1.25
 #: The bound where none is known.
 UNBOUNDED = float("inf")
 
 
-class Run:
+class ActiveRun:
     """A run under way.
 
-    :param began_at: when its request was sent.
+    :param started_at: when its request was sent.
     :param seconds: what it took as its VM tells, ``None`` for the time until its end.
     :param may_have_run: whether it reached a target, as far as is known.
     :param succeeded: whether a target answered it in whole, and not with its failure.
     """
 
-    __slots__ = ("began_at", "seconds", "may_have_run", "succeeded")
+    __slots__ = ("started_at", "seconds", "may_have_run", "succeeded")
 
-    def __init__(self, began_at):
-        self.began_at = began_at
+    def __init__(self, started_at):
+        self.started_at = started_at
         self.seconds = None
         self.may_have_run = True
         self.succeeded = False
 
     def take(self, result):
-        """Take the :class:`TryResult`; without one, the run was broken off."""
+        """Take the :class:`AttemptResult`; without one, the run was broken off."""
         self.seconds = result.work
         self.may_have_run = not result.end.not_run
         self.succeeded = result.succeeded
@@ -51,7 +51,7 @@
     def watch(self, call):
         """Count a run as under way for the time of the block, which gets the run."""
         times = self._of(call)
-        run = Run(self._clock.now())
+        run = ActiveRun(self._clock.now())
         times.running.add(run)
         try:
             yield run
@@ -71,7 +71,7 @@
         """
         return self._of(call).bound(self._clock.now())
 
-    def longest(self, route):
+    def longest_bound(self, route):
         """Return the longest bound of a route's services in seconds, by its name."""
         bounds = (
             times.bound(self._clock.now())
@@ -102,7 +102,7 @@
     __slots__ = ("latest", "running")
 
     def __init__(self):
-        self.latest = deque(maxlen=REMEMBERED)
+        self.latest = deque(maxlen=MAX_SAMPLES)
         self.running = set()
 
     def end(self, run, now):
@@ -110,13 +110,13 @@
         self.running.discard(run)
         if not run.may_have_run:
             return
-        seconds = now - run.began_at if run.seconds is None else run.seconds
+        seconds = now - run.started_at if run.seconds is None else run.seconds
         if run.succeeded or seconds > max(self.latest, default=0.0):
             self.latest.append(seconds)
 
     def bound(self, now):
         """Return the bound in seconds."""
-        if len(self.latest) < LEAST_RUNS:
+        if len(self.latest) < MIN_RUNS:
             return UNBOUNDED
-        ages = (now - run.began_at for run in self.running)
-        return BOUND_MARGIN * max(*self.latest, *ages)
+        ages = (now - run.started_at for run in self.running)
+        return BOUND_FACTOR * max(*self.latest, *ages)
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -4,16 +4,16 @@
 from statistics import median
 
 from heathercleat.events import Event
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.steering.process.capacity.health import TargetHealth
 
 #: Seconds for which a target's own report of load from elsewhere is believed.
-REPORT_LIFE = 0.4
+LOAD_REPORT_TTL_SECONDS = 0.4
 #: Share of the allowed rate of a cold target that one owner uses: two VMs may be its
 #: owners within one second, one after the other.
 COLD_SHARE = 0.45
 #: Window over which the rate of a cold target counts, in seconds.
-COLD_WINDOW = 1.0
+COLD_WINDOW_SECONDS = 1.0
 
 #: Share of a target's slots that must be free for requests whose object it does not
 #: know: such a request holds its slot 3.4 times as long (0.26 s in place of 0.075 s,
@@ -21,7 +21,7 @@
 IDLE_SHARE = 0.5
 
 
-def is_open(entry, free, preferred):
+def can_take_slot(entry, free, preferred):
     """Return whether a request may use one of the free slots of a target.
 
     :param entry: the :class:`TargetEntry`.
@@ -29,33 +29,33 @@
     """
     if not preferred or entry.id in preferred:
         return True
-    return is_half(entry, free)
+    return reaches_idle_share(entry, free)
 
 
-def is_half(entry, count):
+def reaches_idle_share(entry, count):
     """Return whether so many slots are :data:`IDLE_SHARE` of a target's."""
     return count >= IDLE_SHARE * entry.slots
 
 
-class Use:
+class SlotUse:
     """A request that occupies a slot of a target.
 
-    :param ends_by: instant at which it ends at the latest.
+    :param deadline: instant at which it ends at the latest.
     """
 
-    __slots__ = ("target", "began_at", "ends_by")
+    __slots__ = ("target", "started_at", "deadline")
 
-    def __init__(self, target, began_at, ends_by):
+    def __init__(self, target, started_at, deadline):
         self.target = target
-        self.began_at = began_at
-        self.ends_by = ends_by
+        self.started_at = started_at
+        self.deadline = deadline
 
 
 class OwnedTarget:
     """A target whose slots this VM counts.
 
     :param entry: its :class:`TargetEntry`.
-    :param cold_limit: requests within :data:`COLD_WINDOW` while cold, or ``None``.
+    :param cold_limit: requests within :data:`COLD_WINDOW_SECONDS` while cold, or ``None``.
     :param held: the :class:`HeldSlots`.
     """
 
@@ -98,33 +98,33 @@
             free = min(free, self.cold_limit - self._count_recent(now))
         return max(0, free)
 
-    def take(self, now, ends_by=NEVER):
-        """Occupy a slot and return the :class:`Use`.
+    def take(self, now, deadline=DISTANT_PAST):
+        """Occupy a slot and return the :class:`SlotUse`.
 
-        :param ends_by: instant at which the request ends at the latest.
+        :param deadline: instant at which the request ends at the latest.
         """
-        use = Use(self, now, ends_by)
+        use = SlotUse(self, now, deadline)
         self.uses.append(use)
         self._recent.append(now)
         self._count_recent(now)
         return use
 
-    def reported(self, running, waiting, now):
+    def record_reported_load(self, running, waiting, now):
         """Take the target's own report of its load, to see requests of other VMs.
 
         It tells also of those of which the VM that sent them tells nothing, as one that
         is cut off from this one.
         """
         self._elsewhere = max(0, running + waiting - len(self.uses))
-        self._elsewhere_until = now + REPORT_LIFE
+        self._elsewhere_until = now + LOAD_REPORT_TTL_SECONDS
 
     def limit(self, now):
         """Return how many requests the target should have at once now."""
-        if now < self.health.rest_until:
+        if now < self.health.ejected_until:
             return 0
-        if self.uses and self.health.is_silent(now, self.uses[0].began_at):
+        if self.uses and self.health.is_unresponsive(now, self.uses[0].started_at):
             return 0
-        if self.health.on_trial or self.slow:
+        if self.health.is_half_open or self.slow:
             return 1
         return self.entry.slots
 
@@ -134,7 +134,7 @@
         return entry is not None and entry.is_same_incarnation(self.entry)
 
     def _count_recent(self, now):
-        while self._recent and self._recent[0] <= now - COLD_WINDOW:
+        while self._recent and self._recent[0] <= now - COLD_WINDOW_SECONDS:
             self._recent.popleft()
         return len(self._recent)
 
@@ -186,7 +186,7 @@
         self._refresh()
         return self._owned.get(target_id)
 
-    def handed_over(self):
+    def handed_over_targets(self):
         """Yield each target with requests from here that another VM owns now.
 
         With it come the name of that VM, the number of requests, and the instant at
@@ -196,14 +196,14 @@
         for target_id, target in self._former.items():
             owner = self._owners.of(target_id) if target.uses else None
             if owner is not None and target.is_current(self._registry):
-                ends_by = max(use.ends_by for use in target.uses)
-                yield target_id, owner, len(target.uses), ends_by
+                deadline = max(use.deadline for use in target.uses)
+                yield target_id, owner, len(target.uses), deadline
 
-    def heirs(self):
+    def new_owners(self):
         """Return the names of the VMs that own targets with requests from here."""
-        return {owner for _, owner, _, _ in self.handed_over()}
+        return {owner for _, owner, _, _ in self.handed_over_targets()}
 
-    def take_successors(self):
+    def pop_new_owners(self):
         """Return the names of the VMs that took targets over since the last call."""
         self._refresh()
         successors, self._successors = self._successors, set()
@@ -214,7 +214,7 @@
         if use in use.target.uses:
             use.target.uses.remove(use)
 
-    def judge_speeds(self):
+    def update_slow_targets(self):
         """Note which targets are much slower than the others of their service."""
         for targets in self._by_service.values():
             latencies = [each.health.latency for each in targets if each.health.latency]
@@ -244,7 +244,7 @@
             if entry is not None:
                 owned[target_id] = self._keep(entry)
         for target_id in owned.keys() - self._owned.keys():
-            self._held.expect(target_id, self._owners.before(target_id))
+            self._held.add_target(target_id, self._owners.before(target_id))
             self._journal.write(Event.HOME_ADOPTED, target=target_id)
         for target_id in self._owned.keys() - owned.keys():
             self._journal.write(Event.HOME_HANDED_OVER, target=target_id)
@@ -272,7 +272,10 @@
 
     def _cold_limit(self, entry):
         service = self._services(entry.service)
-        if service is None or service.cold_rate is None:
+        if service is None or service.cold_requests_per_second is None:
             return None
-        allowed = service.cold_rate * self._bounds.cold_factor + self._bounds.cold_slack
+        allowed = (
+            service.cold_requests_per_second * self._bounds.cold_factor
+            + self._bounds.cold_slack
+        )
         return max(1, int(COLD_SHARE * allowed))
--- a/src/heathercleat/steering/process/capacity/target.py
+++ b/src/heathercleat/steering/process/capacity/target.py
@@ -68,7 +68,7 @@
         self.version = version
 
     @property
-    def life(self):
+    def incarnation_id(self):
         """Return what tells this start of the target from every other one."""
         return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
@@ -90,7 +90,7 @@
             return False
         return self.sequence < other.sequence
 
-    def steers_like(self, other):
+    def has_same_steering_fields(self, other):
         """Return whether nothing has changed that matters for steering."""
         return all(
             getattr(self, name) == getattr(other, name) for name in _STEERING_FIELDS
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -45,7 +45,7 @@
             draining=entry.draining,
         )
 
-    def turned(self, before, entry):
+    def log_draining(self, before, entry):
         """Log that a target says that it leaves, or no longer says so."""
         event = Event.TARGET_DRAINING if entry.draining else Event.TARGET_REOPENED
         self._journal.write(
@@ -75,6 +75,6 @@
             Event.TARGET_LAPSING, target=target_id, seconds=round(seconds, 3)
         )
 
-    def gone(self, target_id, reason):
+    def log_removal(self, target_id, reason):
         """Log that a target is used no longer."""
         self._journal.write(Event.TARGET_GONE, target=target_id, reason=reason)
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -11,24 +11,24 @@
 from math import ceil
 from typing import Protocol
 
-from heathercleat.steering.process.capacity.slots import is_half
+from heathercleat.steering.process.capacity.slots import reaches_idle_share
 from heathercleat.version.hashing import weight
 
 #: Seconds for which the sums over a region's targets are kept: a tenth of the interval
 #: of the heartbeats that they are made of.
-SUMMARY_LIFE = 0.015
+SUMMARY_TTL_SECONDS = 0.015
 #: Best targets that are remembered for an object; all are ranked again where none of
 #: them is sound.
-MOST_RANKED = 4
+MAX_RANKED_TARGETS = 4
 #: Part of a region's targets that get the requests under which others ended.
 CONFINED_SHARE = 0.25
 #: Objects that are remembered for each service and region: 2,048 take 0.4 MB.
-MOST_OBJECTS = 2048
+MAX_OBJECTS = 2048
 #: Stands in for an object where targets are ranked for confined requests.
 _CONFINED = "confined"
 
 
-class SlotSource(Protocol):
+class TargetCapacity(Protocol):
     """Tells the slots of one target, as far as they are known here."""
 
     def is_known(self, now):
@@ -47,41 +47,41 @@
     :param entry: its :class:`TargetEntry`.
     :param owner: name of the VM that owns it.
     :param owner_region: the region of that VM.
-    :param room: its :class:`SlotSource`.
+    :param room: its :class:`TargetCapacity`.
     """
 
-    __slots__ = ("entry", "owner", "owner_region", "room")
+    __slots__ = ("entry", "owner", "owner_region", "capacity")
 
-    def __init__(self, entry, owner, owner_region, room):
+    def __init__(self, entry, owner, owner_region, capacity):
         self.entry = entry
         self.owner = owner
         self.owner_region = owner_region
-        self.room = room
+        self.capacity = capacity
 
-    def is_sound(self, now):
+    def is_healthy(self, now):
         """Return whether the target takes requests at its usual rate."""
-        limit = self.room.limit(now)
-        return limit is None or is_half(self.entry, limit)
+        limit = self.capacity.limit(now)
+        return limit is None or reaches_idle_share(self.entry, limit)
 
 
-class Summary:
+class RegionSummary:
     """Sums over the targets of a service in a region whose room is known here.
 
     :param targets: all of them, known or not.
     :param idle: whether the slots of any target are free by half.
     """
 
-    __slots__ = ("targets", "sound", "slots", "free", "idle")
+    __slots__ = ("targets", "healthy", "slots", "free", "idle")
 
     def __init__(self, candidates, now):
         self.targets = len(candidates)
-        candidates = [each for each in candidates if each.room.is_known(now)]
-        self.sound = sum(each.is_sound(now) for each in candidates)
+        candidates = [each for each in candidates if each.capacity.is_known(now)]
+        self.healthy = sum(each.is_healthy(now) for each in candidates)
         self.slots = sum(each.entry.slots for each in candidates)
-        free = [each.room.free(now) for each in candidates]
+        free = [each.capacity.free(now) for each in candidates]
         self.free = sum(max(0, each) for each in free)
         self.idle = any(
-            count > 0 and is_half(each.entry, count)
+            count > 0 and reaches_idle_share(each.entry, count)
             for count, each in zip(free, candidates, strict=True)
         )
 
@@ -109,10 +109,10 @@
         self._until = 0.0
 
     def summary(self, now):
-        """Return the :class:`Summary`, of the last :data:`SUMMARY_LIFE` seconds."""
+        """Return the :class:`RegionSummary`, of the last :data:`SUMMARY_TTL_SECONDS` seconds."""
         if self._summary is None or now >= self._until:
-            self._summary = Summary(self.candidates, now)
-            self._until = now + SUMMARY_LIFE
+            self._summary = RegionSummary(self.candidates, now)
+            self._until = now + SUMMARY_TTL_SECONDS
         return self._summary
 
     @property
@@ -127,7 +127,7 @@
             self._confined = nlargest(count, self.candidates, key=weight_of)
         return self._confined
 
-    def homes(self, affinity, count, usable, now):
+    def affinity_targets(self, affinity, count, usable, now):
         """Return the sound candidates that rank first for an object.
 
         :param count: how many there should be.
@@ -143,9 +143,11 @@
     def _rank(self, affinity):
         ranked = self._ranked.get(affinity)
         if ranked is None:
-            if len(self._ranked) >= MOST_OBJECTS:
+            if len(self._ranked) >= MAX_OBJECTS:
                 self._ranked.clear()
-            ranked = nlargest(MOST_RANKED, self.candidates, key=_weight_for(affinity))
+            ranked = nlargest(
+                MAX_RANKED_TARGETS, self.candidates, key=_weight_for(affinity)
+            )
             self._ranked[affinity] = ranked
         return ranked
 
@@ -184,8 +186,8 @@
             if member is None:
                 continue
             region = self._members.region_of(entry.failure_domain)
-            room = self._room(entry.id, owner)
-            candidate = Candidate(entry, owner, member.region, room)
+            capacity = self._room(entry.id, owner)
+            candidate = Candidate(entry, owner, member.region, capacity)
             groups.setdefault(region, []).append(candidate)
         return {
             region: RegionTargets(region, candidates)
@@ -194,7 +196,7 @@
 
     def _room(self, target_id, owner):
         owned = self._ledger.get(target_id) if self._is_own(owner) else None
-        return owned or self._rooms.room(target_id, owner)
+        return owned or self._rooms.capacity(target_id, owner)
 
     def _is_own(self, owner):
         return owner == self._members.own.vm
@@ -206,7 +208,7 @@
     for each in ranked:
         if len(found) == count:
             break
-        if usable(each) and each.is_sound(now):
+        if usable(each) and each.is_healthy(now):
             found.append(each)
     return found
 
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -5,13 +5,13 @@
 from random import sample
 
 #: Maximum addresses in a lookup result; a random sample if there are more VMs.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 #: Seconds for which clients may cache a lookup; shorter than a leaving VM keeps its
 #: client connections.
 LOOKUP_TTL = 2.0
 #: The same for lookups at a VM that is leaving or has just started: other VMs often do
 #: so at the same time, and it learns of them late.
-SHORT_TTL = 0.5
+SHORT_LOOKUP_TTL_SECONDS = 0.5
 #: Seconds after the start for which the short TTL is used; a whole fleet restarts
 #: within this time.
 START_SECONDS = 5.0
@@ -19,7 +19,7 @@
 ENOUGH = 2
 #: Maximum share of a region's clients for one VM, as a multiple of an even share, so
 #: that the first restarted VMs of a failure domain do not get all of its clients.
-MOST_OVER_SHARE = 2.0
+MAX_OVER_SHARE = 2.0
 
 
 class Lookup:
@@ -60,21 +60,21 @@
         near = [each for each in named if each.region == region]
         here = [each for each in near if each.failure_domain == failure_domain]
         chosen = self._choose(here, near, self._domains[region]) or named
-        if len(chosen) > MOST_ADDRESSES:
-            chosen = sample(chosen, MOST_ADDRESSES)
+        if len(chosen) > MAX_ADDRESSES:
+            chosen = sample(chosen, MAX_ADDRESSES)
         addresses = [f"{each.ip}:{self._port}" for each in chosen]
         return Lookup(addresses, min(self._ttl(), self._longest_ttl))
 
     def _ttl(self):
         just_started = self._clock.now() < self._started_until
         stays = self._members.own.serving and not just_started
-        return LOOKUP_TTL if stays else SHORT_TTL
+        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS
 
     def _choose(self, here, near, domains):
         """Return the VMs to list, those of the client's failure domain first.
 
         Other VMs of the region are added as needed to keep each VM's load within
-        :data:`MOST_OVER_SHARE`, assuming equally many clients in each failure domain.
+        :data:`MAX_OVER_SHARE`, assuming equally many clients in each failure domain.
 
         :param here: the VMs of the client's failure domain.
         :param near: the VMs of its region.
@@ -82,7 +82,7 @@
         """
         if len(here) < ENOUGH:
             return near
-        least = ceil(len(near) / (domains * MOST_OVER_SHARE))
+        least = ceil(len(near) / (domains * MAX_OVER_SHARE))
         if len(here) >= least:
             return here
         others = [each for each in near if each not in here]
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -1,6 +1,6 @@
 """Handover of target ownership by a VM that is shutting down."""
 
-from heathercleat.version.hashing import ranked
+from heathercleat.version.hashing import rank_by_weight
 
 #: Seconds without client requests after which a leaving VM hands its targets to another
 #: leaving VM, and seconds without any request after which its process exits.
@@ -23,14 +23,14 @@
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
-    :param is_short: returns whether requests of some route that start at an instant
+    :param is_time_short: returns whether requests of some route that start at an instant
         may not complete before this process exits.
     """
 
-    def __init__(self, members, owners, is_short):
+    def __init__(self, members, owners, is_time_short):
         self._members = members
         self._owners = owners
-        self._is_short = is_short
+        self._is_short = is_time_short
         self._keeps_until = 0.0
         self._last_start_at = 0.0
         self._quiet_since = 0.0
@@ -40,15 +40,15 @@
         """Return whether this VM owns no targets."""
         return not self._owners.owned()
 
-    def begin(self, now, keeps_until, ends_at):
+    def begin(self, now, keep_alive_until, ends_at):
         """Start the handover.
 
-        :param keeps_until: instant until which clients with an old lookup result may
+        :param keep_alive_until: instant until which clients with an old lookup result may
             still connect.
         :param ends_at: instant at which this process exits.
         """
         self._quiet_since = now
-        self._keeps_until = keeps_until
+        self._keeps_until = keep_alive_until
         self._last_start_at = ends_at - LEAST_RUN
 
     def check(self, now, has_clients):
@@ -69,7 +69,7 @@
         near = [each for each in self._members.leaving() if each.region == own.region]
         if self._is_short(now) and any(map(self._has_more_time, near)):
             return True
-        last = ranked("last to leave", [each.vm for each in near])[0]
+        last = rank_by_weight("last to leave", [each.vm for each in near])[0]
         return self._may_go(now) and last != own.vm
 
     def _has_more_time(self, member):
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -5,7 +5,7 @@
 
 from heathercleat.connection.http import HttpStream, Message, serve_messages
 from heathercleat.events import Event
-from heathercleat.platform.entry import answer_entry
+from heathercleat.platform.endpoints import handle_platform_request
 from heathercleat.steering.connection.client import ClientConnection
 from heathercleat.steering.connection.forwarded import ForwardedConnection
 
@@ -18,7 +18,7 @@
     """Accepts clients, other VMs, readiness checks, lookups and metrics scrapes.
 
     :param node: the :class:`SteeringNode` that client connections use.
-    :param local: the :class:`LocalTry` for requests forwarded by other VMs.
+    :param local: the :class:`LocalDispatcher` for requests forwarded by other VMs.
     :param snapshot: returns the :class:`Snapshot` of a followed table.
     :param directory: the :class:`Directory` for lookups.
     :param metrics: the :class:`SteeringMetrics`.
@@ -50,14 +50,14 @@
         self._closing = False
 
     @property
-    def busy(self):
+    def is_busy(self):
         """Return whether a client request is in progress or partially received."""
-        return any(connection.busy for connection in self._clients)
+        return any(connection.is_busy for connection in self._clients)
 
-    async def give_up_blocking(self):
+    async def cancel_blocking_requests(self):
         """Abort the requests that block ready responses on their connections."""
         for connection in list(self._clients):
-            await connection.give_up_blocking()
+            await connection.cancel_blocking_requests()
 
     def close(self):
         """Accept no more client requests; those in progress continue.
@@ -84,9 +84,9 @@
         yield settings.ready, self._serve_entry
         if str(settings.directory) != str(settings.ready):
             yield settings.directory, self._serve_entry
-        yield settings.inner_address(settings.forward_port), self._serve_forwarded
+        yield settings.internal_address(settings.forward_port), self._serve_forwarded
         if self._metrics_port is not None:
-            yield settings.inner_address(self._metrics_port), self._serve_metrics
+            yield settings.internal_address(self._metrics_port), self._serve_metrics
 
     async def _serve_client(self, sock, address):
         if self._closing:
@@ -100,7 +100,7 @@
 
     async def _serve_forwarded(self, sock, address):
         connection = ForwardedConnection(
-            sock, self._local, self._node.leavers, self._snapshot, self._clock
+            sock, self._local, self._node.active_requests, self._snapshot, self._clock
         )
         await self._guard(connection)
 
@@ -115,7 +115,7 @@
 
     async def _serve_entry(self, sock, address):
         async def handle(message):
-            return answer_entry(
+            return handle_platform_request(
                 message, lambda: self._node.ready, self._directory.lookup
             )
 
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -9,10 +9,10 @@
 from msgpack.exceptions import UnpackException
 
 from heathercleat.events import Event
-from heathercleat.steering.process.means import move_mean
-from heathercleat.steering.process.membership.beat import Beat
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
 from heathercleat.steering.process.membership.member import Stage
-from heathercleat.steering.process.quarantine.suspect import SuspectNews
+from heathercleat.steering.process.moving_average import update_moving_average
+from heathercleat.steering.process.quarantine.suspect import SuspectUpdate
 
 #: Seconds between two heartbeats; bounds the age of the capacity reports.
 INTERVAL = 0.15
@@ -41,7 +41,7 @@
 LEAVE_SECONDS = 0.4
 MAX_DATAGRAM = 8192
 #: VMs whose news is sent again at once when the views of partners differ.
-REPAIRED_AT_ONCE = 24
+MAX_REPAIRED_AT_ONCE = 24
 #: Full rounds with a difference before that, while news still arrives.
 LOOKS_BEFORE_REPAIR = 4
 _TRIP_WEIGHT = 0.2
@@ -73,13 +73,13 @@
 
     :param settings: the :class:`NodeSettings`.
     :param members: the :class:`Members`.
-    :param rooms: the :class:`RoomView` for received capacity reports.
+    :param rooms: the :class:`CapacityReports` for received capacity reports.
     :param held: the :class:`HeldSlots` for received reports of slots in use.
     :param heirs: returns the names of the VMs that own targets with requests from here.
     :param successors: returns the names of the VMs that became owners of this VM's
         targets since the last call.
     :param suspects: the :class:`Suspects`.
-    :param compose: returns a new :class:`Beat` for an interval.
+    :param compose: returns a new :class:`Heartbeat` for an interval.
     :param on_beat: a coroutine function that is called after each heartbeat.
     """
 
@@ -89,7 +89,7 @@
         members,
         rooms,
         held,
-        heirs,
+        new_owners,
         successors,
         suspects,
         compose,
@@ -101,7 +101,7 @@
         self._members = members
         self._rooms = rooms
         self._held = held
-        self._heirs = heirs
+        self._heirs = new_owners
         self._successors = successors
         self._suspects = suspects
         self._compose = compose
@@ -130,7 +130,7 @@
         trip = self._trips.get(vm)
         if trip is not None:
             return trip
-        member = self._members.told_of(vm)
+        member = self._members.find(vm)
         region = member.region if member else None
         return self._region_trips.get(region, FIRST_TRIP)
 
@@ -169,11 +169,11 @@
         """
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
-        beat = Beat.of(unpacker.unpack())
+        beat = Heartbeat.of(unpacker.unpack())
         sent_at, echoed, held, asks = unpacker.unpack()
         before = self._members.live(beat.own.vm)
         is_new = before is None or before.incarnation != beat.own.incarnation
-        member = self._members.heard(beat)
+        member = self._members.record_heartbeat(beat)
         if member is None:
             return None
         for news in beat.told(self._members.is_news):
@@ -188,7 +188,7 @@
             self._rooms.report(beat.own.vm, beat.rooms, beat.waits, beat.losses)
             self._held.report(beat.own.vm, beat.held)
         for fields in beat.suspects:
-            self._suspects.told(SuspectNews.of(fields))
+            self._suspects.told(SuspectUpdate.of(fields))
         return member if is_new else None
 
     async def beat(self):
@@ -317,14 +317,16 @@
             return
         self._differs_for = 0
         told = [each.vm for each in members.others() if each.stamp]
-        for vm in sample(told, min(REPAIRED_AT_ONCE, len(told))):
-            members.rumours.add(vm)
+        for vm in sample(told, min(MAX_REPAIRED_AT_ONCE, len(told))):
+            members.pending_updates.add(vm)
 
     def _interval(self):
         """Return the seconds between two heartbeats to VMs that handle requests."""
         traffic = self._members.traffic()
         if self._is_starting():
-            unheard = sum(each.heard_at is None for each in self._members.others())
+            unheard = sum(
+                each.last_heartbeat_at is None for each in self._members.others()
+            )
             least = INTERVAL if self._members.topology.is_mesh else START_INTERVAL
             # Other VMs consider this one dead after a longer silence.
             return max(least, min(unheard / MOST_PER_SECOND, IDLE_INTERVAL))
@@ -351,7 +353,7 @@
 
         It is one if this VM picked it, or if it recently asked for heartbeats.
         """
-        if member.vm in self._members.topology.picks:
+        if member.vm in self._members.topology.monitored:
             return True
         return self._answer_until.get(member.vm, 0.0) > self._clock.now()
 
@@ -368,7 +370,7 @@
     def _asks(self, vm):
         """Return whether a heartbeat asks its receiver to send heartbeats back."""
         members, topology = self._members, self._members.topology
-        return topology.is_mesh or vm in topology.picks or members.live(vm) is None
+        return topology.is_mesh or vm in topology.monitored or members.live(vm) is None
 
     def _receivers(self, to_all):
         """Return the receivers of a round, without duplicates."""
@@ -401,20 +403,20 @@
         rest = [each for each in members.others() if each not in regular]
         if members.topology.is_mesh:
             tells = own in members.traffic() or self._is_leaving()
-            heard = [
+            record_heartbeat = [
                 each
                 for each in rest
-                if each.heard_at is not None
+                if each.last_heartbeat_at is not None
                 and (tells or each.failure_domain == own.failure_domain)
             ]
-            return [*heard, *_some_unheard(rest)]
+            return [*record_heartbeat, *_some_unheard(rest)]
         partners = [each for each in rest if self._is_partner(each)]
         silent = [each for each in rest if members.live(each.vm) is None]
         if self._is_starting():
             # It may have received many heartbeats before it could send the first.
             return [*partners, *_some_unheard(silent)]
-        told_live = [each for each in silent if each.told_live]
-        return [*partners, *self._some(told_live), *self._some(silent)]
+        reported_alive = [each for each in silent if each.reported_alive]
+        return [*partners, *self._some(reported_alive), *self._some(silent)]
 
     def _some(self, members):
         """Return a small random sample of members."""
@@ -435,8 +437,8 @@
 
     def _observe_trip(self, member, seconds):
         seconds = max(0.0, seconds)
-        move_mean(self._trips, member.vm, seconds, _TRIP_WEIGHT)
-        move_mean(self._region_trips, member.region, seconds, _TRIP_WEIGHT)
+        update_moving_average(self._trips, member.vm, seconds, _TRIP_WEIGHT)
+        update_moving_average(self._region_trips, member.region, seconds, _TRIP_WEIGHT)
 
     def _log_bad(self, address, error):
         self._bad += 1
@@ -447,5 +449,5 @@
 
 def _some_unheard(members):
     """Return a sample of the members that sent no heartbeat yet."""
-    unheard = [each for each in members if each.heard_at is None]
+    unheard = [each for each in members if each.last_heartbeat_at is None]
     return sample(unheard, min(MOST_GREETED, len(unheard)))
--- a/src/heathercleat/steering/process/membership/beat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -4,11 +4,11 @@
 
 import msgpack
 
-from heathercleat.steering.process.membership.member import News
+from heathercleat.steering.process.membership.member import MemberUpdate
 
-#: Positions of the VM name and the stamp among the fields of :class:`News`.
-VM_FIELD = News.__slots__.index("vm")
-STAMP_FIELD = News.__slots__.index("stamp")
+#: Positions of the VM name and the stamp among the fields of :class:`MemberUpdate`.
+VM_FIELD = MemberUpdate.__slots__.index("vm")
+STAMP_FIELD = MemberUpdate.__slots__.index("stamp")
 
 #: Compression level of the news; the fastest one.
 _FAST = 1
@@ -16,23 +16,23 @@
 _MOST_NEWS_BYTES = 1 << 16
 
 
-class Beat:
+class Heartbeat:
     """A heartbeat; the order of the slots is the wire format.
 
-    :param own: the sender's :class:`News` about itself.
+    :param own: the sender's :class:`MemberUpdate` about itself.
     :param interval: seconds until the sender's next heartbeat.
     :param operator_version: version of the last change to the operators' table.
     :param target_version: version of the last significant change to the targets.
     :param store_answers: whether the store answers the sender's calls; also ``False``
         if it makes none.
     :param digest: see :attr:`Members.digest`.
-    :param news: the fields of each :class:`News` that the sender passes on.
-    :param rooms: see :meth:`RoomView.report`; ``None`` without reports.
-    :param waits: see :meth:`RoomView.report`.
-    :param losses: see :meth:`RoomView.report`.
+    :param news: the fields of each :class:`MemberUpdate` that the sender passes on.
+    :param rooms: see :meth:`CapacityReports.report`; ``None`` without reports.
+    :param waits: see :meth:`CapacityReports.report`.
+    :param losses: see :meth:`CapacityReports.report`.
     :param held: see :meth:`HeldSlots.report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
-    :param suspects: the fields of each :class:`SuspectNews`; empty if the receiver has
+    :param suspects: the fields of each :class:`SuspectUpdate`; empty if the receiver has
         the same digest.
     """
 
@@ -85,22 +85,22 @@
         :raises ValueError: when the fields are malformed.
         """
         own, *rest = fields
-        beat = cls(News(*own), *rest)
+        beat = cls(MemberUpdate(*own), *rest)
         beat.news = _unpack_news(beat.news)
         return beat
 
     def told(self, is_news=lambda vm, stamp: True):
-        """Yield each :class:`News` that the sender passes on.
+        """Yield each :class:`MemberUpdate` that the sender passes on.
 
         :param is_news: called with a VM and a stamp; returns whether the receiver wants
             that item. Most items are duplicates, and are not decoded.
         :raises ValueError: when an item has a wrong number of fields.
         """
         for fields in self.news:
-            if len(fields) != len(News.__slots__):
+            if len(fields) != len(MemberUpdate.__slots__):
                 raise ValueError(f"{fields!r} is no news of a VM")
             if is_news(fields[VM_FIELD], fields[STAMP_FIELD]):
-                yield News(*fields)
+                yield MemberUpdate(*fields)
 
 
 def _pack_news(news):
--- a/src/heathercleat/steering/process/membership/composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -2,18 +2,18 @@
 
 from math import ceil
 
-from heathercleat.steering.process.membership.beat import Beat
-from heathercleat.steering.process.membership.member import news_of
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
+from heathercleat.steering.process.membership.member import make_update
 
 
-class BeatComposer:
+class HeartbeatComposer:
     """Builds heartbeats from the current state of this VM.
 
     :param members: the :class:`Members`.
     :param tables: the :class:`Tables`.
     :param ledger: the :class:`SlotLedger` of the owned targets.
     :param admission: the :class:`Admission` with the queues for their slots.
-    :param pressure: the :class:`Pressure` with the losses of this VM's clients.
+    :param pressure: the :class:`LossRates` with the losses of this VM's clients.
     :param suspects: the :class:`Suspects`.
     :param services: returns the names of all services.
     """
@@ -39,14 +39,14 @@
         self._clock = clock
 
     def compose(self, interval):
-        """Return a new :class:`Beat`, with an empty list of suspects.
+        """Return a new :class:`Heartbeat`, with an empty list of suspects.
 
         :param interval: seconds until the next heartbeat.
         """
         members, tables = self._members, self._tables
         members.set_store_lost(tables.store_lost)
-        return Beat(
-            news_of(members.own),
+        return Heartbeat(
+            make_update(members.own),
             interval,
             tables.operator.told,
             tables.targets.told,
@@ -75,8 +75,8 @@
         are free at the latest, rounded up.
         """
         now = self._clock.now()
-        for target_id, _, count, ends_by in self._ledger.handed_over():
-            yield [target_id, count, ceil(max(0.0, ends_by - now) * 100) / 100]
+        for target_id, _, count, deadline in self._ledger.handed_over_targets():
+            yield [target_id, count, ceil(max(0.0, deadline - now) * 100) / 100]
 
     def _waits(self):
         """Yield the fields of each owned service's :class:`Waits`, in seconds."""
@@ -90,4 +90,4 @@
     def _losses(self):
         """Yield the fraction of their value that clients lose, for each service."""
         for service in self._services():
-            yield [service, round(self._pressure.lost(service), 3)]
+            yield [service, round(self._pressure.rate(service), 3)]
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -4,7 +4,7 @@
 
 #: Seconds without a heartbeat after which a VM is considered dead. Several intervals,
 #: to tolerate lost datagrams and short stalls.
-SILENCE = 1.1
+SILENCE_SECONDS = 1.1
 #: The same in intervals, for VMs that send heartbeats rarely.
 LOST_BEATS = 4
 
@@ -30,11 +30,11 @@
 
     :param incarnation: identifies the process; a restarted VM has a higher one.
     :param stamp: version of the news of the VM; the highest one wins.
-    :param told_live: whether the news with that stamp reports the VM as live.
+    :param reported_alive: whether the news with that stamp reports the VM as live.
     :param dead_at: instant from which a reported death is accepted, or ``None``.
     :param stage: its :class:`Stage`.
     :param stops_since: instant at which this VM learned of the shutdown, or ``None``.
-    :param heard_at: instant of its last heartbeat to this VM, or ``None``.
+    :param last_heartbeat_at: instant of its last heartbeat to this VM, or ``None``.
     :param unreachable_until: instant until which it is ignored because its heartbeats
         to this VM stopped, or ``None``.
     :param lost_at: instant at which it was removed from the live VMs, or ``None``.
@@ -53,11 +53,11 @@
         "region",
         "incarnation",
         "stamp",
-        "told_live",
+        "reported_alive",
         "dead_at",
         "stage",
         "stops_since",
-        "heard_at",
+        "last_heartbeat_at",
         "unreachable_until",
         "lost_at",
         "interval",
@@ -77,11 +77,11 @@
         self.region = region
         self.incarnation = 0
         self.stamp = 0
-        self.told_live = False
+        self.reported_alive = False
         self.dead_at = None
         self.stage = Stage.STARTING
         self.stops_since = None
-        self.heard_at = None
+        self.last_heartbeat_at = None
         self.unreachable_until = None
         self.lost_at = None
         self.interval = 0.0
@@ -106,7 +106,7 @@
     @property
     def patience(self):
         """Return the seconds without a heartbeat until the VM is considered dead."""
-        return max(SILENCE, LOST_BEATS * self.interval)
+        return max(SILENCE_SECONDS, LOST_BEATS * self.interval)
 
     def enter(self, stage, now):
         """Set the stage of the VM."""
@@ -118,14 +118,17 @@
 
     def is_heard(self, now):
         """Return whether the VM's heartbeats to this VM are recent."""
-        return self.heard_at is not None and now - self.heard_at <= self.patience
+        return (
+            self.last_heartbeat_at is not None
+            and now - self.last_heartbeat_at <= self.patience
+        )
 
     def is_unreachable(self, now):
         """Return whether the VM is ignored because its heartbeats stopped."""
         return self.unreachable_until is not None and now < self.unreachable_until
 
 
-class News:
+class MemberUpdate:
     """The state of a VM, reported by itself or by a VM that monitors it.
 
     The order of the slots is the wire format.
@@ -153,16 +156,16 @@
         return [getattr(self, name) for name in self.__slots__]
 
 
-def news_of(member):
-    """Return the :class:`News` with the current state of a member."""
-    return News(
+def make_update(member):
+    """Return the :class:`MemberUpdate` with the current state of a member."""
+    return MemberUpdate(
         member.vm,
         member.ip,
         member.failure_domain,
         member.region,
         member.incarnation,
         member.stamp,
-        member.told_live,
+        member.reported_alive,
         member.stage,
         member.store_lost,
         member.strength,
