--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -1,14 +1,14 @@
 """Membership of the VMs, from their heartbeats and from news passed on by others."""
 
 from heathercleat.events import Event
-from heathercleat.steering.process.membership.member import Member, Stage, news_of
-from heathercleat.steering.process.membership.rumours import Rumours
+from heathercleat.steering.process.membership.member import Member, Stage, make_update
+from heathercleat.steering.process.membership.pending_updates import PendingUpdates
 from heathercleat.steering.process.membership.topology import Topology
 from heathercleat.version.hashing import weight
 
 #: Seconds between two checks after which this process counts as having been paused;
 #: more than the longest interval between two rounds of heartbeats.
-PAUSE = 1.5
+PAUSE_SECONDS = 1.5
 #: Seconds that a VM reported as dead by others has to refute it.
 DOUBT = 0.5
 #: Minimum strength of a VM that handles requests, as a fraction of its region's
@@ -42,7 +42,7 @@
             settings.vm, settings.ip, settings.failure_domain, settings.region
         )
         self._own.incarnation = self._own.stamp = incarnation
-        self._own.told_live = True
+        self._own.reported_alive = True
         self._own.strength = settings.strength
         self._regions = settings.regions
         self._members = {settings.vm: self._own}
@@ -58,7 +58,7 @@
         self._newest_operator_version = 0
         self._newest_target_version = 0
         self.topology = Topology(self._own, clock)
-        self.rumours = Rumours(clock)
+        self.pending_updates = PendingUpdates(clock)
 
     @property
     def own(self):
@@ -71,7 +71,7 @@
         if self._digest is None:
             self._digest = 0
             for member in self._members.values():
-                if member.told_live:
+                if member.reported_alive:
                     self._digest ^= weight(member.vm, member.stamp)
         return self._digest
 
@@ -145,7 +145,7 @@
         """Return the region of a failure domain, or ``None`` if it is unknown."""
         return self._regions.get(failure_domain)
 
-    def told_of(self, vm):
+    def find(self, vm):
         """Return the :class:`Member` with a name, live or not, or ``None``."""
         return self._members.get(vm)
 
@@ -172,20 +172,20 @@
 
         An empty list in a full mesh, where VMs do not depend on news.
 
-        :param interval: see :meth:`Rumours.current`.
+        :param interval: see :meth:`PendingUpdates.current`.
         """
         if not self.topology.tells_news:
             return []
-        known = map(self._members.get, self.rumours.current(interval))
-        return [news_of(member).fields() for member in known if member is not None]
+        known = map(self._members.get, self.pending_updates.current(interval))
+        return [make_update(member).fields() for member in known if member is not None]
 
-    def introduce(self, vm, ip, failure_domain, region):
+    def add_known(self, vm, ip, failure_domain, region):
         """Add a VM from the store; it is live after its first heartbeat."""
         member = self._members.get(vm)
         if member is None or (member.ip != ip and member.vm not in self._live):
             self._members[vm] = Member(vm, ip, failure_domain, region)
 
-    def heard(self, beat):
+    def record_heartbeat(self, beat):
         """Record a heartbeat; return its sender, or ``None`` if it is outdated."""
         own = beat.own
         member = self._members.get(own.vm)
@@ -201,7 +201,7 @@
         member.store_answers = beat.store_answers
         member.digest = beat.digest
         member.suspects_digest = beat.suspects_digest
-        member.heard_at = self._clock.now()
+        member.last_heartbeat_at = self._clock.now()
         member.unreachable_until = None
         member.dead_at = None
         self._weigh_stamp(member, own)
@@ -228,7 +228,7 @@
         if news.stamp <= member.stamp:
             return
         member.stamp = news.stamp
-        member.told_live = news.live
+        member.reported_alive = news.live
         self._spread(member)
         now = self._clock.now()
         member.dead_at = None if news.live else now + DOUBT
@@ -273,7 +273,7 @@
         if now - member.lost_at > FORGET:
             del self._members[member.vm]
             self._digest = None
-        elif member.told_live and not member.is_unreachable(now):
+        elif member.reported_alive and not member.is_unreachable(now):
             self._join(member)
 
     def _enter(self, stage):
@@ -325,18 +325,18 @@
         """
         if own.stamp > member.stamp:
             member.stamp = own.stamp
-            member.told_live = True
+            member.reported_alive = True
             self._digest = None
             if own.stamp != own.incarnation:
-                self.rumours.add(member.vm)
-        elif not member.told_live:
-            self.rumours.add(member.vm)
+                self.pending_updates.add(member.vm)
+        elif not member.reported_alive:
+            self.pending_updates.add(member.vm)
 
     def _refute(self, news):
         """Refute news of this VM that is wrong, with a higher stamp."""
         if news.stamp < self._own.stamp:
             return
-        own = news_of(self._own)
+        own = make_update(self._own)
         own.stamp = news.stamp
         if own.fields() != news.fields():
             self._own.stamp = news.stamp
@@ -348,7 +348,7 @@
 
     def _spread(self, member):
         self._digest = None
-        self.rumours.add(member.vm)
+        self.pending_updates.add(member.vm)
 
     def _join(self, member):
         member.lost_at = None
@@ -364,39 +364,41 @@
     def _is_lost(self, member, now):
         if member.is_heard(now):
             return False
-        if not member.told_live:
+        if not member.reported_alive:
             return member.dead_at is None or now >= member.dead_at
-        picked_at = self.topology.picked_at(member.vm)
-        return picked_at is not None and now - picked_at > member.patience
+        monitored_since = self.topology.monitored_since(member.vm)
+        return monitored_since is not None and now - monitored_since > member.patience
 
     def _lose(self, member, now):
         del self._live[member.vm]
         member.lost_at = now
         member.dead_at = None
-        if member.told_live:
+        if member.reported_alive:
             member.unreachable_until = now + RETRY_SILENT
             # An expected exit does not indicate a failure of the domain.
             if not member.stops:
                 self.topology.suspect(member.failure_domain)
-            member.told_live = False
+            member.reported_alive = False
             member.stamp += 1
             self._spread(member)
-        heard_at = member.heard_at
+        last_heartbeat_at = member.last_heartbeat_at
         self._journal.write(
             Event.MEMBER_DEAD,
             peer=member.vm,
-            silent=None if heard_at is None else round(now - heard_at, 3),
+            silent=None
+            if last_heartbeat_at is None
+            else round(now - last_heartbeat_at, 3),
         )
 
     def _forgive_pause(self, now):
         """Extend the timeouts of other VMs by a pause of this process."""
         pause = now - self._checked_at
         self._checked_at = now
-        if pause < PAUSE:
+        if pause < PAUSE_SECONDS:
             return
         for member in self.live_others():
-            if member.heard_at is not None:
-                member.heard_at += pause
+            if member.last_heartbeat_at is not None:
+                member.last_heartbeat_at += pause
             if member.dead_at is not None:
                 member.dead_at += pause
         self._journal.write(Event.VM_PAUSED, gap=round(pause, 3))
--- a/src/heathercleat/steering/process/membership/rumours.py
+++ b/src/heathercleat/steering/process/membership/pending_updates.py
@@ -9,7 +9,7 @@
 MOST_AT_ONCE = 48
 
 
-class Rumours:
+class PendingUpdates:
     """The names of the VMs with news to pass on."""
 
     __slots__ = ("_clock", "_since")
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -7,20 +7,20 @@
 
 from heapq import nlargest
 
-from heathercleat.process.clock import NEVER
+from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.version.hashing import weight
 
 #: Maximum VMs that handle requests in a full mesh.
-MOST_IN_MESH = 18
+MAX_MESH_SIZE = 18
 #: Maximum live VMs in a full mesh, including those that handle no requests.
 MOST_LIVE_IN_MESH = 120
 #: VMs that a VM with requests picks in its own region and in other regions. On average
 #: as many others pick it.
-NEAR_PICKS = 6
-FAR_PICKS = 3
+MONITORED_IN_REGION = 6
+MONITORED_OUTSIDE_REGION = 3
 #: The same for a VM that handles no requests, which only has to learn of changes.
-IDLE_NEAR_PICKS = 3
-IDLE_FAR_PICKS = 1
+IDLE_MONITORED_IN_REGION = 3
+IDLE_MONITORED_OUTSIDE_REGION = 1
 #: Additional VMs of a failure domain that are picked after one of its VMs became
 #: silent, to detect quickly that a whole domain or region is lost.
 SUSPECTS = 30
@@ -43,7 +43,7 @@
         self._since = {}
         self._suspected_until = {}
         self._is_mesh = True
-        self._mesh_since = NEVER
+        self._mesh_since = DISTANT_PAST
 
     @property
     def is_mesh(self):
@@ -60,11 +60,11 @@
         return not self._is_mesh or self._clock.now() < self._mesh_since + NEWS_SECONDS
 
     @property
-    def picks(self):
+    def monitored(self):
         """Return the names of the picked VMs, which have to send heartbeats back."""
         return self._since.keys()
 
-    def picked_at(self, vm):
+    def monitored_since(self, vm):
         """Return the instant since which a VM is picked, or ``None`` if it is not."""
         return self._since.get(vm)
 
@@ -85,7 +85,7 @@
         :param active: the VMs that handle requests; may include this VM.
         """
         others = [each for each in active if each is not self._own]
-        self._set_mesh(len(others) < MOST_IN_MESH and len(live) < MOST_LIVE_IN_MESH)
+        self._set_mesh(len(others) < MAX_MESH_SIZE and len(live) < MOST_LIVE_IN_MESH)
         now = self._clock.now()
         self._suspected_until = {
             domain: until
@@ -105,8 +105,10 @@
         near, far = [], []
         for each in others:
             (near if each.region == self._own.region else far).append(each)
-        near_picks = NEAR_PICKS if carries else IDLE_NEAR_PICKS
-        far_picks = FAR_PICKS if carries else IDLE_FAR_PICKS
+        near_picks = MONITORED_IN_REGION if carries else IDLE_MONITORED_IN_REGION
+        far_picks = (
+            MONITORED_OUTSIDE_REGION if carries else IDLE_MONITORED_OUTSIDE_REGION
+        )
         yield from nlargest(near_picks, near, key=self._weight)
         yield from nlargest(far_picks, far, key=self._weight)
         for domain in self._suspected_until:
--- a/src/heathercleat/steering/process/metrics.py
+++ b/src/heathercleat/steering/process/metrics.py
@@ -27,7 +27,7 @@
         self._requests[key] = self._requests.get(key, 0) + 1
         latencies = self._seconds.get(route)
         if latencies is None:
-            latencies = self._seconds[route] = Latencies()
+            latencies = self._seconds[route] = LatencyHistogram()
         latencies.observe(seconds)
 
     def collect(self):
@@ -72,7 +72,7 @@
         return generate_latest(registry)
 
 
-class Latencies:
+class LatencyHistogram:
     """A histogram of latencies in seconds over :data:`LATENCY_BUCKETS`."""
 
     __slots__ = ("_counts", "_sum")
--- a/src/heathercleat/steering/process/means.py
+++ b/src/heathercleat/steering/process/moving_average.py
@@ -1,7 +1,7 @@
 """Exponential moving averages by key."""
 
 
-def move_mean(means, key, value, weight):
+def update_moving_average(means, key, value, weight):
     """Update the average of a key with a value, in place.
 
     :param means: the averages by key; a new key starts at ``value``.
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -5,54 +5,56 @@
 
 from curio import TaskGroup, sleep, spawn
 
-from heathercleat.connection.pool import Pool
-from heathercleat.connection.sockets import watch_silence
+from heathercleat.connection.pool import ConnectionPool
+from heathercleat.connection.socket_options import enable_keepalive
 from heathercleat.errors import FindingsError, HeathercleatError
 from heathercleat.events import Event
 from heathercleat.platform.settings import load_node_settings
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.fence import Fence
-from heathercleat.process.guard import run_guarded
 from heathercleat.process.logs import Journal
 from heathercleat.process.signals import SignalWatch
-from heathercleat.steering.process.bodies import BodyMemory
+from heathercleat.process.supervision import run_supervised
+from heathercleat.steering.process.active_requests import ActiveRequests
+from heathercleat.steering.process.body_memory import BodyMemory
 from heathercleat.steering.process.capacity.admission import Admission
-from heathercleat.steering.process.capacity.budget import RetryBudget
-from heathercleat.steering.process.capacity.held import HeldSlots
-from heathercleat.steering.process.capacity.losses import RegionLosses
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.ejection_limit import EjectionLimit
+from heathercleat.steering.process.capacity.held_slots import HeldSlots
+from heathercleat.steering.process.capacity.loss_rates import LossRates
 from heathercleat.steering.process.capacity.owners import Owners
-from heathercleat.steering.process.capacity.pressure import Pressure
+from heathercleat.steering.process.capacity.region_loss_rates import RegionLossRates
+from heathercleat.steering.process.capacity.region_shift import RegionShiftLimit
 from heathercleat.steering.process.capacity.registry import TargetRegistry
-from heathercleat.steering.process.capacity.rests import RestLimit
-from heathercleat.steering.process.capacity.rooms import RoomView
+from heathercleat.steering.process.capacity.response_times import ResponseTimes
+from heathercleat.steering.process.capacity.retry_budget import RetryBudget
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.capacity.shift import ShiftLimit
 from heathercleat.steering.process.capacity.slots import SlotLedger
 from heathercleat.steering.process.capacity.view import TargetView
-from heathercleat.steering.process.capacity.work import WorkTimes
-from heathercleat.steering.process.departure import Departure
 from heathercleat.steering.process.directory import Directory
 from heathercleat.steering.process.handover import QUIET_SECONDS, Handover
-from heathercleat.steering.process.leavers import Leavers
 from heathercleat.steering.process.listeners import Listeners
-from heathercleat.steering.process.membership.composer import BeatComposer
 from heathercleat.steering.process.membership.gossip import Gossip
+from heathercleat.steering.process.membership.heartbeat_composer import (
+    HeartbeatComposer,
+)
 from heathercleat.steering.process.membership.member import Stage
 from heathercleat.steering.process.membership.members import Members
 from heathercleat.steering.process.metrics import SteeringMetrics
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.process.quarantine.table import QuarantineTable
-from heathercleat.steering.process.record import RequestRecord
-from heathercleat.steering.process.repeats import RepeatDetector
+from heathercleat.steering.process.request_log import RequestLog
+from heathercleat.steering.process.retry_detector import RetryDetector
+from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.process.store.tables import Tables
-from heathercleat.steering.process.warm import WarmConnections
+from heathercleat.steering.process.warm_connections import WarmConnections
 from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.destinations import DestinationSelector
+from heathercleat.steering.request.dispatch import Dispatcher
 from heathercleat.steering.request.estimates import Estimates
-from heathercleat.steering.request.forward import ForwardTry
-from heathercleat.steering.request.local import LocalTry
-from heathercleat.steering.request.places import Places
+from heathercleat.steering.request.forward import ForwardDispatcher
+from heathercleat.steering.request.local import LocalDispatcher
 from heathercleat.steering.request.steer import Steering
-from heathercleat.steering.request.tries import Tries
 from heathercleat.steering.version.routing import Limits
 from heathercleat.steering.version.split import Splitter
 
@@ -91,9 +93,9 @@
         self._table = None
         self._splitters = {}
         self._budgets = {}
-        self.repeats = RepeatDetector()
-        self.leavers = Leavers()
-        self.bodies = BodyMemory(settings.memory)
+        self.retry_detector = RetryDetector()
+        self.active_requests = ActiveRequests()
+        self.body_memory = BodyMemory(settings.memory)
         # In order of dependency.
         self._build_beliefs()
         self._build_store()
@@ -109,7 +111,7 @@
         self._registry = TargetRegistry(journal, clock)
         self._members = Members(settings, journal, clock, incarnation)
         self._owners = Owners(self._registry, self._members)
-        self._rooms = RoomView(clock)
+        self._rooms = CapacityReports(clock)
         self._held = HeldSlots(self._members, self._rooms, clock)
         self._ledger = SlotLedger(
             self._owners,
@@ -122,14 +124,12 @@
         )
         self._handover = Handover(self._members, self._owners, self._is_short)
         self._admission = Admission(self._ledger, self._members.region_of, clock)
-        self._work_times = WorkTimes()
-        self.departure = Departure(
-            RunTimes(clock), lambda: bool(self._members.serving())
-        )
-        self._pressure = Pressure()
+        self._response_times = ResponseTimes()
+        self.shutdown = Shutdown(RunTimes(clock), lambda: bool(self._members.serving()))
+        self._pressure = LossRates()
         self._suspects = Suspects(journal, clock)
         self._containment = Containment(self._suspects, clock)
-        self._shift = ShiftLimit(settings.bounds.shift_share, clock)
+        self._shift = RegionShiftLimit(settings.bounds.shift_share, clock)
 
     def _build_store(self):
         """Build the followers and writers of the store's tables."""
@@ -158,7 +158,7 @@
     def _build_gossip(self):
         """Build the gossip between VMs."""
         settings, journal, clock = self._settings, self._journal, self.clock
-        composer = BeatComposer(
+        composer = HeartbeatComposer(
             self._members,
             self._tables,
             self._ledger,
@@ -173,11 +173,11 @@
             self._members,
             self._rooms,
             self._held,
-            self._ledger.heirs,
-            self._ledger.take_successors,
+            self._ledger.new_owners,
+            self._ledger.pop_new_owners,
             self._suspects,
             composer.compose,
-            self._tables.notice,
+            self._tables.wake_if_behind,
             journal,
             clock,
         )
@@ -189,33 +189,35 @@
             self._members, self._registry, self._owners, self._ledger, self._rooms
         )
         self._target_pool = self._new_pool()
-        self._local = LocalTry(
+        self._local = LocalDispatcher(
             self._admission,
             self._ledger,
             self._registry,
             self._target_pool,
-            self._work_times,
-            self.departure,
-            RestLimit(view, clock),
+            self._response_times,
+            self.shutdown,
+            EjectionLimit(view, clock),
             self._suspects,
             journal,
             clock,
         )
         self._members.on_change(self._forget_rooms)
         self._registry.on_change(self._update_serving)
-        losses = RegionLosses(self._members, self._rooms, self._pressure, clock)
+        losses = RegionLossRates(self._members, self._rooms, self._pressure, clock)
         estimates = Estimates(
             self._members,
             self._admission,
             self._rooms,
             self._gossip.trip,
-            self._work_times,
+            self._response_times,
             clock,
         )
-        places = Places(view, self._members, estimates, losses, self._shift, clock)
-        tries = Tries(
+        places = DestinationSelector(
+            view, self._members, estimates, losses, self._shift, clock
+        )
+        tries = Dispatcher(
             self._local,
-            ForwardTry(self._peer_pool, settings.forward_port, clock),
+            ForwardDispatcher(self._peer_pool, settings.forward_port, clock),
             self._members,
             self._rooms,
             self._gossip.trip,
@@ -226,9 +228,9 @@
             tries,
             self._shift,
             self._budget,
-            self._work_times,
+            self._response_times,
             self._pressure,
-            self.departure,
+            self.shutdown,
             self._containment,
             journal,
             clock,
@@ -252,7 +254,7 @@
             clock,
         )
         self._metrics = SteeringMetrics(self._beliefs)
-        self.record = RequestRecord(self._metrics, journal, clock)
+        self.request_log = RequestLog(self._metrics, journal, clock)
         self._listeners = Listeners(
             self,
             settings,
@@ -267,8 +269,8 @@
 
     def _new_pool(self):
         fence = Fence()
-        return Pool(
-            self.clock, self._settings.ip, lambda: fence, watch_silence, IDLE_SECONDS
+        return ConnectionPool(
+            self.clock, self._settings.ip, lambda: fence, enable_keepalive, IDLE_SECONDS
         )
 
     @property
@@ -315,7 +317,7 @@
         async with TaskGroup(wait=any) as group:
             await group.spawn(self._shut_down, signals)
             for run in self._loops():
-                await group.spawn(run_guarded, run, self._journal, RESTART_PAUSE)
+                await group.spawn(run_supervised, run, self._journal, RESTART_PAUSE)
             await self._listeners.start(group)
 
     def _loops(self):
@@ -327,7 +329,7 @@
             self._tables.follow_members,
             self._quarantines.follow,
             self._quarantines.write,
-            self.leavers.run,
+            self.active_requests.run,
             self._keep_up,
             self._summarise,
             self._warm.run,
@@ -340,12 +342,12 @@
             now = self.clock.now()
             if now >= judge_at:
                 judge_at = now + JUDGE_INTERVAL
-                self._ledger.judge_speeds()
+                self._ledger.update_slow_targets()
                 self._suspects.expire()
                 await self._target_pool.sweep()
                 await self._peer_pool.sweep()
             self._registry.expire()
-            await self._admission.pump_all()
+            await self._admission.admit_all_queued()
             await self._gossip.notify()
             has_work = self._ledger.all() or self._registry.lapsing()
             await sleep(UPKEEP_INTERVAL if has_work else IDLE_UPKEEP_INTERVAL)
@@ -353,39 +355,39 @@
     async def _summarise(self):
         while True:
             await sleep(SUMMARY_INTERVAL)
-            self.record.flush(**self._beliefs())
+            self.request_log.flush(**self._beliefs())
 
     async def _shut_down(self, signals):
         """Wait for a stop signal, then shut down gracefully."""
         while await signals.next() is SIGHUP:
             self._reload()
         # The grace period starts when the signal arrived, not when it was handled.
-        self.departure.begin(signals.came_at, self._settings.bounds.stop_grace)
+        self.shutdown.begin(signals.received_at, self._settings.bounds.stop_grace)
         self._members.leave()
         self._handover.begin(
             self.clock.now(),
-            self.departure.keeps_until,
-            self.departure.ends_at,
+            self.shutdown.keep_alive_until,
+            self.shutdown.ends_at,
         )
-        self._journal.write(Event.VM_LEAVING, requests=self.leavers.count)
+        self._journal.write(Event.VM_LEAVING, requests=self.active_requests.count)
         await self._gossip.leave()
         await spawn(self._tables.deregister, daemon=True)
         await self._finish_requests()
-        await self._listeners.give_up_blocking()
+        await self._listeners.cancel_blocking_requests()
         self._listeners.close()
-        while self._is_busy() and self.clock.now() < self.departure.ends_at:
+        while self._is_busy() and self.clock.now() < self.shutdown.ends_at:
             await sleep(LEAVING_INTERVAL)
         self._record_abandoned()
 
     def _record_abandoned(self):
         """Log the unfinished requests and the duration of the shutdown."""
         now = self.clock.now()
-        calls = self.leavers.calls()
+        calls = self.active_requests.calls()
         for call in calls:
-            self.record.abandoned(call, now)
+            self.request_log.abandoned(call, now)
         self._journal.write(
             Event.VM_STOPPED,
-            seconds=round(self.departure.elapsed(now), 3),
+            seconds=round(self.shutdown.elapsed(now), 3),
             abandoned=len(calls),
         )
 
@@ -393,13 +395,13 @@
         """Keep serving until all requests are done or the final flush is due."""
         busy_at = self.clock.now()
         keeps = True
-        while (now := self.clock.now()) < self.departure.last_answers_at:
-            if keeps and now >= self.departure.keeps_until:
+        while (now := self.clock.now()) < self.shutdown.flush_at:
+            if keeps and now >= self.shutdown.keep_alive_until:
                 keeps = False
                 self._listeners.close_idle()
             if self._is_busy():
                 busy_at = now
-            self._handover.check(now, self._listeners.busy)
+            self._handover.check(now, self._listeners.is_busy)
             is_quiet = now - busy_at >= QUIET_SECONDS and self._handover.is_over
             if not keeps and is_quiet:
                 return
@@ -408,10 +410,10 @@
     def _is_short(self, now):
         """Return whether requests of some route may not complete before the exit."""
         routes = self._table.routes if self._table else ()
-        return any(self.departure.is_short(route, now) for route in routes)
+        return any(self.shutdown.is_time_short(route, now) for route in routes)
 
     def _is_busy(self):
-        return bool(self.leavers.count) or self._listeners.busy
+        return bool(self.active_requests.count) or self._listeners.is_busy
 
     def _update_serving(self):
         if self.started and self._members.own.stage == Stage.STARTING:
@@ -427,7 +429,7 @@
             before=self._table.version if self._table else None,
         )
         self._table = table
-        self.departure.runs.keep({route.name for route in table.routes})
+        self.shutdown.runs.keep({route.name for route in table.routes})
         self._splitters = {}
         self._update_serving()
 
@@ -459,13 +461,13 @@
             "members": len(self._members.serving()),
             "owned_targets": len(self._ledger.all()),
             "free_slots": sum(each.free(now) for each in self._ledger.all()),
-            "requests_under_way": self.leavers.count,
+            "requests_under_way": self.active_requests.count,
             "configuration": self._table.version if self._table else 0,
             "configuration_age": _age(self._tables.operator.read_at, now),
             "targets_age": _age(self._tables.targets.read_at, now),
             "suspects": self._suspects.count,
-            "quarantined": self._suspects.quarantined,
-            "limited_groups": self._suspects.limited,
+            "quarantined": self._suspects.quarantined_count,
+            "limited_groups": self._suspects.limited_count,
             "moved_share": round(self._shift.share, 3),
             "log_lines_dropped": self._log_writer.dropped if self._log_writer else 0,
         }
--- a/src/heathercleat/steering/process/quarantine/rules.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -10,66 +10,86 @@
 from hashlib import blake2b
 
 #: First letters of the keys of groups; that of a request is hexadecimal.
-SENDER, STRANGERS = "s", "t"
+SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX = "s", "t"
 #: 64 bits, as for requests.
 DIGEST_BYTES = 8
 #: Routes to services whose digits are kept.
-MOST_PLACES = 1024
+MAX_CACHED_ROUTES = 1024
 
 
-class Rule:
+class CrashPolicy:
     """When requests of a key are refused, and for how long.
 
     :param ends: ends from which they are refused.
-    :param ends_to_return: ends from which one is sent to another target only when its
+    :param crashes_to_stop_retries: ends from which one is sent to another target only when its
         caller comes back.
-    :param first_hold: seconds for which they are refused after the last of so many
+    :param initial_refusal_seconds: seconds for which they are refused after the last of so many
         ends; twice as long after each more.
-    :param longest_hold: the longest such time in seconds.
+    :param max_refusal_seconds: the longest such time in seconds.
     :param memory: seconds for which ends are laid to a key after the last one.
     """
 
-    __slots__ = ("ends", "ends_to_return", "first_hold", "longest_hold", "memory")
-
-    def __init__(self, ends, ends_to_return, first_hold, longest_hold, memory):
+    __slots__ = (
+        "ends",
+        "crashes_to_stop_retries",
+        "initial_refusal_seconds",
+        "max_refusal_seconds",
+        "retention_seconds",
+    )
+
+    def __init__(
+        self,
+        ends,
+        crashes_to_stop_retries,
+        initial_refusal_seconds,
+        max_refusal_seconds,
+        retention_seconds,
+    ):
         self.ends = ends
-        self.ends_to_return = ends_to_return
-        self.first_hold = first_hold
-        self.longest_hold = longest_hold
-        self.memory = memory
+        self.crashes_to_stop_retries = crashes_to_stop_retries
+        self.initial_refusal_seconds = initial_refusal_seconds
+        self.max_refusal_seconds = max_refusal_seconds
+        self.retention_seconds = retention_seconds
 
-    def hold(self, count):
+    def refusal_seconds(self, count):
         """Return the seconds for which requests are refused after an end.
 
         :param count: the ends that are known, that one included.
         """
-        return min(self.longest_hold, self.first_hold * 2 ** (count - self.ends))
+        return min(
+            self.max_refusal_seconds,
+            self.initial_refusal_seconds * 2 ** (count - self.ends),
+        )
 
 
 #: One request ends what it runs on or does not: it is not tried again for a day.
-REQUEST_RULE = Rule(3, 2, 86_400.0, 86_400.0, 600.0)
+REQUEST_POLICY = CrashPolicy(3, 2, 86_400.0, 86_400.0, 600.0)
 #: A sender has other requests, which may be sound: one of them is tried ever more
 #: rarely.
-SENDER_RULE = Rule(3, 3, 5.0, 300.0, 600.0)
+SENDER_POLICY = CrashPolicy(3, 3, 5.0, 300.0, 600.0)
 #: Strangers have nothing in common but their route, and new callers come all the time.
-STRANGERS_RULE = Rule(6, 6, 2.0, 30.0, 60.0)
+UNKNOWN_SENDERS_POLICY = CrashPolicy(6, 6, 2.0, 30.0, 60.0)
 
 
-def rule_of(key):
-    """Return the :class:`Rule` for a request or a group."""
-    if key.startswith(SENDER):
-        return SENDER_RULE
-    return STRANGERS_RULE if key.startswith(STRANGERS) else REQUEST_RULE
+def policy_for(key):
+    """Return the :class:`CrashPolicy` for a request or a group."""
+    if key.startswith(SENDER_PREFIX):
+        return SENDER_POLICY
+    return (
+        UNKNOWN_SENDERS_POLICY
+        if key.startswith(UNKNOWN_SENDERS_PREFIX)
+        else REQUEST_POLICY
+    )
 
 
-def is_group(key):
+def is_group_key(key):
     """Return whether a key stands for a group, not for one request."""
-    return key.startswith((SENDER, STRANGERS))
+    return key.startswith((SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX))
 
 
-def is_of_strangers(key):
+def is_unknown_senders_key(key):
     """Return whether a key stands for the strangers on a route."""
-    return key.startswith(STRANGERS)
+    return key.startswith(UNKNOWN_SENDERS_PREFIX)
 
 
 def sender_key(service, route, sender):
@@ -77,15 +97,15 @@
 
     :param sender: hexadecimal digits that tell the sender from others.
     """
-    return SENDER + _place(service, route) + sender
+    return SENDER_PREFIX + _place(service, route) + sender
 
 
-def strangers_key(service, route):
+def unknown_senders_key(service, route):
     """Return the key of the strangers' requests on one route to one service."""
-    return STRANGERS + _place(service, route)
+    return UNKNOWN_SENDERS_PREFIX + _place(service, route)
 
 
-@lru_cache(maxsize=MOST_PLACES)
+@lru_cache(maxsize=MAX_CACHED_ROUTES)
 def _place(service, route):
     """Return hexadecimal digits that tell a route to a service from others."""
     text = f"{len(service)}:{service}{route}".encode()
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -3,12 +3,12 @@
 import msgpack
 
 from heathercleat.process.clock import from_wall, to_wall
-from heathercleat.steering.process.quarantine.suspect import SuspectNews
+from heathercleat.steering.process.quarantine.suspect import SuspectUpdate
 from heathercleat.steering.process.quarantine.suspects import QUARANTINE_SECONDS
 
 QUARANTINE_TABLE = "heathercleat-quarantines"
 #: Seconds after its end in which a row stays: the VMs' times of day differ.
-ROW_MARGIN = 3600.0
+ROW_RETENTION_SECONDS = 3600.0
 
 
 class QuarantineRow:
@@ -59,7 +59,7 @@
         names = row.route, row.service, row.vm
         if not all(name is None or isinstance(name, str) for name in names):
             raise ValueError(f"{names!r} are no names")
-        SuspectNews.of(["", 0.0, row.ends, []])
+        SuspectUpdate.of(["", 0.0, row.ends, []])
         return row
 
 
@@ -80,16 +80,16 @@
 
 
 def decode_quarantine(row, clock):
-    """Return the :class:`SuspectNews` of a row, or ``None`` for one that is long over.
+    """Return the :class:`SuspectUpdate` of a row, or ``None`` for one that is long over.
 
     :raises ValueError: when it holds no quarantine.
     """
     quarantine = QuarantineRow.unpack(row.value)
     remaining = from_wall(clock, quarantine.until) - clock.now()
-    if remaining < -ROW_MARGIN:
+    if remaining < -ROW_RETENTION_SECONDS:
         return None
     remaining = min(max(0.0, remaining), QUARANTINE_SECONDS)
-    return SuspectNews.of([row.key, remaining, quarantine.ends, []])
+    return SuspectUpdate.of([row.key, remaining, quarantine.ends, []])
 
 
 def _is_instant(value):
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -4,15 +4,15 @@
 from heapq import nsmallest
 from typing import NamedTuple
 
-from heathercleat.steering.process.quarantine.rules import DIGEST_BYTES, rule_of
+from heathercleat.steering.process.quarantine.policies import DIGEST_BYTES, policy_for
 
 #: Ends of targets that are remembered of one request: five times what decides on it.
-MOST_ENDS = 16
+MAX_CRASHES = 16
 #: Seconds in which all VMs learn that the ends of a group are cleared.
-CLEARED_SECONDS = 10.0
+CLEARED_RETENTION_SECONDS = 10.0
 
 
-class SuspectNews:
+class SuspectUpdate:
     """What a VM tells of a suspect.
 
     :param fingerprint: the request, see
@@ -52,7 +52,7 @@
         return news
 
 
-class Added(NamedTuple):
+class SuspectChange(NamedTuple):
     """What is new of a suspect.
 
     :param ends: whether other ends are known than before.
@@ -106,79 +106,83 @@
         return len(self.ends) - len(self.cleared)
 
     @property
-    def earliest(self):
+    def earliest_crash(self):
         """Return the earliest known life that is laid to it."""
         return next(each for each in self.ends if each not in self.cleared)
 
     @property
-    def rule(self):
-        """Return the :class:`Rule` for it."""
-        return rule_of(self.fingerprint)
+    def policy(self):
+        """Return the :class:`CrashPolicy` for it."""
+        return policy_for(self.fingerprint)
 
     @property
     def is_limited(self):
         """Return whether it has the ends from which requests are refused."""
-        return self.count >= self.rule.ends
+        return self.count >= self.policy.ends
 
     @property
     def is_full(self):
         """Return whether no more ends are remembered of it."""
-        return len(self.ends) >= MOST_ENDS
+        return len(self.ends) >= MAX_CRASHES
 
     @property
-    def memory(self):
+    def retention_seconds(self):
         """Return the seconds for which a group is remembered at most.
 
         One that is not limited and holds no end, or can take no more, is soon begun
         anew: ends that were cleared must not make room for others.
         """
         is_over = not self.count or (self.is_full and not self.is_limited)
-        return CLEARED_SECONDS if is_over else self.rule.memory
+        return CLEARED_RETENTION_SECONDS if is_over else self.policy.retention_seconds
 
     @property
     def refused_until(self):
         """Return the instant until which its requests are refused."""
         if self.is_full:
             return self.until
-        return min(self.until, self.ended_at + self.rule.hold(self.count))
+        return min(self.until, self.ended_at + self.policy.refusal_seconds(self.count))
 
     @property
     def digest(self):
         """Return a checksum over what is known of it."""
         digest = 0
-        for life in self.ends:
-            digest ^= _digest(f"{self.fingerprint} {life}")
-        for life in self.cleared:
-            digest ^= _digest(f"{self.fingerprint} {life} cleared")
+        for incarnation_id in self.ends:
+            digest ^= _digest(f"{self.fingerprint} {incarnation_id}")
+        for incarnation_id in self.cleared:
+            digest ^= _digest(f"{self.fingerprint} {incarnation_id} cleared")
         return digest
 
     def add(self, lives, cleared=()):
-        """Add ends, some of which are not laid to it; return an :class:`Added`."""
+        """Add ends, some of which are not laid to it; return an :class:`SuspectChange`."""
         ends, count = list(self.ends), len(self.cleared)
-        for life in lives:
-            if life not in self.ends:
-                self.ends.append(life)
+        for incarnation_id in lives:
+            if incarnation_id not in self.ends:
+                self.ends.append(incarnation_id)
         self._drop_most()
-        for life in cleared:
-            if life in self.ends and life not in self.cleared:
-                self.cleared.append(life)
+        for incarnation_id in cleared:
+            if incarnation_id in self.ends and incarnation_id not in self.cleared:
+                self.cleared.append(incarnation_id)
         has_ends = self.ends != ends
-        return Added(has_ends, has_ends or len(self.cleared) > count)
+        return SuspectChange(has_ends, has_ends or len(self.cleared) > count)
 
     def _drop_most(self):
-        """Keep :data:`MOST_ENDS`, the same of the same at all VMs."""
-        if len(self.ends) <= MOST_ENDS:
+        """Keep :data:`MAX_CRASHES`, the same of the same at all VMs."""
+        if len(self.ends) <= MAX_CRASHES:
             return
-        kept = nsmallest(MOST_ENDS, self.ends, key=self._order)
-        self.ends = [life for life in self.ends if life in kept]
-        self.cleared = [life for life in self.cleared if life in kept]
+        kept = nsmallest(MAX_CRASHES, self.ends, key=self._order)
+        self.ends = [
+            incarnation_id for incarnation_id in self.ends if incarnation_id in kept
+        ]
+        self.cleared = [
+            incarnation_id for incarnation_id in self.cleared if incarnation_id in kept
+        ]
 
-    def _order(self, life):
-        return _digest(f"{self.fingerprint} {life}")
+    def _order(self, incarnation_id):
+        return _digest(f"{self.fingerprint} {incarnation_id}")
 
     def news(self, now):
         """Return what to tell of it."""
-        return SuspectNews(
+        return SuspectUpdate(
             self.fingerprint, round(self.until - now), self.ends, self.cleared
         )
 
@@ -193,6 +197,6 @@
 
 
 def _are_lives(value):
-    if not isinstance(value, list) or len(value) > MOST_ENDS:
+    if not isinstance(value, list) or len(value) > MAX_CRASHES:
         return False
     return all(isinstance(each, str) for each in value)
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -10,34 +10,37 @@
 from random import sample
 
 from heathercleat.events import Event
-from heathercleat.steering.process.quarantine.answers import AnswerCredits, AnswerMemory
-from heathercleat.steering.process.quarantine.rules import (
-    REQUEST_RULE,
-    is_group,
-    is_of_strangers,
+from heathercleat.steering.process.quarantine.policies import (
+    REQUEST_POLICY,
+    is_group_key,
+    is_unknown_senders_key,
+)
+from heathercleat.steering.process.quarantine.responses import (
+    RecentResponses,
+    ResponseCredits,
 )
 from heathercleat.steering.process.quarantine.suspect import Suspect
 
 #: Ends from which a request is quarantined.
-ENDS_TO_QUARANTINE = REQUEST_RULE.ends
+CRASHES_TO_QUARANTINE = REQUEST_POLICY.ends
 #: Seconds for which ends are laid to a request, and for which it is in quarantine. Each
 #: look whether it still ends targets ends one more.
-SUSPICION_SECONDS = REQUEST_RULE.memory
-QUARANTINE_SECONDS = REQUEST_RULE.longest_hold
+SUSPICION_SECONDS = REQUEST_POLICY.retention_seconds
+QUARANTINE_SECONDS = REQUEST_POLICY.max_refusal_seconds
 #: Requests with whole answers, groups with some, and suspects that are remembered: a
 #: few megabytes.
-MOST_ANSWERED = 8192
-MOST_GROUPS_ANSWERED = 1024
-MOST_SUSPECTS = 10_000
+MAX_REQUESTS_WITH_RESPONSE = 8192
+MAX_GROUPS_WITH_RESPONSE = 1024
+MAX_SUSPECTS = 10_000
 #: Suspects in one heartbeat: the latest changed, and others that may have been missed.
-LATEST_TOLD = 24
-OTHERS_TOLD = 8
+MAX_RECENT_UPDATES = 24
+MAX_SAMPLED_UPDATES = 8
 #: Ends in one heartbeat, of 14 bytes each: beside other news and reports they fit into
 #: a datagram.
-MOST_ENDS_TOLD = 128
+MAX_CRASHES_PER_HEARTBEAT = 128
 #: Seconds that a suspect has left at least to be told: VMs forget it one after another,
 #: and must not learn it again of each other.
-LEAST_TOLD_SECONDS = 5.0
+MIN_REMAINING_SECONDS = 5.0
 
 
 class Suspects:
@@ -52,9 +55,9 @@
         self._on_quarantine = []
         # By fingerprint, the latest changed one at the end.
         self._suspects = {}
-        self._answered = AnswerMemory(MOST_ANSWERED)
-        self._senders_answered = AnswerMemory(MOST_GROUPS_ANSWERED)
-        self._strangers_answered = AnswerCredits(MOST_GROUPS_ANSWERED)
+        self._answered = RecentResponses(MAX_REQUESTS_WITH_RESPONSE)
+        self._senders_answered = RecentResponses(MAX_GROUPS_WITH_RESPONSE)
+        self._strangers_answered = ResponseCredits(MAX_GROUPS_WITH_RESPONSE)
         self._digest = 0
 
     @property
@@ -68,12 +71,12 @@
         return len(self._suspects)
 
     @property
-    def quarantined(self):
+    def quarantined_count(self):
         """Return the number of requests that are refused."""
         return sum(each.is_limited for each in self.all() if not _is_of_group(each))
 
     @property
-    def limited(self):
+    def limited_count(self):
         """Return the number of groups that are limited."""
         return sum(each.is_limited for each in self.all() if _is_of_group(each))
 
@@ -100,24 +103,24 @@
         suspect = self._get(key)
         return suspect is not None and suspect.is_limited
 
-    def has_ends(self, key):
+    def has_crashes(self, key):
         """Return whether any end is laid to a key."""
         suspect = self._get(key)
         return suspect is not None and suspect.count > 0
 
-    def was_answered(self, fingerprint):
+    def has_response(self, fingerprint):
         """Return whether a whole answer to a request is remembered."""
         return fingerprint in self._answered
 
-    def may_go_on(self, key):
+    def may_retry(self, key):
         """Return whether a request may be sent to one more target in one attempt."""
         suspect = self._get(key)
-        return suspect is None or suspect.count < suspect.rule.ends_to_return
+        return suspect is None or suspect.count < suspect.policy.crashes_to_stop_retries
 
-    def ended(self, fingerprint, life, route=None, service=None):
+    def ended(self, fingerprint, incarnation_id, route=None, service=None):
         """Note that a target ended while it ran a request, of a group or not.
 
-        :param life: see :attr:`TargetEntry.life`.
+        :param life: see :attr:`TargetEntry.incarnation_id`.
         :param route: name of the request's route.
         :param service: name of the service that ran it.
         """
@@ -126,7 +129,7 @@
         suspect = self._get(fingerprint) or Suspect(fingerprint)
         suspect.seen_here = True
         suspect.route, suspect.service = route, service
-        self._take(suspect, [life], [], SUSPICION_SECONDS)
+        self._take(suspect, [incarnation_id], [], SUSPICION_SECONDS)
 
     def answered(self, fingerprint):
         """Note a whole answer of a target to a request, of a group or not.
@@ -134,12 +137,12 @@
         It speaks for all ends; an answer to a stranger for one end only.
         """
         suspect = self._get(fingerprint)
-        has_ends = suspect is not None and suspect.count > 0
-        if has_ends and is_of_strangers(fingerprint):
-            self._take(suspect, [], [suspect.earliest], 0.0)
+        has_crashes = suspect is not None and suspect.count > 0
+        if has_crashes and is_unknown_senders_key(fingerprint):
+            self._take(suspect, [], [suspect.earliest_crash], 0.0)
             return
         self._answers(fingerprint).note(fingerprint, self._clock.now())
-        if has_ends:
+        if has_crashes:
             self.lift(fingerprint)
 
     def lift(self, fingerprint):
@@ -149,23 +152,31 @@
             self._take(suspect, [], list(suspect.ends), 0.0)
 
     def told(self, news):
-        """Take the :class:`SuspectNews` of another VM."""
+        """Take the :class:`SuspectUpdate` of another VM."""
         suspect = self._get(news.fingerprint) or Suspect(news.fingerprint)
         known = {*suspect.ends, *news.cleared}
-        fresh = (life for life in news.ends if life not in known)
-        excused = [life for life in fresh if self._is_excused(news.fingerprint)]
+        fresh = (
+            incarnation_id
+            for incarnation_id in news.ends
+            if incarnation_id not in known
+        )
+        excused = [
+            incarnation_id
+            for incarnation_id in fresh
+            if self._is_excused(news.fingerprint)
+        ]
         cleared = [*news.cleared, *excused]
         seconds = min(news.remaining, QUARANTINE_SECONDS)
         self._take(suspect, news.ends, cleared, seconds)
 
     def news(self):
-        """Yield the :class:`SuspectNews` for one heartbeat."""
-        now, room = self._clock.now(), MOST_ENDS_TOLD
+        """Yield the :class:`SuspectUpdate` for one heartbeat."""
+        now, room = self._clock.now(), MAX_CRASHES_PER_HEARTBEAT
         for suspect in self._told_next():
             room -= len(suspect.ends) + len(suspect.cleared)
             if room < 0:
                 return
-            if suspect.until - now > LEAST_TOLD_SECONDS:
+            if suspect.until - now > MIN_REMAINING_SECONDS:
                 yield suspect.news(now)
 
     def expire(self):
@@ -177,11 +188,11 @@
 
     def _told_next(self):
         """Yield suspects to tell of: the latest changed ones, then some others."""
-        latest = list(islice(reversed(self._suspects.values()), LATEST_TOLD))
+        latest = list(islice(reversed(self._suspects.values()), MAX_RECENT_UPDATES))
         yield from latest
         rest = len(self._suspects) - len(latest)
         others = list(islice(self._suspects.values(), rest))
-        yield from sample(others, min(OTHERS_TOLD, rest))
+        yield from sample(others, min(MAX_SAMPLED_UPDATES, rest))
 
     def _take(self, suspect, ends, cleared, seconds):
         """Add to a suspect.
@@ -199,14 +210,14 @@
             seconds = max(seconds, QUARANTINE_SECONDS)
         seconds = max(seconds, suspect.until - now)
         if is_for_group:
-            seconds = min(seconds, suspect.memory)
+            seconds = min(seconds, suspect.retention_seconds)
         suspect.until = now + seconds
         if added.ends:
             suspect.ended_at = now
         self._digest ^= digest ^ suspect.digest
         self._suspects.pop(suspect.fingerprint, None)
         self._suspects[suspect.fingerprint] = suspect
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._drop(next(iter(self._suspects)))
         if is_caught:
             self._caught(suspect)
@@ -231,7 +242,7 @@
         return suspect
 
     def _is_excused(self, fingerprint):
-        return self._answers(fingerprint).excuse(fingerprint, self._clock.now())
+        return self._answers(fingerprint).exempts_crash(fingerprint, self._clock.now())
 
     def _drop(self, fingerprint):
         suspect = self._suspects.pop(fingerprint)
@@ -240,9 +251,9 @@
             self._log_end(suspect)
 
     def _answers(self, key):
-        if not is_group(key):
+        if not is_group_key(key):
             return self._answered
-        if is_of_strangers(key):
+        if is_unknown_senders_key(key):
             return self._strangers_answered
         return self._senders_answered
 
@@ -264,4 +275,4 @@
 
 
 def _is_of_group(suspect):
-    return is_group(suspect.fingerprint)
+    return is_group_key(suspect.fingerprint)
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -17,20 +17,20 @@
     encode_quarantine,
 )
 from heathercleat.steering.process.store.protocol import HistoryLostError
-from heathercleat.steering.process.store.rejections import Rejections
+from heathercleat.steering.process.store.rejected_rows import RejectedRowLog
 
 #: Seconds for which a call waits for a change: a quarantine is rare, and is told by
 #: heartbeats first.
-WAIT = 25.0
+LONG_POLL_SECONDS = 25.0
 #: Seconds after the start from which a VM knows whether it is for it to read, and
 #: between two looks whether it is.
-SETTLE_SECONDS = 1.0
+READER_CHECK_SECONDS = 1.0
 #: Seconds between two tries while the store does not answer, and between two rows that
 #: one VM writes.
-RETRY_INTERVAL = 2.0
-WRITE_INTERVAL = 1.0
+RETRY_SECONDS = 2.0
+WRITE_SECONDS = 1.0
 #: Quarantines that wait to be written, the latest ones.
-MOST_WAITING = 256
+MAX_PENDING_WRITES = 256
 
 
 class QuarantineTable:
@@ -51,8 +51,8 @@
         self._vm = vm
         self._journal = journal
         self._clock = clock
-        self._rejections = Rejections(journal, clock)
-        self._waiting = deque(maxlen=MOST_WAITING)
+        self._rejections = RejectedRowLog(journal, clock)
+        self._waiting = deque(maxlen=MAX_PENDING_WRITES)
         # Version of the table as it was read last, or ``None``.
         self._version = None
 
@@ -63,16 +63,16 @@
     async def follow(self):
         """Read the table until cancelled, while it is for this VM to do so."""
         while True:
-            await sleep(SETTLE_SECONDS)
+            await sleep(READER_CHECK_SECONDS)
             while self._is_reader():
                 await self._read()
 
     async def write(self):
         """Write what waits to be written, until cancelled."""
         while True:
-            await sleep(WRITE_INTERVAL)
+            await sleep(WRITE_SECONDS)
             if self._waiting and not await self._write_next():
-                await sleep(RETRY_INTERVAL)
+                await sleep(RETRY_SECONDS)
 
     async def _write_next(self):
         """Write the row of a quarantine that is not over; return whether it stands."""
@@ -92,11 +92,11 @@
             snapshot = await self._next_snapshot()
         except HistoryLostError:
             self._version = None
-            await sleep(RETRY_INTERVAL)
+            await sleep(RETRY_SECONDS)
             return
         except PlatformError as error:
             self._log_failed(error)
-            await sleep(RETRY_INTERVAL)
+            await sleep(RETRY_SECONDS)
             return
         self._version = snapshot.version
         for row in snapshot.rows:
@@ -105,7 +105,9 @@
     async def _next_snapshot(self):
         if self._version is None:
             return await self._reading.read(QUARANTINE_TABLE)
-        return await self._reading.follow(QUARANTINE_TABLE, self._version, WAIT)
+        return await self._reading.follow(
+            QUARANTINE_TABLE, self._version, LONG_POLL_SECONDS
+        )
 
     async def _take(self, row):
         """Take a row; one that an operator removed lifts its quarantine."""
--- a/src/heathercleat/steering/process/record.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -7,7 +7,7 @@
 _SERVER_ERROR = 500
 
 
-class RequestRecord:
+class RequestLog:
     """Logs and counts finished requests, at a limited rate.
 
     :param metrics: the :class:`SteeringMetrics`.
@@ -25,7 +25,7 @@
     def answered(self, call, answer, now):
         """Record a request that got a response from a target."""
         seconds = now - call.arrived_at
-        result = "late" if now > call.aim_at else "in_time"
+        result = "late" if now > call.soft_deadline else "in_time"
         if answer.status >= _SERVER_ERROR:
             result = "failed_at_target"
         self._count(call.route.name, result, seconds)
--- a/src/heathercleat/steering/process/returns.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -6,7 +6,7 @@
 RETURN_SHARE = 0.3
 
 
-def return_at(call, mean, now):
+def compute_retry_at(call, mean, now):
     """Return the instant from which a refused client may retry.
 
     The delay has random jitter, so that clients refused together do not retry together.
--- a/src/heathercleat/steering/process/repeats.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -16,7 +16,7 @@
 MOST_COUNTED = 400
 
 
-class RepeatDetector:
+class RetryDetector:
     """Learns for each route how long clients wait on their first attempt."""
 
     __slots__ = ("_routes",)
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -101,6 +101,6 @@
         """Return the TCP port for requests forwarded by other VMs."""
         return self.first_inner_port + 1
 
-    def inner_address(self, port):
+    def internal_address(self, port):
         """Return this VM's :class:`Address` for internal traffic on a port."""
         return Address(self.ip, port)
--- a/src/heathercleat/steering/process/departure.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -2,24 +2,24 @@
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import RequestError
-from heathercleat.steering.process.returns import return_at
+from heathercleat.steering.process.retry_after import compute_retry_at
 
 #: A deadline that never passes.
-NO_END = float("inf")
+NO_DEADLINE = float("inf")
 #: Seconds before the platform kills the process at which it exits by itself.
-STOP_MARGIN = 0.35
+KILL_MARGIN_SECONDS = 0.35
 #: Seconds before the exit at which ready responses are flushed without waiting for
 #: earlier requests of their connection. Long enough for a round trip.
-LAST_ANSWERS = 0.25
+FLUSH_SECONDS = 0.25
 #: Maximum fraction of the grace period that each of these margins may take.
 MARGIN_SHARE = 1 / 12
 #: Seconds after the stop signal for which client connections are kept open, since
 #: clients with an old lookup result may still connect.
-KEEP_SECONDS = 2.5
+KEEP_ALIVE_SECONDS = 2.5
 #: Expected seconds until the first of several VMs stopped together serves again.
 RESTART_SECONDS = 1.0
 #: Reason in refusals of a VM that is shutting down.
-LEAVING = "the VM is leaving"
+LEAVING_REASON = "the VM is leaving"
 
 
 class StopEstimate:
@@ -38,7 +38,7 @@
         self.runs = runs
 
 
-class Departure:
+class Shutdown:
     """The deadlines of this process after a stop signal.
 
     A request is sent to a target only if it will complete before the process exits:
@@ -53,9 +53,9 @@
         self._runs = runs
         self._others_serve = others_serve
         self._began_at = None
-        self._keeps_until = NO_END
-        self._last_answers_at = NO_END
-        self._ends_at = NO_END
+        self._keeps_until = NO_DEADLINE
+        self._last_answers_at = NO_DEADLINE
+        self._ends_at = NO_DEADLINE
 
     @property
     def runs(self):
@@ -63,7 +63,7 @@
         return self._runs
 
     @property
-    def keeps_until(self):
+    def keep_alive_until(self):
         """Return the instant until which connections accept further requests.
 
         Infinite before :meth:`begin`.
@@ -76,7 +76,7 @@
         return self._ends_at
 
     @property
-    def last_answers_at(self):
+    def flush_at(self):
         """Return the instant from which ready responses are sent at once.
 
         From then on they do not wait for earlier requests of their connection.
@@ -91,9 +91,9 @@
         """
         self._began_at = now
         most = MARGIN_SHARE * grace
-        self._ends_at = now + grace - min(STOP_MARGIN, most)
-        self._last_answers_at = self._ends_at - min(LAST_ANSWERS, most)
-        self._keeps_until = min(now + KEEP_SECONDS, self.last_answers_at)
+        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, most)
+        self._last_answers_at = self._ends_at - min(FLUSH_SECONDS, most)
+        self._keeps_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
 
     def elapsed(self, now):
         """Return the seconds since the stop signal; only after :meth:`begin`."""
@@ -107,34 +107,34 @@
         """
         if self.is_too_late(call, now):
             mean = 0.0 if self._others_serve() else RESTART_SECONDS
-            retry_at = return_at(call, mean, now)
-            raise RequestError(ResultCode.NO_ROOM, LEAVING, retry_at)
+            retry_at = compute_retry_at(call, mean, now)
+            raise RequestError(ResultCode.NO_ROOM, LEAVING_REASON, retry_at)
 
     def is_too_late(self, call, now):
         """Return whether a request sent to a target now might not complete."""
-        return now >= self.send_by(call)
+        return now >= self.send_deadline(call)
 
-    def send_by(self, call):
+    def send_deadline(self, call):
         """Return the instant until which a request may be sent to a target.
 
-        :data:`NO_END` if the request's own deadline is early enough.
+        :data:`NO_DEADLINE` if the request's own deadline is early enough.
         """
-        if call.deadline <= self.last_answers_at:
-            return NO_END
+        if call.deadline <= self.flush_at:
+            return NO_DEADLINE
         if call.arrived_at >= self._keeps_until:
-            return -NO_END
-        return self.last_answers_at - self._runs.bound(call)
+            return -NO_DEADLINE
+        return self.flush_at - self._runs.bound(call)
 
-    def is_short(self, route, now):
+    def is_time_short(self, route, now):
         """Return whether the time left no longer suffices for requests of a route.
 
         ``False`` for a route whose requests exceed the whole grace period.
 
         :param route: a :class:`Route`.
         """
-        needed = min(route.timeout, self._runs.longest(route.name))
-        whole = self.last_answers_at - self._began_at
-        return needed <= whole and now + needed > self.last_answers_at
+        needed = min(route.timeout, self._runs.longest_bound(route.name))
+        whole = self.flush_at - self._began_at
+        return needed <= whole and now + needed > self.flush_at
 
     def estimate(self, call, now):
         """Return the :class:`StopEstimate` of a request; ``None`` before the stop."""
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -7,8 +7,8 @@
 
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.events import Event
-from heathercleat.steering.process.store.copy import TableCopy
 from heathercleat.steering.process.store.protocol import HistoryLostError
+from heathercleat.steering.process.store.table_copy import TableCopy
 
 #: Mean seconds between two calls of a reader while the store does not answer.
 RETRY_INTERVAL = 0.3
@@ -145,7 +145,7 @@
         """Return a :class:`Snapshot` of the changes since a version; 0 for all rows."""
         return self._copy.since(after, self._lapsing())
 
-    async def notice(self):
+    async def wake_if_behind(self):
         """Fetch the table from another VM now, if one announced a newer change."""
         if self._is_behind() and not self._newer_heard.is_set():
             await self._newer_heard.set()
@@ -268,11 +268,11 @@
         contains, so the version is announced at once.
         """
         first, self._loaded = not self._copy.version, True
-        if not self._copy.take_whole(snapshot):
+        if not self._copy.replace_all(snapshot):
             return
         keys = self._apply(snapshot)
         if keys or first:
-            self._copy.note_changes(keys, snapshot.version)
+            self._copy.record_changes(keys, snapshot.version)
         if first:
             self._first_read_at = self._clock.now()
         else:
@@ -280,19 +280,19 @@
 
     def _take_changes(self, snapshot):
         """Apply changed rows from the store."""
-        keys = self._apply(self._copy.take_changes(snapshot))
+        keys = self._apply(self._copy.merge_changes(snapshot))
         if keys:
-            self._copy.note_changes(keys, self._copy.version)
+            self._copy.record_changes(keys, self._copy.version)
 
     def _take_relayed(self, snapshot):
         """Apply all or changed rows from another VM."""
         if not snapshot.is_whole:
-            self._apply(self._copy.take_changes(snapshot))
-        elif self._copy.take_whole(snapshot):
+            self._apply(self._copy.merge_changes(snapshot))
+        elif self._copy.replace_all(snapshot):
             self._apply(snapshot)
         self._loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.note_changes(keys, snapshot.changed)
+        self._copy.record_changes(keys, snapshot.changed)
         self._told_changed = self.changed
 
     def _note_lost(self, error, began_at, is_total):
--- a/src/heathercleat/steering/process/store/rejections.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -3,14 +3,14 @@
 from heathercleat.events import Event
 
 #: Maximum lines per window.
-MOST_LINES = 20
+MAX_LINES_PER_WINDOW = 20
 #: Length of a window, in seconds.
-WINDOW = 10.0
+WINDOW_SECONDS = 10.0
 #: Maximum characters of a key and of a reason in a line.
 _SHOWN = 200
 
 
-class Rejections:
+class RejectedRowLog:
     """Logs rejected rows, with a rate limit."""
 
     def __init__(self, journal, clock):
@@ -24,9 +24,9 @@
         """Log a rejected row, or count it if the rate limit is reached."""
         now = self._clock.now()
         if now >= self._window_until:
-            self._window_until = now + WINDOW
+            self._window_until = now + WINDOW_SECONDS
             self._lines = 0
-        if self._lines >= MOST_LINES:
+        if self._lines >= MAX_LINES_PER_WINDOW:
             self._left_out += 1
             return
         self._lines += 1
--- a/src/heathercleat/steering/process/store/copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -3,7 +3,7 @@
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
 
 #: Maximum remembered removals. A VM that missed more of them gets the whole table.
-MOST_REMOVALS = 1024
+MAX_REMOVALS = 1024
 #: Maximum remembered :class:`Gap` objects.
 MOST_GAPS = 16
 
@@ -72,7 +72,7 @@
         """Return a list of all :class:`StoreRow` objects."""
         return list(self._rows.values())
 
-    def take_whole(self, snapshot):
+    def replace_all(self, snapshot):
         """Replace all rows, unless the snapshot is older; return whether it was used.
 
         It may be older if a newer one arrived from another VM during the call.
@@ -92,7 +92,7 @@
             self._removals.pop(key, None)
         return True
 
-    def take_changes(self, snapshot):
+    def merge_changes(self, snapshot):
         """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
         Rows may be newer than the version of the table, which is read in pages, and
@@ -104,7 +104,7 @@
             self._version, news, snapshot.changed, snapshot.lapsing, is_whole=False
         )
 
-    def note_changes(self, keys, version):
+    def record_changes(self, keys, version):
         """Record significant changes to the rows with some keys.
 
         :param version: the version of the table's last significant change.
@@ -166,6 +166,6 @@
         self._changed_at.pop(key, None)
         self._removals.pop(key, None)
         self._removals[key] = version
-        if len(self._removals) > MOST_REMOVALS:
+        if len(self._removals) > MAX_REMOVALS:
             oldest = next(iter(self._removals))
             self._floor = max(self._floor, self._removals.pop(oldest))
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -8,14 +8,14 @@
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.events import Event
 from heathercleat.platform.decode import decode_operator_rows
-from heathercleat.platform.names import OPERATOR_TABLE, TARGET_TABLE
-from heathercleat.platform.store import TableStore
+from heathercleat.platform.store import TableStoreClient
 from heathercleat.platform.targets import decode_target
-from heathercleat.steering.connection.forwarded import read_state, state_path
+from heathercleat.platform.wire_names import OPERATOR_TABLE, TARGET_TABLE
+from heathercleat.steering.connection.forwarded import state_path, unpack_state
 from heathercleat.steering.process.store.follower import TableFollower
 from heathercleat.steering.process.store.member_rows import decode_member, encode_member
-from heathercleat.steering.process.store.rejections import Rejections
-from heathercleat.version.hashing import ranked
+from heathercleat.steering.process.store.rejected_rows import RejectedRowLog
+from heathercleat.version.hashing import rank_by_weight
 
 MEMBER_TABLE = "heathercleat-members"
 #: Timeout of a call to the store in seconds, in addition to its wait for a change.
@@ -60,7 +60,7 @@
         self._adopt = adopt
         self._journal = journal
         self._clock = clock
-        self._rejections = Rejections(journal, clock)
+        self._rejections = RejectedRowLog(journal, clock)
         self._own_store = self.new_store()
         self.operator = self._follow(
             OPERATOR_TABLE,
@@ -87,7 +87,7 @@
             self._take_members,
             lambda _: 0,
             lambda: 0,
-            is_reader=self.reads_members,
+            is_reader=self.reads_member_table,
         )
 
     @property
@@ -109,10 +109,10 @@
         followers = {OPERATOR_TABLE: self.operator, TARGET_TABLE: self.targets}
         return followers[table].snapshot(after)
 
-    async def notice(self):
+    async def wake_if_behind(self):
         """Fetch newer tables now, if heartbeats announced any."""
-        await self.operator.notice()
-        await self.targets.notice()
+        await self.operator.wake_if_behind()
+        await self.targets.wake_if_behind()
 
     async def follow_members(self):
         """Register this VM, then follow the members' table until cancelled.
@@ -143,9 +143,9 @@
             self._journal.write(Event.PLATFORM_FAILED, reason=str(error))
 
     def new_store(self):
-        """Return a new :class:`TableStore`."""
+        """Return a new :class:`TableStoreClient`."""
         settings = self._settings
-        return TableStore(settings.store, self._clock, STORE_TIMEOUT, settings.ip)
+        return TableStoreClient(settings.store, self._clock, STORE_TIMEOUT, settings.ip)
 
     def _follow(
         self,
@@ -195,9 +195,9 @@
             answered.append(own.vm)
         names = answered or [own.vm, *(member.vm for member in near)]
         regions = len(set(self._settings.regions.values()))
-        return own.vm in ranked("reader", names)[: ceil(READERS / regions)]
+        return own.vm in rank_by_weight("reader", names)[: ceil(READERS / regions)]
 
-    def reads_members(self):
+    def reads_member_table(self):
         """Return whether this VM keeps reading the members' table after its start.
 
         In a large fleet only readers do; the others learn of new VMs by gossip.
@@ -254,7 +254,7 @@
         rows = [row for row in snapshot.rows if row.value is not None]
         for member in self._decode(rows, decode_member):
             if member.vm != self._settings.vm:
-                self._members.introduce(
+                self._members.add_known(
                     member.vm, member.ip, member.failure_domain, member.region
                 )
         return [row.key for row in snapshot.rows]
@@ -306,7 +306,7 @@
             whole = True
         finally:
             if whole:
-                await self._pool.give_back(ip, port, stream)
+                await self._pool.checkin(ip, port, stream)
             else:
                 await self._pool.discard(ip, port, stream)
-        return read_state(answer.body)
+        return unpack_state(answer.body)
--- a/src/heathercleat/steering/process/warm.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -11,7 +11,7 @@
 #: Maximum idle connections to each VM, and to all VMs together.
 IDLE_EACH = 4
 IDLE_TOTAL = 48
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class WarmConnections:
@@ -47,11 +47,11 @@
                     await group.spawn(self._open, member.ip)
 
     async def _open(self, ip):
-        deadline = self._clock.now() + CONNECT_TIMEOUT
+        deadline = self._clock.now() + CONNECT_TIMEOUT_SECONDS
         try:
             checkout = self._pool.checkout(ip, self._port, fresh=True)
             stream = await before(deadline, self._clock, checkout)
         except (OSError, TimeoutError):
             # The failure detector reports unreachable VMs.
             return
-        await self._pool.keep_new(ip, self._port, stream)
+        await self._pool.add_unused(ip, self._port, stream)
--- a/src/heathercleat/steering/request/homes.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -10,7 +10,7 @@
 place of 8.0% and 9.2% (one run each).
 """
 
-from heathercleat.steering.request.patience import SPREAD
+from heathercleat.steering.request.wait_policy import SPREAD
 from heathercleat.version.hashing import weight
 
 #: Part of the aim that a round trip may take where the time of a known object is not
@@ -20,7 +20,7 @@
 TRIP_SHARE = 0.5
 
 
-class Home:
+class AffinityTarget:
     """The target that knows the object of a request.
 
     :param candidate: its :class:`Candidate`.
@@ -43,11 +43,11 @@
 
         An owner that does not report here is tried: it answers at once.
         """
-        room = self.candidate.room
-        return room.free(now) > 0 or not room.is_known(now)
+        capacity = self.candidate.capacity
+        return capacity.free(now) > 0 or not capacity.is_known(now)
 
 
-class Homes:
+class AffinityTargets:
     """Finds the homes of requests' objects.
 
     :param estimates: the :class:`Estimates` of waits and times.
@@ -57,16 +57,16 @@
         self._estimates = estimates
 
     def of(self, choice, large):
-        """Return the :class:`Home` of a request's object, or ``None``.
+        """Return the :class:`AffinityTarget` of a request's object, or ``None``.
 
         :param large: whether its body is too large to cross regions.
         """
-        homes = [Home(each, False) for each in choice.near_homes]
+        affinity_targets = [AffinityTarget(each, False) for each in choice.near_homes]
         if not large:
-            homes.extend(self._far(choice))
+            affinity_targets.extend(self._far(choice))
         affinity = choice.call.affinity
         return max(
-            homes,
+            affinity_targets,
             key=lambda each: weight(affinity, each.candidate.entry.id),
             default=None,
         )
@@ -75,13 +75,13 @@
         """Yield the homes in other regions from which an answer can be in time."""
         spare = self._spare(choice.call.route)
         for targets in choice.far:
-            for candidate in choice.homes(targets):
+            for candidate in choice.affinity_targets(targets):
                 if self._estimates.trip(candidate.owner) <= spare:
-                    yield Home(candidate, True)
+                    yield AffinityTarget(candidate, True)
 
     def _spare(self, route):
         """Return the longest round trip to a home, in seconds."""
         known = self._estimates.known_work(route)
         if known is None:
-            return TRIP_SHARE * route.latency_aim
-        return route.latency_aim - SPREAD * known
+            return TRIP_SHARE * route.latency_objective
+        return route.latency_objective - SPREAD * known
--- a/src/heathercleat/steering/request/answer.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class AnswerHead:
+class TargetResponseHead:
     """What the headers of a target's answer tell.
 
     :param signed: whether the target vouches for the answer.
@@ -64,7 +64,7 @@
 _SERVER_ERROR = 500
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """How a try ended."""
 
     #: A target's whole answer.
@@ -81,13 +81,13 @@
     @property
     def not_run(self):
         """Return whether the request certainly has not run."""
-        return self in (End.NOT_SENT, End.REFUSED)
+        return self in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
 
 
-class TryResult:
+class AttemptResult:
     """The result of one try.
 
-    :param end: an :class:`End`.
+    :param end: an :class:`AttemptOutcome`.
     :param answer: the :class:`Answer` when there is one.
     :param target: id of the target that was tried, or ``None``.
     :param work: seconds that the target took, or ``None``.
@@ -113,4 +113,6 @@
     @property
     def succeeded(self):
         """Return whether a target answered, and not with a failure of its own."""
-        return self.end is End.ANSWERED and self.answer.status < _SERVER_ERROR
+        return (
+            self.end is AttemptOutcome.ANSWERED and self.answer.status < _SERVER_ERROR
+        )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from heathercleat.steering.process.departure import NO_END
+from heathercleat.steering.process.shutdown import NO_DEADLINE
 
 
 class Interruptible(Protocol):
@@ -52,11 +52,11 @@
     :param service: name of the service that runs it.
     :param arrived_at: when its head was read.
     :param deadline: when the final answer is due.
-    :param aim_at: when the answer should be there.
-    :param patient_until: when it is given up without a slot.
-    :param send_by: until when it may be sent to a target: the VM that took it may end
+    :param soft_deadline: when the answer should be there.
+    :param give_up_at: when it is given up without a slot.
+    :param send_deadline: until when it may be sent to a target: the VM that took it may end
         before a later one ends.
-    :param home_until: until when only targets that know its object may run it.
+    :param affinity_until: until when only targets that know its object may run it.
     :param returned: whether it came back after a refusal.
     :param affinity: key of the object that it is about, or ``None``.
     :param client_wait: seconds for which its client waits, as the client says.
@@ -69,7 +69,7 @@
     :param confined: whether targets ended under it, or it is the trial of a group: it
         runs where an end costs least.
     :param tries: a line of text for each try so far, for the log.
-    :param trying: the :class:`Place` of the try under way, or ``None``.
+    :param trying: the :class:`Destination` of the try under way, or ``None``.
     :param trying_since: when that try began.
     :param stop_estimate: the :class:`StopEstimate` with which a leaving VM took it, or
         ``None``.
@@ -85,10 +85,10 @@
         "service",
         "arrived_at",
         "deadline",
-        "aim_at",
-        "patient_until",
-        "home_until",
-        "send_by",
+        "soft_deadline",
+        "give_up_at",
+        "affinity_until",
+        "send_deadline",
         "returned",
         "affinity",
         "client_wait",
@@ -116,10 +116,10 @@
         self.stream = stream
         self.arrived_at = 0.0
         self.deadline = 0.0
-        self.aim_at = 0.0
-        self.patient_until = 0.0
-        self.home_until = 0.0
-        self.send_by = NO_END
+        self.soft_deadline = 0.0
+        self.give_up_at = 0.0
+        self.affinity_until = 0.0
+        self.send_deadline = NO_DEADLINE
         self.returned = False
         self.affinity = None
         self.client_wait = None
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/containment.py
@@ -10,16 +10,19 @@
 
 from heathercleat.codes import ResultCode
 from heathercleat.errors import RequestError
-from heathercleat.steering.process.quarantine.answers import AnswerMemory
-from heathercleat.steering.process.quarantine.rules import sender_key, strangers_key
+from heathercleat.steering.process.quarantine.policies import (
+    sender_key,
+    unknown_senders_key,
+)
+from heathercleat.steering.process.quarantine.responses import RecentResponses
 from heathercleat.steering.process.quarantine.suspects import QUARANTINE_SECONDS
-from heathercleat.steering.request.answer import End
+from heathercleat.steering.request.attempt_result import AttemptOutcome
 from heathercleat.steering.request.fingerprint import sender
 
 #: Senders with whole answers that are remembered: about a megabyte.
-MOST_SENDERS = 8192
+MAX_SENDERS = 8192
 #: Trials that are remembered; those that are over are dropped first.
-MOST_TRIALS = 1024
+MAX_TRIALS = 1024
 
 
 class Trial:
@@ -50,7 +53,7 @@
         self._clock = clock
         # By service and sender. What a sender sends is first answered as unproven, so
         # that proven requests need no look at who sent them.
-        self._senders = AnswerMemory(MOST_SENDERS)
+        self._senders = RecentResponses(MAX_SENDERS)
         self._trials = {}
 
     def refusal(self, call):
@@ -74,7 +77,7 @@
         message = f"targets ended under requests of {', '.join(call.groups)}"
         return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=until)
 
-    def owners_refusal(self, call):
+    def owner_refusal(self, call):
         """Return the :class:`RequestError` where the owner of a target refused.
 
         It may know of an end before the news of it has come here.
@@ -82,13 +85,13 @@
         until = self._suspects.refused_until(call.fingerprint)
         return _quarantined(call, until or self._clock.now() + QUARANTINE_SECONDS)
 
-    def may_go_on(self, call):
+    def may_retry(self, call):
         """Return whether a request may be sent to one more target in one attempt."""
         keys = (call.fingerprint, *(call.groups or ()))
-        return all(self._suspects.may_go_on(key) for key in keys)
+        return all(self._suspects.may_retry(key) for key in keys)
 
-    def took(self, call, result, is_own):
-        """Take the :class:`TryResult` of a try.
+    def record_result(self, call, result, is_own):
+        """Take the :class:`AttemptResult` of a try.
 
         What the owner of the target saw is taken at once: its own news of it takes a
         heartbeat or more.
@@ -103,17 +106,17 @@
             where = call.route.name, call.service
             for key in keys:
                 self._suspects.ended(key, result.ended, *where)
-        elif result.end is End.ANSWERED:
+        elif result.end is AttemptOutcome.ANSWERED:
             self._answered(call, keys)
         if self._trials and not result.end.not_run:
             self._end_trials(call)
 
     def _groups_of(self, call):
         """Return the keys of the groups that ends under a request are laid to."""
-        if self._suspects.was_answered(call.fingerprint):
+        if self._suspects.has_response(call.fingerprint):
             return ()
         service, route = call.service, call.route.name
-        strangers = strangers_key(service, route)
+        strangers = unknown_senders_key(service, route)
         call.sender = sender(call.headers)
         if call.sender is None:
             return (strangers,)
@@ -124,7 +127,7 @@
     def _is_suspected(self, call):
         """Return whether an end is to be expected of a request more than of others."""
         limited = (self._suspects.is_limited(key) for key in call.groups)
-        return self._suspects.has_ends(call.fingerprint) or any(limited)
+        return self._suspects.has_crashes(call.fingerprint) or any(limited)
 
     def _answered(self, call, keys):
         for key in keys:
@@ -151,7 +154,7 @@
         return None
 
     def _remember(self, key, trial):
-        if len(self._trials) >= MOST_TRIALS:
+        if len(self._trials) >= MAX_TRIALS:
             now = self._clock.now()
             self._trials = {
                 key: each for key, each in self._trials.items() if each.until > now
--- a/src/heathercleat/steering/request/places.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -2,13 +2,13 @@
 
 from random import random
 
-from heathercleat.steering.process.capacity.slots import is_open
-from heathercleat.steering.request.choice import Choice
-from heathercleat.steering.request.homes import Homes
+from heathercleat.steering.process.capacity.slots import can_take_slot
+from heathercleat.steering.request.affinity import AffinityTargets
+from heathercleat.steering.request.eligibility import EligibleTargets
 
 #: Bytes of a body from which a target in the own failure domain goes before one that
 #: knows the object: crossing twice with a larger body costs more than the work saved.
-LARGE_BODY = 16 << 10
+LARGE_BODY_BYTES = 16 << 10
 #: A request is refused at once where the reported wait is so many times its patience:
 #: forwarding it in vain would cost both VMs 1.2 ms of processor time. A report is old
 #: by half a heartbeat interval; between one and two times the owner itself decides.
@@ -25,7 +25,7 @@
 FORWARD_COST = 0.03
 
 
-class Place:
+class Destination:
     """A target with a free slot, or a VM to wait at when ``target`` is ``None``.
 
     :param vm: name of the owner.
@@ -46,27 +46,27 @@
         self.is_home = is_home
 
 
-class Places:
+class DestinationSelector:
     """Finds places for requests.
 
     :param view: the :class:`TargetView`.
     :param members: the live VMs.
     :param estimates: the :class:`Estimates` of waits and times.
-    :param losses: the :class:`RegionLosses`.
-    :param shift: the :class:`ShiftLimit`.
+    :param losses: the :class:`RegionLossRates`.
+    :param shift: the :class:`RegionShiftLimit`.
     """
 
     def __init__(self, view, members, estimates, losses, shift, clock):
         self._view = view
         self._members = members
         self._estimates = estimates
-        self._homes = Homes(estimates)
+        self._homes = AffinityTargets(estimates)
         self._losses = losses
         self._shift = shift
         self._clock = clock
 
     def free(self, call, avoid, avoid_vms):
-        """Return the best :class:`Place` with a free slot, or ``None``."""
+        """Return the best :class:`Destination` with a free slot, or ``None``."""
         choice = self._choice(call, avoid, avoid_vms)
         confined = self._confined(choice) if call.confined else None
         if confined is not None:
@@ -84,7 +84,7 @@
         return self._best_far(choice, self._near_wait(choice))
 
     def _confined(self, choice):
-        """Return the :class:`Place` for a request that may end its target, or ``None``.
+        """Return the :class:`Destination` for a request that may end its target, or ``None``.
 
         It is one of a few targets of this region that runs no other request, and not
         the last one with room. Where there is none the request goes where any does: an
@@ -96,18 +96,22 @@
         free = near.summary(now).free
         for each in near.confined:
             slots = each.entry.slots
-            if each.room.free(now) >= slots and free > slots and choice.usable(each):
-                return Place(each.owner, each.entry.id, (each.entry.id,), False)
+            if (
+                each.capacity.free(now) >= slots
+                and free > slots
+                and choice.usable(each)
+            ):
+                return Destination(each.owner, each.entry.id, (each.entry.id,), False)
         return None
 
     def waiting(self, call, avoid, avoid_vms):
-        """Return the :class:`Place` to wait at, or ``None``.
+        """Return the :class:`Destination` to wait at, or ``None``.
 
         It is the home of the object, or else the owner of this region with the shortest
         wait. The wait is ``None`` where an owner's targets are all out of service.
         """
         choice = self._choice(call, avoid, avoid_vms)
-        patience = call.patient_until - choice.now
+        patience = call.give_up_at - choice.now
         home = self._home(choice)
         if home is not None and self._has_hope(call, home, patience):
             return self._at_home(home)
@@ -116,25 +120,25 @@
         return self._shortest_wait(choice, choice.near, choice.usable, patience, False)
 
     def _home(self, choice):
-        """Return the :class:`Home` of the request's object, or ``None``."""
-        return self._homes.of(choice, len(choice.call.body) >= LARGE_BODY)
+        """Return the :class:`AffinityTarget` of the request's object, or ``None``."""
+        return self._homes.of(choice, len(choice.call.body) >= LARGE_BODY_BYTES)
 
     def _at_home(self, home, target=None):
         owner = home.candidate.owner
-        return Place(owner, target, home.ids, home.remote, is_home=True)
+        return Destination(owner, target, home.ids, home.remote, is_home=True)
 
     def _has_hope(self, call, home, patience):
         return self._waiting_cost(call, home.candidate.owner, patience) is not None
 
-    def relief(self, call, avoid, avoid_vms):
-        """Return the :class:`Place` to wait at where clients lose less, or ``None``.
+    def select_spillover(self, call, avoid, avoid_vms):
+        """Return the :class:`Destination` to wait at where clients lose less, or ``None``.
 
         It lies in another region, which can answer in time and whose own clients lose
         less of their worth than those of this region. A large body stays: to carry it
         between regions costs more than a late answer loses. So does a request whose
         object has a home, which waits there.
         """
-        if len(call.body) >= LARGE_BODY or not self._shift.may_move():
+        if len(call.body) >= LARGE_BODY_BYTES or not self._shift.may_move():
             return None
         choice = self._choice(call, avoid, avoid_vms)
         if self._home(choice) is not None:
@@ -176,15 +180,15 @@
         regions = self._view.regions(call.service)
         own_region = self._members.own.region
         now = self._clock.now()
-        return Choice(call, regions, own_region, avoid, avoid_vms, now)
+        return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
     def _shortest_wait(self, choice, targets, usable, patience, remote):
-        """Return the :class:`Place` to wait at in a region, or ``None``.
+        """Return the :class:`Destination` to wait at in a region, or ``None``.
 
         :param usable: returns whether a candidate may be used.
         """
-        homes = choice.homes(targets, usable)
-        candidates = homes or filter(usable, targets.candidates)
+        affinity_targets = choice.affinity_targets(targets, usable)
+        candidates = affinity_targets or filter(usable, targets.candidates)
         costs = {}
         for owner in {each.owner for each in candidates}:
             cost = self._waiting_cost(choice.call, owner, patience)
@@ -194,7 +198,7 @@
             return None
         # Chance decides between equals: owners that do not report here all are.
         owner = min(costs, key=lambda each: (costs[each], random()))
-        return Place(owner, None, _ids(homes), remote)
+        return Destination(owner, None, _ids(affinity_targets), remote)
 
     def _waiting_cost(self, call, owner, patience):
         """Return the seconds that waiting at an owner costs; ``None`` without hope."""
@@ -204,36 +208,38 @@
         return wait if owner == self._members.own.vm else wait + FORWARD_COST
 
     def _best_near(self, choice):
-        """Return the best :class:`Place` of this region, or ``None``."""
+        """Return the best :class:`Destination` of this region, or ``None``."""
         near = choice.near
         if near is None:
             return None
-        homes = choice.near_homes
-        if len(choice.call.body) < LARGE_BODY:
-            return self._best(choice, near, homes, choice.usable, False)
+        affinity_targets = choice.near_homes
+        if len(choice.call.body) < LARGE_BODY_BYTES:
+            return self._best(choice, near, affinity_targets, choice.usable, False)
         here = self._members.own.failure_domain
 
         def beside(candidate):
             return candidate.entry.failure_domain == here and choice.usable(candidate)
 
-        return self._best(choice, near, homes, beside, False) or self._best(
-            choice, near, homes, choice.usable, False
+        return self._best(choice, near, affinity_targets, beside, False) or self._best(
+            choice, near, affinity_targets, choice.usable, False
         )
 
-    def _best(self, choice, targets, homes, usable, remote):
-        """Return the :class:`Place` of the best free target of a region, or ``None``.
+    def _best(self, choice, targets, affinity_targets, usable, remote):
+        """Return the :class:`Destination` of the best free target of a region, or ``None``.
 
         A target that knows the object goes first; after it one that this VM owns, then
         the one with the largest part of its slots free.
         """
-        now, known = choice.now, _ids(homes)
-        for each in homes:
+        now, known = choice.now, _ids(affinity_targets)
+        for each in affinity_targets:
             # An owner that does not report here is tried: it answers at once.
-            may_have_room = each.room.free(now) > 0 or not each.room.is_known(now)
+            may_have_room = each.capacity.free(now) > 0 or not each.capacity.is_known(
+                now
+            )
             if may_have_room and usable(each):
-                return Place(each.owner, each.entry.id, known, remote)
+                return Destination(each.owner, each.entry.id, known, remote)
         summary = targets.summary(now)
-        if not (summary.idle if homes else summary.free):
+        if not (summary.idle if affinity_targets else summary.free):
             return None
         best = min(
             (
@@ -247,16 +253,16 @@
         if best is None:
             return None
         target = best.entry.id
-        return Place(best.owner, target, known or (target,), remote)
+        return Destination(best.owner, target, known or (target,), remote)
 
     def _is_free(self, candidate, known, now):
-        free = candidate.room.free(now)
-        return free > 0 and is_open(candidate.entry, free, known)
+        free = candidate.capacity.free(now)
+        return free > 0 and can_take_slot(candidate.entry, free, known)
 
     def _order(self, candidate, now):
         """Return the order among free targets, the lowest first."""
         elsewhere = candidate.owner != self._members.own.vm
-        return elsewhere, -candidate.room.free(now) / candidate.entry.slots
+        return elsewhere, -candidate.capacity.free(now) / candidate.entry.slots
 
     def _known_wait(self, choice):
         """Return the shortest known wait in this region, or ``None``."""
@@ -271,7 +277,7 @@
         return float("inf") if wait is None else wait
 
     def _best_far(self, choice, near_wait):
-        """Return the :class:`Place` in the region with the most room, or ``None``.
+        """Return the :class:`Destination` in the region with the most room, or ``None``.
 
         :param near_wait: seconds that the request would wait in this region.
         """
@@ -285,12 +291,12 @@
             return in_time or self._estimates.trip(owner) < near_wait
 
         rooms = [(_spare(each.summary(choice.now)), each) for each in choice.far]
-        for room, targets in sorted(rooms, key=lambda each: -each[0]):
-            if room <= 0.0:
+        for capacity, targets in sorted(rooms, key=lambda each: -each[0]):
+            if capacity <= 0.0:
                 return None
-            homes = choice.homes(targets)
-            known.update(_ids(homes))
-            place = self._best(choice, targets, homes, helps, True)
+            affinity_targets = choice.affinity_targets(targets)
+            known.update(_ids(affinity_targets))
+            place = self._best(choice, targets, affinity_targets, helps, True)
             if place is not None:
                 return place
         return None
@@ -308,6 +314,6 @@
 def _describe(name, regions, now):
     summaries = [each.summary(now) for each in regions]
     targets = sum(each.targets for each in summaries)
-    sound = sum(each.sound for each in summaries)
+    healthy = sum(each.healthy for each in summaries)
     free = sum(each.free for each in summaries)
-    return f"{name} {targets} targets, {sound} sound, {free} free"
+    return f"{name} {targets} targets, {healthy} sound, {free} free"
--- a/src/heathercleat/steering/request/choice.py
+++ b/src/heathercleat/steering/request/eligibility.py
@@ -7,7 +7,7 @@
 HOMES_OF_OBJECT = 1
 
 
-class Choice:
+class EligibleTargets:
     """What one request may use.
 
     :param call: the :class:`Call`.
@@ -55,7 +55,7 @@
     @property
     def waits_for_home(self):
         """Return whether the request may still wait for the home of its object."""
-        return self.now < self.call.home_until
+        return self.now < self.call.affinity_until
 
     def usable(self, candidate):
         """Return whether a candidate may run the request and its owner carry it."""
@@ -68,13 +68,15 @@
     def near_homes(self):
         """Return the candidates of this region that know the object."""
         if self._near_homes is None:
-            self._near_homes = self.homes(self.near) if self.near else []
+            self._near_homes = self.affinity_targets(self.near) if self.near else []
         return self._near_homes
 
-    def homes(self, targets, usable=None):
+    def affinity_targets(self, targets, usable=None):
         """Return the candidates of a region that know the object, the best first."""
         call = self.call
         if call.affinity is None or not call.route.sticky:
             return []
         usable = usable or self.usable
-        return targets.homes(call.affinity, HOMES_OF_OBJECT, usable, self.now)
+        return targets.affinity_targets(
+            call.affinity, HOMES_OF_OBJECT, usable, self.now
+        )
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -8,15 +8,15 @@
     :param admission: the waits at own targets.
     :param rooms: the waits at other owners' targets.
     :param trip: returns the round trip to a VM.
-    :param work_times: the :class:`WorkTimes`.
+    :param response_times: the :class:`ResponseTimes`.
     """
 
-    def __init__(self, members, admission, rooms, trip, work_times, clock):
+    def __init__(self, members, admission, rooms, trip, response_times, clock):
         self._members = members
         self._admission = admission
         self._rooms = rooms
         self._trip = trip
-        self._work_times = work_times
+        self._response_times = response_times
         self._clock = clock
 
     def trip(self, owner):
@@ -30,7 +30,7 @@
         to this VM.
         """
         if owner == self._members.own.vm:
-            return self._admission.wait_of(call)
+            return self._admission.expected_wait(call)
         if not self._rooms.is_known(owner):
             return 0.0
         waits = self._rooms.waits(owner, call.service)
@@ -51,16 +51,16 @@
 
     def work(self, call, is_home):
         """Return how long a target takes that knows the object, or does not."""
-        times, route = self._work_times, call.route.name
+        times, route = self._response_times, call.route.name
         if call.affinity is None or not call.route.sticky:
             return times.of(route)
-        return times.at_home(route) if is_home else times.elsewhere(route)
+        return times.at_affinity_target(route) if is_home else times.elsewhere(route)
 
     def known_work(self, route):
         """Return how long a target takes for a known object, ``None`` if untold."""
-        return self._work_times.known(route.name)
+        return self._response_times.known(route.name)
 
     def is_in_time(self, call, owner, is_home):
         """Return whether a request is in time through an owner that has room."""
         expected = self._trip(owner) + self.work(call, is_home)
-        return self._clock.now() + expected <= call.aim_at
+        return self._clock.now() + expected <= call.soft_deadline
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -5,9 +5,14 @@
 from heathercleat.codes import ResultCode
 from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
 from heathercleat.errors import RequestError
-from heathercleat.platform.headers import read_answer_head, request_headers
+from heathercleat.platform.headers import parse_response_head, target_request_headers
 from heathercleat.request.headers import check_framing, end_to_end
-from heathercleat.steering.request.answer import DEADLINE, Answer, End, TryResult
+from heathercleat.steering.request.attempt_result import (
+    DEADLINE,
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
 
 #: Largest answer that is taken, in bytes; answers are held whole so that a cut one is
 #: never passed on as if it were complete.
@@ -42,22 +47,22 @@
 
     @property
     def head(self):
-        """Return the :class:`AnswerHead`, or ``None`` before the answer."""
+        """Return the :class:`TargetResponseHead`, or ``None`` before the answer."""
         return self._head
 
     async def run(self):
-        """Return the :class:`TryResult`; errors of the target are results."""
+        """Return the :class:`AttemptResult`; errors of the target are results."""
         target = self._entry.id
         try:
             await before(self._call.deadline, self._clock, self._exchange())
             return self._judge()
         except TimeoutError:
-            end = End.TIMED_OUT if self._sent else End.NOT_SENT
-            return TryResult(end, target=target, reason=DEADLINE)
+            end = AttemptOutcome.TIMED_OUT if self._sent else AttemptOutcome.NOT_SENT
+            return AttemptResult(end, target=target, reason=DEADLINE)
         except (RequestError, ValueError, *CONNECTION_ERRORS) as error:
-            end = End.UNKNOWN if self._sent else End.NOT_SENT
+            end = AttemptOutcome.UNKNOWN if self._sent else AttemptOutcome.NOT_SENT
             self._cut = self._sent and isinstance(error, CONNECTION_ERRORS)
-            return TryResult(end, target=target, reason=repr(error))
+            return AttemptResult(end, target=target, reason=repr(error))
 
     async def _exchange(self):
         self._events = list(self._request())
@@ -71,7 +76,7 @@
     def _request(self):
         call = self._call
         remaining = call.deadline - self._clock.now()
-        headers = list(request_headers(call.headers, remaining, self._entry.id))
+        headers = list(target_request_headers(call.headers, remaining, self._entry.id))
         if call.body or call.method not in (b"GET", b"HEAD"):
             headers.append((b"content-length", str(len(call.body)).encode()))
         yield h11.Request(method=call.method, target=call.path, headers=headers)
@@ -88,10 +93,10 @@
             raise EOFError("closed before the answer")
         headers = list(event.headers)
         check_framing(headers, ResultCode.BAD_ANSWER)
-        head = read_answer_head(event.status_code, headers)
+        head = parse_response_head(event.status_code, headers)
         body = await read_body(self._stream, MAX_ANSWER_BYTES)
         if head.request_id is not None and head.request_id != self._call.id:
-            self._stream.expect_another(self._events)
+            self._stream.reset_for_response(self._events)
             return False
         self._head = head
         kept = [each for each in end_to_end(headers) if each[0] != b"content-length"]
@@ -103,12 +108,12 @@
         head, answer, target = self._head, self._answer, self._entry.id
         if head.not_run:
             reason = "replaced" if head.replaced else "shed"
-            return TryResult(End.REFUSED, target=target, reason=reason)
+            return AttemptResult(AttemptOutcome.REFUSED, target=target, reason=reason)
         if answer.status < _FIRST_FAILURE and (not head.signed or head.encoded):
             reason = f"{answer.status} without the target's own body"
-            return TryResult(End.UNKNOWN, target=target, reason=reason)
+            return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         if head.promises:
             # The status would tell the client that the request has not run.
             reason = f"{answer.status} without saying that it has not run"
-            return TryResult(End.UNKNOWN, target=target, reason=reason)
-        return TryResult(End.ANSWERED, answer, target)
+            return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
+        return AttemptResult(AttemptOutcome.ANSWERED, answer, target)
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -4,17 +4,22 @@
 import msgpack
 
 from heathercleat.connection.http import CONNECTION_ERRORS, before, read_body
-from heathercleat.steering.request.answer import CLIENT_LEFT, Answer, End, TryResult
+from heathercleat.steering.request.attempt_result import (
+    CLIENT_LEFT,
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
 from heathercleat.steering.request.call import Call, StreamCut
 from heathercleat.steering.request.exchange import MAX_ANSWER_BYTES
-from heathercleat.steering.version.routing import Kind
+from heathercleat.steering.version.routing import RequestKind
 
 #: The order of a forwarded request and the result of a try, each packed in a header of
 #: hexadecimal digits.
-ORDER = b"heathercleat-order"
+ORDER_HEADER = b"heathercleat-order"
 RESULT = b"heathercleat-result"
 #: Seconds in which another VM of the same region has to accept a connection.
-CONNECT_TIMEOUT = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds after a request's deadline until its owner is taken to have lost it.
 ANSWER_MARGIN = 0.05
 
@@ -65,11 +70,11 @@
             list(preferred),
             list(avoid),
             call.deadline - now,
-            call.aim_at - now - trip,
+            call.soft_deadline - now - trip,
             until - now,
-            call.patient_until - now,
-            call.home_until - now,
-            call.send_by - now - trip,
+            call.give_up_at - now,
+            call.affinity_until - now,
+            call.send_deadline - now - trip,
         )
 
     def pack(self):
@@ -102,19 +107,19 @@
         return not self.regions or region in self.regions
 
 
-def call_of(order, head, headers, body, stream, now):
+def call_from_order(order, head, headers, body, stream, now):
     """Return the :class:`Call` of a forwarded request."""
-    kind, regions = Kind(order.kind), frozenset(order.regions)
+    kind, regions = RequestKind(order.kind), frozenset(order.regions)
     route = ForwardedRoute(order.route, kind, order.priority, regions)
     call = Call(
         order.id, head.method, head.target, headers, body, route, order.service, stream
     )
     call.arrived_at = now
     call.deadline = now + order.remaining
-    call.aim_at = now + order.aim_in
-    call.patient_until = now + order.patience
-    call.home_until = now + order.home_for
-    call.send_by = now + order.send_for
+    call.soft_deadline = now + order.aim_in
+    call.give_up_at = now + order.patience
+    call.affinity_until = now + order.home_for
+    call.send_deadline = now + order.send_for
     call.returned = order.returned
     call.affinity = order.affinity
     call.fingerprint = order.fingerprint
@@ -134,7 +139,7 @@
     return RESULT, msgpack.packb(fields).hex().encode()
 
 
-class ForwardTry:
+class ForwardDispatcher:
     """Tries requests at targets of other VMs.
 
     :param pool: connections to other VMs.
@@ -147,20 +152,20 @@
         self._clock = clock
 
     async def run(self, call, ip, preferred, avoid, until, trip):
-        """Return the :class:`TryResult` of a try through the VM at ``ip``.
+        """Return the :class:`AttemptResult` of a try through the VM at ``ip``.
 
         :param trip: the usual round trip to it in seconds.
         """
         now = self._clock.now()
-        connect_by = min(call.deadline, now + CONNECT_TIMEOUT + 2 * trip)
+        connect_by = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS + 2 * trip)
         try:
             checkout = self._pool.checkout(ip, self._port)
             stream = await before(connect_by, self._clock, checkout)
         except (OSError, TimeoutError) as error:
-            return TryResult(End.NOT_SENT, reason=f"VM {ip}: {error!r}")
+            return AttemptResult(AttemptOutcome.NOT_SENT, reason=f"VM {ip}: {error!r}")
         if call.left:
-            await self._pool.give_back(ip, self._port, stream)
-            return TryResult(End.NOT_SENT, reason=CLIENT_LEFT)
+            await self._pool.checkin(ip, self._port, stream)
+            return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT)
         # The owner decides what to do with a request that may run once only: while it
         # waits there nothing has run. Not told of it, the owner sent such a request up
         # to 0.95 s after its client had left (seen on a day under load).
@@ -181,19 +186,19 @@
             whole = True
             return result
         except TimeoutError:
-            return TryResult(End.TIMED_OUT, reason=f"VM {ip}: deadline")
+            return AttemptResult(AttemptOutcome.TIMED_OUT, reason=f"VM {ip}: deadline")
         except (ValueError, *CONNECTION_ERRORS) as error:
-            return TryResult(End.UNKNOWN, reason=f"VM {ip}: {error!r}")
+            return AttemptResult(AttemptOutcome.UNKNOWN, reason=f"VM {ip}: {error!r}")
         finally:
             if whole:
-                await self._pool.give_back(ip, self._port, stream)
+                await self._pool.checkin(ip, self._port, stream)
             else:
                 await self._pool.discard(ip, self._port, stream)
 
     async def _send(self, stream, call, order):
         headers = [
             *call.headers,
-            (ORDER, order.pack()),
+            (ORDER_HEADER, order.pack()),
             (b"content-length", str(len(call.body)).encode()),
         ]
         events = [h11.Request(method=call.method, target=call.path, headers=headers)]
@@ -208,7 +213,7 @@
 
 
 def _read_result(head, body):
-    """Return the :class:`TryResult` in an owner's answer."""
+    """Return the :class:`AttemptResult` in an owner's answer."""
     headers = [each for each in head.headers if each[0] != b"content-length"]
     packed = next((value for name, value in headers if name == RESULT), None)
     if packed is None:
@@ -217,8 +222,8 @@
     end, target, work, wait, reason, ended = fields
     kept = [each for each in headers if each[0] != RESULT]
     answer = None
-    if End(end) is End.ANSWERED:
+    if AttemptOutcome(end) is AttemptOutcome.ANSWERED:
         answer = Answer(head.status_code, kept, body)
-    result = TryResult(End(end), answer, target, work, wait, reason)
+    result = AttemptResult(AttemptOutcome(end), answer, target, work, wait, reason)
     result.ended = ended
     return result
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -2,15 +2,18 @@
 
 from heathercleat.connection.http import before
 from heathercleat.events import Event
-from heathercleat.steering.process.capacity.ends import CONNECT_TIMEOUT, TargetEnds
-from heathercleat.steering.process.departure import LEAVING
-from heathercleat.steering.request.answer import (
+from heathercleat.steering.process.capacity.crash_detector import (
+    CONNECT_TIMEOUT_SECONDS,
+    CrashDetector,
+)
+from heathercleat.steering.process.shutdown import LEAVING_REASON
+from heathercleat.steering.request.attempt_result import (
     CLIENT_LEFT,
     DEADLINE,
     NO_SLOT_IN_TIME,
     QUARANTINED,
-    End,
-    TryResult,
+    AttemptOutcome,
+    AttemptResult,
 )
 from heathercleat.steering.request.call import StreamCut
 from heathercleat.steering.request.exchange import TargetExchange
@@ -22,16 +25,16 @@
 KEEP_MARGIN = 1.5
 
 
-class LocalTry:
+class LocalDispatcher:
     """Tries requests at owned targets.
 
     :param admission: hands out slots.
     :param ledger: the owned targets.
     :param registry: learns that a target was replaced.
     :param pool: connections to targets.
-    :param work_times: the :class:`WorkTimes`.
+    :param response_times: the :class:`ResponseTimes`.
     :param departure: the :class:`Departure` of this VM.
-    :param rests: tells whether a target may rest, a :class:`RestLimit`.
+    :param rests: tells whether a target may rest, a :class:`EjectionLimit`.
     :param suspects: the :class:`Suspects`.
     """
 
@@ -41,8 +44,8 @@
         ledger,
         registry,
         pool,
-        work_times,
-        departure,
+        response_times,
+        shutdown,
         rests,
         suspects,
         journal,
@@ -52,16 +55,16 @@
         self._ledger = ledger
         self._registry = registry
         self._pool = pool
-        self._work_times = work_times
-        self._departure = departure
+        self._response_times = response_times
+        self._departure = shutdown
         self._rests = rests
-        self._ends = TargetEnds(pool, clock)
+        self._ends = CrashDetector(pool, clock)
         self._suspects = suspects
         self._journal = journal
         self._clock = clock
 
     async def run(self, call, preferred, avoid, until):
-        """Return the :class:`TryResult` of one try.
+        """Return the :class:`AttemptResult` of one try.
 
         :param preferred: ids of the targets to use if they are free, the best first.
         :param avoid: ids of targets not to use.
@@ -74,11 +77,11 @@
         try:
             obstacle = self._obstacle(call)
             if obstacle is not None:
-                return TryResult(End.NOT_SENT, reason=obstacle)
+                return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
             result = await self._send(call, use, preferred)
             return result
         finally:
-            answered = result is not None and result.end is End.ANSWERED
+            answered = result is not None and result.end is AttemptOutcome.ANSWERED
             await self._admission.release(use, answered)
 
     def _obstacle(self, call):
@@ -89,10 +92,10 @@
         now = self._clock.now()
         if call.left:
             return CLIENT_LEFT
-        if now >= call.send_by:
-            return LEAVING
+        if now >= call.send_deadline:
+            return LEAVING_REASON
         if self._departure.is_too_late(call, now):
-            return LEAVING
+            return LEAVING_REASON
         if now >= call.deadline:
             return DEADLINE
         if self._suspects.refused_until(call.fingerprint) is not None:
@@ -100,27 +103,29 @@
         return None
 
     def _without_slot(self, call):
-        hopeless = self._admission.is_hopeless(call)
+        hopeless = self._admission.is_wait_too_long(call)
         reason = NO_SLOT_IN_TIME if hopeless else "no free slot"
-        wait = self._admission.wait_of(call)
-        return TryResult(End.NOT_SENT, wait=wait, reason=reason)
+        wait = self._admission.expected_wait(call)
+        return AttemptResult(AttemptOutcome.NOT_SENT, wait=wait, reason=reason)
 
     async def _send(self, call, use, preferred):
         target = use.target
         entry = target.entry
-        began_at = self._clock.now()
+        started_at = self._clock.now()
         try:
-            stream = await self._connect(call, entry, began_at)
+            stream = await self._connect(call, entry, started_at)
         except (OSError, TimeoutError) as error:
             # A request with little time left gives its target little to accept in.
             if not isinstance(error, TimeoutError) or self._clock.now() < call.deadline:
-                self._rest(target, began_at, f"connect: {error!r}")
-            return TryResult(End.NOT_SENT, target=entry.id, reason=repr(error))
+                self._rest(target, started_at, f"connect: {error!r}")
+            return AttemptResult(
+                AttemptOutcome.NOT_SENT, target=entry.id, reason=repr(error)
+            )
         # To connect takes time as well.
         obstacle = self._obstacle(call)
         if obstacle is not None:
-            await self._pool.give_back(entry.host, entry.port, stream)
-            return TryResult(End.NOT_SENT, reason=obstacle)
+            await self._pool.checkin(entry.host, entry.port, stream)
+            return AttemptResult(AttemptOutcome.NOT_SENT, reason=obstacle)
         exchange = TargetExchange(stream, call, entry, self._clock)
         # To cut the connection does not undo what runs, which may run once only.
         call.on_leave = StreamCut(stream) if call.route.kind.idempotent else None
@@ -133,7 +138,7 @@
             raise
         finally:
             call.on_leave = None
-        result.work = self._clock.now() - began_at
+        result.work = self._clock.now() - started_at
         await self._put_back(entry, stream, exchange.head)
         if exchange.cut and not call.left:
             await self._note_end(call, entry, result)
@@ -143,14 +148,14 @@
 
     async def _note_end(self, call, entry, result):
         """Find out whether the target itself ended under a request, and note it."""
-        if not await self._ends.has_ended(entry):
+        if not await self._ends.has_crashed(entry):
             return
-        result.ended = entry.life
+        result.ended = entry.incarnation_id
         where = call.route.name, call.service
-        self._suspects.ended(call.fingerprint, entry.life, *where)
+        self._suspects.ended(call.fingerprint, entry.incarnation_id, *where)
         self._journal.write(
             Event.TARGET_ENDED,
-            target=entry.life,
+            target=entry.incarnation_id,
             service=entry.service,
             request=call.id,
             fingerprint=call.fingerprint,
@@ -160,7 +165,7 @@
     async def _connect(self, call, entry, now):
         max_age = None if call.route.kind.idempotent else UNSAFE_IDLE_AGE
         checkout = self._pool.checkout(entry.host, entry.port, max_age=max_age)
-        deadline = min(call.deadline, now + CONNECT_TIMEOUT)
+        deadline = min(call.deadline, now + CONNECT_TIMEOUT_SECONDS)
         return await before(deadline, self._clock, checkout)
 
     async def _put_back(self, entry, stream, head):
@@ -168,31 +173,31 @@
             await self._pool.discard(entry.host, entry.port, stream)
             return
         keep_for = head.keep_for and max(0.0, head.keep_for - KEEP_MARGIN)
-        await self._pool.give_back(entry.host, entry.port, stream, keep_for)
+        await self._pool.checkin(entry.host, entry.port, stream, keep_for)
 
     def _learn(self, call, use, head, result, home):
         target, now = use.target, self._clock.now()
         if head is not None and head.running is not None:
-            target.reported(head.running, head.waiting, now)
+            target.record_reported_load(head.running, head.waiting, now)
         if call.left:
             return
-        if result.end is End.ANSWERED:
+        if result.end is AttemptOutcome.ANSWERED:
             self._suspects.answered(call.fingerprint)
         if result.reason == "replaced":
             self._registry.forget(target.entry.id, "another incarnation answered")
             return
         if result.succeeded:
             target.health.succeeded(result.work)
-            self._work_times.observe(call.route.name, result.work, home)
+            self._response_times.observe(call.route.name, result.work, home)
             return
-        may_rest = self._rests.may_rest(call.service)
-        if target.health.failed(now, use.began_at, may_rest):
+        may_eject = self._rests.may_eject(call.service)
+        if target.health.record_failure(now, use.started_at, may_eject):
             self._log_rest(target, result.reason or "server errors")
 
-    def _rest(self, target, began_at, reason):
-        if target.health.is_known(began_at):
+    def _rest(self, target, started_at, reason):
+        if target.health.predates_ejection(started_at):
             return
-        target.health.rest(self._clock.now())
+        target.health.eject(self._clock.now())
         self._log_rest(target, reason)
 
     def _log_rest(self, target, reason):
@@ -201,6 +206,6 @@
             target=target.entry.id,
             service=target.entry.service,
             reason=reason,
-            seconds=round(target.health.rest_until - self._clock.now(), 3),
+            seconds=round(target.health.ejected_until - self._clock.now(), 3),
             rests=target.health.rests,
         )
--- a/src/heathercleat/steering/request/patience.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -16,18 +16,18 @@
 LAST_CHANCE = 0.02
 
 
-class Patience:
+class WaitPolicy:
     """Decides on the instants until which a request waits.
 
-    :param work_times: the :class:`WorkTimes`.
+    :param response_times: the :class:`ResponseTimes`.
     """
 
-    def __init__(self, work_times):
-        self._work_times = work_times
+    def __init__(self, response_times):
+        self._response_times = response_times
 
     def of(self, call):
         """Return the instant at which a request is given up without a slot."""
-        work = SPREAD * self._work_times.of(call.route.name)
+        work = SPREAD * self._response_times.of(call.route.name)
         least = LEAST_LEFT * (call.deadline - call.arrived_at)
         return max(call.arrived_at, call.deadline - max(work, least))
 
@@ -39,8 +39,8 @@
         after: worth 0.313 and 0.398 on an overloaded day, 0.460 and 0.473 on another.
         """
         route = call.route.name
-        longest = SPREAD * self._work_times.elsewhere(route)
-        if call.arrived_at + longest <= call.aim_at:
+        longest = SPREAD * self._response_times.elsewhere(route)
+        if call.arrived_at + longest <= call.soft_deadline:
             return call.arrived_at
-        latest = call.aim_at - self._work_times.at_home(route)
-        return min(latest, call.patient_until - LAST_CHANCE)
+        latest = call.soft_deadline - self._response_times.at_affinity_target(route)
+        return min(latest, call.give_up_at - LAST_CHANCE)
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class RequestKind(Enum):
     """What may be repeated: safe requests may run more than once, others may not."""
 
     SAFE = "safe"
@@ -13,10 +13,10 @@
     @property
     def idempotent(self):
         """Return whether a request may run more than once."""
-        return self is Kind.SAFE
+        return self is RequestKind.SAFE
 
 
-class Share:
+class ServiceShare:
     """A service's part of the requests of a route."""
 
     __slots__ = ("service", "weight")
@@ -27,13 +27,13 @@
 
 
 class Route:
-    """Requests of one host and path prefix; ``timeout`` and ``latency_aim`` in seconds.
+    """Requests of one host and path prefix; ``timeout`` and ``latency_objective`` in seconds.
 
     :param priority: rank of the requests, 0 is the most urgent.
     :param max_attempts: targets that may run one request.
     :param sticky: whether a target that knows the object of a request is faster.
     :param regions: the only regions that may serve it; empty for all.
-    :param shares: the :class:`Share` of each service.
+    :param shares: the :class:`ServiceShare` of each service.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
         "prefix",
         "kind",
         "timeout",
-        "latency_aim",
+        "latency_objective",
         "priority",
         "max_attempts",
         "sticky",
@@ -57,7 +57,7 @@
         prefix,
         kind,
         timeout,
-        latency_aim,
+        latency_objective,
         priority,
         max_attempts,
         sticky,
@@ -69,7 +69,7 @@
         self.prefix = prefix
         self.kind = kind
         self.timeout = timeout
-        self.latency_aim = latency_aim
+        self.latency_objective = latency_objective
         self.priority = priority
         self.max_attempts = max_attempts
         self.sticky = sticky
@@ -84,14 +84,14 @@
 class Service:
     """What the operators say of a service.
 
-    :param cold_rate: requests a second that a cold target stands.
+    :param cold_requests_per_second: requests a second that a cold target stands.
     """
 
-    __slots__ = ("name", "cold_rate")
+    __slots__ = ("name", "cold_requests_per_second")
 
-    def __init__(self, name, cold_rate):
+    def __init__(self, name, cold_requests_per_second):
         self.name = name
-        self.cold_rate = cold_rate
+        self.cold_requests_per_second = cold_requests_per_second
 
 
 class Limits:
--- a/src/heathercleat/version/blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -11,7 +11,7 @@
 NO_DOMAIN = 0xFFFF
 
 
-class BlockTable:
+class ClientBlockTable:
     """IPv4 client blocks to failure domains.
 
     :param domains: the names of the failure domains, by index.
@@ -38,9 +38,9 @@
 
     def find(self, address):
         """Return the failure domain for a dotted IPv4 address, or ``None``."""
-        return self.find_number(int(ip_address(address)))
+        return self.find_by_number(int(ip_address(address)))
 
-    def find_number(self, number):
+    def find_by_number(self, number):
         """Return the failure domain for an address given as an integer."""
         index = bisect_right(self._starts, number) - 1
         if index < 0:
@@ -70,13 +70,13 @@
         self._values[begin:end] = values
 
 
-def build_blocks(blocks, domains):
+def build_client_blocks(blocks, domains):
     """Build a table from ``{CIDR: failure domain}``; the longest prefix wins.
 
     :param blocks: blocks of the text.
     :param domains: all failure domains of the text.
     """
-    table = BlockTable(list(domains), [])
+    table = ClientBlockTable(list(domains), [])
     networks = [(ip_network(block), domain) for block, domain in blocks.items()]
     for network, domain in sorted(networks, key=lambda item: item[0].prefixlen):
         if network.version == 4:
--- a/src/heathercleat/version/document.py
+++ b/src/heathercleat/version/document.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class VersionHead:
     """The row that names the version in force; ``at`` is epoch seconds."""
 
     version: int
@@ -27,8 +27,8 @@
 
 
 def unpack_head(data):
-    """Return the :class:`Head` of a row."""
-    return Head(*msgpack.unpackb(data))
+    """Return the :class:`VersionHead` of a row."""
+    return VersionHead(*msgpack.unpackb(data))
 
 
 @dataclass(slots=True, frozen=True)
--- a/src/heathercleat/version/ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -1,4 +1,4 @@
-"""Ramps: how callers leave a failure domain that is drained, and how they return.
+"""DrainRamps: how callers leave a failure domain that is drained, and how they return.
 
 The callers of a drained failure domain become callers of others. If all of them moved
 at once, the others would meet more new work, on colder caches, than the shift caps of
@@ -15,7 +15,7 @@
 _POSITIONS = 1 << 64
 
 
-class Ramps:
+class DrainRamps:
     """The lengths of ramps, for one version of the text.
 
     :param services: ``{name: Service}`` of the text.
@@ -25,7 +25,7 @@
         self._services = services
         self._leads = {}
 
-    def lead(self, failure_domain):
+    def ramp_seconds(self, failure_domain):
         """Return the seconds within which the callers of a domain can move away.
 
         It is the longest time that any service needs to move all slots of the domain
@@ -47,36 +47,36 @@
         """
         if not drains:
             return frozenset()
-        position = position_of(caller)
+        position = ramp_position(caller)
         return frozenset(
             drain.name
             for drain in drains
-            if away_share(drain, self.lead(drain.name), wall) > position
+            if departed_share(drain, self.ramp_seconds(drain.name), wall) > position
         )
 
 
-def away_share(drain, lead, wall):
+def departed_share(drain, ramp_seconds, wall):
     """Return the share of a domain's callers that have to be elsewhere at ``wall``.
 
-    It rises to 1 within ``lead`` seconds before the drain begins, and falls to 0 within
+    It rises to 1 within ``ramp_seconds`` seconds before the drain begins, and falls to 0 within
     as long after it was cancelled.
     """
     if drain.until is None or wall < drain.until:
-        return _risen(drain.at, lead, wall)
-    left = _risen(drain.at, lead, drain.until)
-    return max(0.0, left - (wall - drain.until) / lead) if lead else 0.0
+        return _risen(drain.at, ramp_seconds, wall)
+    left = _risen(drain.at, ramp_seconds, drain.until)
+    return max(0.0, left - (wall - drain.until) / ramp_seconds) if ramp_seconds else 0.0
 
 
 @lru_cache(maxsize=65536)
-def position_of(caller):
+def ramp_position(caller):
     """Return the position of a caller in every ramp, from 0 up to 1."""
     return weight("ramp", caller) / _POSITIONS
 
 
-def _risen(at, lead, wall):
+def _risen(at, ramp_seconds, wall):
     if wall >= at:
         return 1.0
-    return max(0.0, 1.0 - (at - wall) / lead) if lead else 0.0
+    return max(0.0, 1.0 - (at - wall) / ramp_seconds) if ramp_seconds else 0.0
 
 
 def _lead(service, failure_domain):
--- a/src/heathercleat/version/hashing.py
+++ b/src/heathercleat/version/hashing.py
@@ -11,12 +11,12 @@
     return int.from_bytes(digest, "big")
 
 
-def ranked(key, names):
+def rank_by_weight(key, names):
     """Return ``names`` by falling weight for ``key``."""
     return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
 
 
-def assign(keys, names):
+def assign_evenly(keys, names):
     """Divide ``keys`` over ``names``, as evenly as whole keys allow.
 
     Each key goes to the name of the largest weight that is not full yet (bounded loads
@@ -31,7 +31,7 @@
     loads = dict.fromkeys(names, 0)
     homes = {}
     for key in sorted(keys, key=lambda key: (weight("order", key), key)):
-        name = next(name for name in ranked(key, names) if loads[name] < limit)
+        name = next(name for name in rank_by_weight(key, names) if loads[name] < limit)
         loads[name] += 1
         homes[key] = name
     return homes
--- a/src/heathercleat/version/placement.py
+++ b/src/heathercleat/version/placement.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass
 
-from heathercleat.version.hashing import assign, ranked, weight
+from heathercleat.version.hashing import assign_evenly, rank_by_weight, weight
 
 #: Slots from which a pool is divided, in whole multiples.
-POOL_SLOTS = 12
+MIN_POOL_SLOTS = 12
 
 
 @dataclass(slots=True, frozen=True)
-class Pool:
+class TargetPool:
     """Targets of one service in one failure domain that share a home."""
 
     name: str
@@ -68,7 +68,9 @@
         even = sum(pool.slots for pool in pools) / len(names)
         loads = dict.fromkeys(names, 0)
         for pool in pools:
-            fitting = (name for name in ranked(pool.name, names) if loads[name] < even)
+            fitting = (
+                name for name in rank_by_weight(pool.name, names) if loads[name] < even
+            )
             home = next(fitting, names[0])
             loads[home] += pool.slots
             yield from ((target, home) for target in pool.targets)
@@ -89,10 +91,10 @@
 def _divide(service, targets):
     """Yield the pools of a service's targets in one failure domain."""
     slots = {target.name: target.slots for target in targets}
-    count = max(1, sum(slots.values()) // POOL_SLOTS)
+    count = max(1, sum(slots.values()) // MIN_POOL_SLOTS)
     pools = {f"{service.name}/{number}": [] for number in range(count)}
-    for target, pool in assign(list(slots), list(pools)).items():
+    for target, pool in assign_evenly(list(slots), list(pools)).items():
         pools[pool].append(target)
     for name, members in pools.items():
         if members:
-            yield Pool(name, tuple(members), sum(slots[each] for each in members))
+            yield TargetPool(name, tuple(members), sum(slots[each] for each in members))
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -10,10 +10,10 @@
 
 from heathercleat._jsonc import loads, locate
 from heathercleat.errors import Finding, FindingsError
-from heathercleat.version.checks import meaning_findings, schema_findings
+from heathercleat.version.drain_ramp import DrainRamps
 from heathercleat.version.hashing import weight
 from heathercleat.version.placement import Placement
-from heathercleat.version.ramp import Ramps
+from heathercleat.version.validation import find_schema_faults, find_semantic_faults
 
 DEFAULT_BODY_LIMIT = 1 << 20
 DEFAULT_CONNECTIONS = 400
@@ -163,7 +163,7 @@
     fd_latency: float
     region_latency: float
     placement: Placement
-    ramps: Ramps
+    ramps: DrainRamps
     links: dict = field(default_factory=dict)
 
     def region_of(self, failure_domain):
@@ -200,7 +200,7 @@
         }
         return _divide(limit, slots).get(target.name, 0)
 
-    def region_limited(self, failure_domain):
+    def has_region_limit(self, failure_domain):
         """Return whether the region of a failure domain has a limit."""
         region = self.regions.get(self.region_of(failure_domain), {})
         return "limit" in region
@@ -212,7 +212,7 @@
                 return service.targets[name]
         return None
 
-    def draining(self, target, now):
+    def find_drain(self, target, now):
         """Return the drain that keeps new work from ``target``, or ``None``."""
         for drain in self.drains.values():
             if drain.covers(target, now):
@@ -228,7 +228,7 @@
         ]
         return self.ramps.avoided(drains, now, caller)
 
-    def vm_draining(self, vm, failure_domain, now):
+    def find_vm_drain(self, vm, failure_domain, now):
         """Return the drain that takes an entry VM out of look-ups, or ``None``."""
         for drain in self.drains.values():
             if not drain.in_force(now):
@@ -259,7 +259,7 @@
     :raises FindingsError: with every finding, each with its line and column.
     """
     document = loads(source, name)
-    faults = list(schema_findings(document)) or list(meaning_findings(document))
+    faults = list(find_schema_faults(document)) or list(find_semantic_faults(document))
     if faults:
         raise FindingsError(name, _with_places(source, faults))
     return _build(document)
@@ -282,7 +282,7 @@
         regions=regions,
         services=services,
         placement=Placement(services),
-        ramps=Ramps(services),
+        ramps=DrainRamps(services),
         drains={
             id_: Drain(id_, DrainScope(entry["scope"]), entry["name"], entry["at"])
             for id_, entry in document.get("drains", {}).items()
--- a/src/heathercleat/version/checks.py
+++ b/src/heathercleat/version/validation.py
@@ -18,13 +18,13 @@
     message: str
 
 
-def schema_findings(document):
+def find_schema_faults(document):
     """Yield a fault for each value that the schema refuses."""
     for error in text_validator().iter_errors(document):
         yield Fault(_pointer(*error.absolute_path), error.message)
 
 
-def meaning_findings(document):
+def find_semantic_faults(document):
     """Yield a fault for each value that is well formed but means nothing."""
     for check in _CHECKS:
         yield from check(document)
--- a/src/heathercleat/version/transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -10,18 +10,18 @@
 from dataclasses import dataclass, replace
 
 #: Seconds within which an accepted version is in force everywhere.
-SPREAD_SECONDS = 20.0
+PROPAGATION_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
-class EarlierText:
+class SupersededText:
     """A version that other homes may still follow until an instant of this process."""
 
     text: object
     until: float
 
 
-class Transition:
+class VersionTransition:
     """The text in force at this VM, beside those that others may still follow."""
 
     def __init__(self):
@@ -39,10 +39,10 @@
         :param now: an instant of this process.
         """
         if self._text is not None:
-            self._earlier.append(EarlierText(self._text, now + SPREAD_SECONDS))
+            self._earlier.append(SupersededText(self._text, now + PROPAGATION_SECONDS))
         self._text = text
 
-    def settle(self, now):
+    def expire_superseded(self, now):
         """Forget what nobody follows any more; return whether that changes limits."""
         settled = [each for each in self._earlier if each.until <= now]
         for each in settled:
@@ -57,14 +57,14 @@
 
     def links(self, target):
         """Return ``{failure domain: slots}``: the target's parts of link limits."""
-        parts = link_parts(self._text, target)
+        parts = link_shares(self._text, target)
         for earlier in self._earlier:
-            for domain, slots in link_parts(earlier.text, target).items():
+            for domain, slots in link_shares(earlier.text, target).items():
                 parts[domain] = min(slots, parts.get(domain, slots))
         return parts
 
 
-def link_parts(text, target):
+def link_shares(text, target):
     """Return the target's part of each link limit to its failure domain, in slots."""
     parts = {}
     for domain in text.failure_domains:
@@ -85,7 +85,7 @@
         window = max(cap.window, known.shift_cap.window)
         cap = replace(cap, slots=slots, window=window)
     share = target.region_share
-    if text.region_limited(known.failure_domain):
+    if text.has_region_limit(known.failure_domain):
         share = min(share, known.region_share)
     return replace(target, region_share=share, shift_cap=cap)
 
@@ -93,7 +93,7 @@
 def _without_part(target, text):
     """Return ``target`` without parts of what the text divides among others."""
     share, cap = target.region_share, target.shift_cap
-    if text.region_limited(target.failure_domain):
+    if text.has_region_limit(target.failure_domain):
         share = 0
     if cap is not None and target.service in text.services:
         cap = replace(cap, slots=0)
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -7,11 +7,11 @@
 
 from heathercleat.platform.settings import decode_node_settings
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.capacity.held import HeldSlots
-from heathercleat.steering.process.capacity.rooms import RoomView
-from heathercleat.steering.process.membership.beat import Beat
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.held_slots import HeldSlots
 from heathercleat.steering.process.membership.gossip import Gossip
-from heathercleat.steering.process.membership.member import news_of
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
+from heathercleat.steering.process.membership.member import make_update
 from heathercleat.steering.process.membership.members import Members
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from tests.fakes import ManualClock
@@ -51,7 +51,7 @@
         self.sent[sender.name] += 1
         self.bytes_sent += len(data)
         self.datagram = data
-        beat = Beat.of(first_object(data))
+        beat = Heartbeat.of(first_object(data))
         self.suspects_told += len(beat.suspects)
         for news in beat.told():
             self.told[news.vm] += 1
@@ -94,7 +94,7 @@
         journal = Journal(self.name, self.domain)
         self.members = Members(settings, journal, network.clock, incarnation)
         self.members.own.strength = strength
-        self.rooms = RoomView(network.clock)
+        self.rooms = CapacityReports(network.clock)
         self.held = HeldSlots(self.members, self.rooms, network.clock)
         self.suspects = Suspects(journal, network.clock)
         self.gossip = Gossip(
@@ -102,7 +102,7 @@
             self.members,
             self.rooms,
             self.held,
-            lambda: self.heirs(),
+            lambda: self.new_owners(),
             lambda: self.successors(),
             self.suspects,
             self.compose,
@@ -121,7 +121,7 @@
         """Return the names of the VMs that this one takes as serving."""
         return {each.vm for each in self.members.serving()}
 
-    def heirs(self):
+    def new_owners(self):
         """Return the names of the VMs that own targets with requests from here."""
         return set()
 
@@ -134,7 +134,7 @@
         for vm in self.network.vms.values():
             if vm is not self:
                 region = self.network.regions[vm.domain]
-                self.members.introduce(vm.name, vm.ip, vm.domain, region)
+                self.members.add_known(vm.name, vm.ip, vm.domain, region)
 
     async def sendto(self, data, address):
         """Send a datagram, as a socket does."""
@@ -152,8 +152,8 @@
     def compose(self, interval):
         """Return a heartbeat without reports on targets."""
         own = self.members.own
-        return Beat(
-            news_of(own),
+        return Heartbeat(
+            make_update(own),
             interval,
             0,
             0,
--- a/standins/slotted_target.py
+++ b/standins/slotted_target.py
@@ -34,12 +34,12 @@
     exchange,
     read_body,
 )
-from heathercleat.platform.names import (
+from heathercleat.platform.wire_names import (
     DEADLINE_MS,
     EXPECTED_INSTANCE,
     NOT_EXECUTED,
     REQUEST_ID,
-    SIGNATURE,
+    RESPONSE_SIGNATURE,
     TARGET_LOAD,
     TARGET_TABLE,
 )
@@ -198,14 +198,14 @@
         load = f"{self._running},0,{self._slots}".encode()
         headers = [*echo, (TARGET_LOAD, load)]
         if not self._switches["unsigned"]:
-            headers.append((SIGNATURE, b"signed"))
+            headers.append((RESPONSE_SIGNATURE, b"signed"))
         if self._switches["encoded"]:
             headers.append((b"content-encoding", b"x-other"))
         if self._switches["lose"]:
             stream.abort()
             return
         if self._switches["stray"]:
-            stray = [(REQUEST_ID, b"another"), (SIGNATURE, b"signed")]
+            stray = [(REQUEST_ID, b"another"), (RESPONSE_SIGNATURE, b"signed")]
             await stream.socket.sendall(_raw(200, stray, b"stray"))
         text = sha256(body).hexdigest().encode()
         if self._switches["cut"]:
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -11,10 +11,10 @@
 from heathercleat.steering.process.capacity.owners import Owners
 from heathercleat.steering.process.capacity.registry import TargetRegistry
 from heathercleat.steering.process.capacity.target import TargetEntry
-from heathercleat.steering.process.departure import KEEP_SECONDS
 from heathercleat.steering.process.directory import Directory
 from heathercleat.steering.process.handover import QUIET_SECONDS
 from heathercleat.steering.process.membership.member import Stage
+from heathercleat.steering.process.shutdown import KEEP_ALIVE_SECONDS
 from heathercleat.steering.process.store.member_rows import decode_member, encode_member
 from heathercleat.steering.process.store.protocol import StoreRow
 from standins.membership_simulation import STEP, Network, SimulatedVm, drive
@@ -27,7 +27,7 @@
 REGISTER_SECONDS, SERVE_SECONDS = 0.05, 0.1
 #: Seconds from the signal to the end of a VM without requests under way, and from there
 #: to the start of its next process.
-STOP_SECONDS = KEEP_SECONDS + QUIET_SECONDS
+STOP_SECONDS = KEEP_ALIVE_SECONDS + QUIET_SECONDS
 RESTART_SECONDS = 0.3
 #: Seconds between two stops in turn.
 TURN_SECONDS = 1.3
@@ -153,7 +153,7 @@
         rows.write(self.name, encode_member(self.ip, self.domain, region))
         for each in rows.read():
             if each.vm != self.name:
-                self.members.introduce(
+                self.members.add_known(
                     each.vm, each.ip, each.failure_domain, each.region
                 )
 
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -17,7 +17,7 @@
 from curio import run, sleep, tcp_server
 
 from heathercleat.connection.http import HttpStream, Message, serve_messages
-from heathercleat.platform.names import (
+from heathercleat.platform.wire_names import (
     FEED_PATH,
     OPERATOR_TABLE,
     READ_PATH,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -137,5 +137,5 @@
     def configuration_changed(self, text):
         self.changes.append(text)
 
-    async def hint(self, host, version, vm_serial):
+    async def fetch_if_newer(self, host, version, vm_serial):
         return None
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -4,17 +4,22 @@
 
 from heathercleat.platform.settings import decode_node_settings
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.capacity.held import HeldSlots
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.held_slots import HeldSlots
 from heathercleat.steering.process.capacity.owners import Owners
 from heathercleat.steering.process.capacity.registry import TargetRegistry
-from heathercleat.steering.process.capacity.rooms import RoomView
 from heathercleat.steering.process.capacity.slots import SlotLedger
 from heathercleat.steering.process.capacity.target import TargetEntry
-from heathercleat.steering.process.membership.beat import Beat
-from heathercleat.steering.process.membership.member import News, Stage
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
+from heathercleat.steering.process.membership.member import MemberUpdate, Stage
 from heathercleat.steering.process.membership.members import Members
 from heathercleat.steering.request.call import Call
-from heathercleat.steering.version.routing import Kind, Route, Service, Share
+from heathercleat.steering.version.routing import (
+    RequestKind,
+    Route,
+    Service,
+    ServiceShare,
+)
 from tests.fakes import ManualClock
 from tests.platform_samples import SETTINGS
 
@@ -50,7 +55,7 @@
 
 
 def route(
-    kind=Kind.SAFE, regions=(), sticky=False, attempts=2, priority=1, timeout=1.0
+    kind=RequestKind.SAFE, regions=(), sticky=False, attempts=2, priority=1, timeout=1.0
 ):
     return Route(
         "r1",
@@ -63,7 +68,7 @@
         attempts,
         sticky,
         frozenset(regions),
-        (Share("s1", 1.0),),
+        (ServiceShare("s1", 1.0),),
     )
 
 
@@ -71,7 +76,7 @@
     made = Call(id, b"GET", b"/", [], b"", route or _ROUTE, "s1", None)
     made.arrived_at = clock.now()
     made.deadline = clock.now() + 1.0
-    made.aim_at = clock.now() + 0.3
+    made.soft_deadline = clock.now() + 0.3
     made.returned = returned
     made.affinity = affinity
     return made
@@ -87,7 +92,7 @@
     store_answers=True,
     stage=None,
 ):
-    own = News(
+    own = MemberUpdate(
         vm,
         "127.0.9.2",
         domain,
@@ -99,7 +104,7 @@
         False,
         strength,
     )
-    return Beat(own, 0.15, 0, 0, store_answers, 0, [], [], [], [], [], 0, [])
+    return Heartbeat(own, 0.15, 0, 0, store_answers, 0, [], [], [], [], [], 0, [])
 
 
 class Parts:
@@ -112,7 +117,7 @@
         self.registry = TargetRegistry(self.journal, self.clock)
         self.members = Members(self.settings, self.journal, self.clock, 1)
         self.owners = Owners(self.registry, self.members)
-        self.rooms = RoomView(self.clock)
+        self.rooms = CapacityReports(self.clock)
         self.held = HeldSlots(self.members, self.rooms, self.clock)
         self.ledger = SlotLedger(
             self.owners,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,14 +4,14 @@
 from curio import Event, TaskError, run, sleep, spawn
 
 from heathercleat import HeathercleatError, ResultCode, parse_text
-from heathercleat.errors import CallerLeftError
+from heathercleat.errors import CallerDisconnectedError
 from heathercleat.process.capacity.admission import Admission
-from heathercleat.process.capacity.budget import RetryBudget
-from heathercleat.process.capacity.health import MAX_FAILURES, HealthBoard
+from heathercleat.process.capacity.health import MAX_FAILURES, HealthTracker
 from heathercleat.process.capacity.leases import HeldLease, LeaseHolder
 from heathercleat.process.capacity.queue import STANDING_HOLDS, ServiceQueue
+from heathercleat.process.capacity.retry_budget import RetryBudget
 from heathercleat.process.capacity.slots import Hold, SlotLedger
-from heathercleat.process.clock import NEVER, SystemClock
+from heathercleat.process.clock import DISTANT_PAST, SystemClock
 from heathercleat.process.stalls import Stalls
 from heathercleat.request.call import Call
 from tests.fakes import FakeLinks, FakeVm, ManualClock
@@ -39,17 +39,17 @@
     def __init__(self, fell_short):
         self.fell_short = fell_short
         self.lease = HeldLease(
-            1, "lookup", "t2", "vm", "127.0.0.2", "north-a", 1, NEVER, 0, 0
+            1, "lookup", "t2", "vm", "127.0.0.2", "north-a", 1, DISTANT_PAST, 0, 0
         )
 
-    def on_room(self, callback):
+    def on_lease_gained(self, callback):
         pass
 
     def held(self, service):
         return [self.lease]
 
-    def short_at(self, service):
-        return SystemClock().now() if self.fell_short else NEVER
+    def last_shortfall_at(self, service):
+        return SystemClock().now() if self.fell_short else DISTANT_PAST
 
     def take(self, service, avoid, patience):
         return None
@@ -65,7 +65,7 @@
     vm.local_homes = lambda service: []
     ledger = SlotLedger(clock)
     holder = holder or LeaseHolder(vm, FakeLinks(), FakeDirectory(), clock)
-    health = HealthBoard(vm, ledger, clock)
+    health = HealthTracker(vm, ledger, clock)
     stalls = Stalls(clock)
     admission = Admission(vm, ledger, holder, FakeMembership(), health, stalls, clock)
     target = vm.text.services["lookup"].targets["t2"]
@@ -257,7 +257,7 @@
 class FakeCallerStream:
     """The connection of a caller that leaves when told to."""
 
-    request_complete = True
+    is_request_complete = True
 
     def __init__(self):
         self._left = Event()
@@ -288,7 +288,7 @@
             await waiting.join()
         return caught.value.__cause__
 
-    assert isinstance(run(act), CallerLeftError)
+    assert isinstance(run(act), CallerDisconnectedError)
 
 
 def test_caller_that_leaves_as_its_turn_comes_leaves_no_slot_behind():
@@ -325,7 +325,7 @@
     vm, ledger, health, _ = make_parts(clock, warm_up_s=4)
     target = ledger.targets["t2"].target
     for _ in range(MAX_FAILURES):
-        health.failed(target, "lost")
+        health.record_failure(target, "lost")
     assert ledger.targets["t2"].blocked == "ejected"
     clock.time += 2.0
     health.check(clock.time)
@@ -337,7 +337,7 @@
     clock = ManualClock()
     vm, ledger, health, _ = make_parts(clock)
     for _ in range(MAX_FAILURES):
-        health.failed(ledger.targets["t2"].target, "lost")
+        health.record_failure(ledger.targets["t2"].target, "lost")
     health.of("t2").probe_state = "ready"
     health.check(clock.time + 0.1)
     assert ledger.targets["t2"].blocked == "ejected"
@@ -347,6 +347,6 @@
     budget = RetryBudget()
     allowed = 0
     for _ in range(1000):
-        budget.earn()
-        allowed += budget.spend()
+        budget.deposit()
+        allowed += budget.withdraw()
     assert 100 <= allowed <= 111
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -29,7 +29,7 @@
     async def checkout(self, host, port, limit, fresh):
         return FakeStream()
 
-    async def give_back(self, host, port, stream):
+    async def checkin(self, host, port, stream):
         return None
 
     async def discard(self, host, port, stream):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,9 +16,9 @@
     plan_drain,
     to_drain,
 )
-from heathercleat.process.configuration.keeper import ConfigurationKeeper
+from heathercleat.process.configuration.manager import ConfigurationManager
 from heathercleat.process.membership.directory import Directory
-from heathercleat.process.membership.members import Membership
+from heathercleat.process.membership.membership import Membership
 from heathercleat.version.document import HEAD_KEY, Document, object_key, unpack_head
 from tests.fakes import FakeLinks, FakePlatform, FakeVm, ManualClock
 from tests.test_text import make_text
@@ -37,7 +37,7 @@
     links = FakeLinks()
     membership = Membership(vm, links, clock)
     platform = platform or FakePlatform()
-    return ConfigurationKeeper(vm, platform, links, membership, directory, clock)
+    return ConfigurationManager(vm, platform, links, membership, directory, clock)
 
 
 @pytest.fixture
@@ -139,8 +139,8 @@
     planned = plan_drain(document, to_drain("d1", "target", "t1", 50.0), now=10.0)
     text = planned.parse()
     target = text.services["lookup"].targets["t1"]
-    assert text.draining(target, 49.0) is None
-    assert text.draining(target, 50.0).id == "d1"
+    assert text.find_drain(target, 49.0) is None
+    assert text.find_drain(target, 50.0).id == "d1"
     assert cancel_drain(planned, "d1", now=60.0).drains == {}
 
 
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -14,27 +14,31 @@
 
 from heathercleat import ResultCode
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.quarantine.answers import (
-    ANSWERED_SECONDS,
-    MOST_CREDITS,
+from heathercleat.steering.process.quarantine.policies import (
+    SENDER_POLICY,
+    UNKNOWN_SENDERS_POLICY,
 )
-from heathercleat.steering.process.quarantine.rules import (
-    SENDER_RULE,
-    STRANGERS_RULE,
+from heathercleat.steering.process.quarantine.responses import (
+    EXEMPTION_SECONDS,
+    MAX_CREDITS,
 )
 from heathercleat.steering.process.quarantine.suspect import (
-    CLEARED_SECONDS,
-    MOST_ENDS,
+    CLEARED_RETENTION_SECONDS,
+    MAX_CRASHES,
 )
 from heathercleat.steering.process.quarantine.suspects import (
-    LEAST_TOLD_SECONDS,
-    MOST_SUSPECTS,
+    MAX_SUSPECTS,
+    MIN_REMAINING_SECONDS,
     Suspects,
 )
-from heathercleat.steering.request.answer import Answer, End, TryResult
+from heathercleat.steering.request.attempt_result import (
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
 from heathercleat.steering.request.containment import (
-    MOST_SENDERS,
-    MOST_TRIALS,
+    MAX_SENDERS,
+    MAX_TRIALS,
     Containment,
 )
 from heathercleat.steering.request.fingerprint import fingerprint, sender
@@ -51,8 +55,8 @@
 from tests.test_suspects import tell
 
 HEARTBEATS = 12
-ANSWERED = TryResult(End.ANSWERED, Answer(200, [], b""))
-LIVES = [f"i-{number}" for number in range(MOST_ENDS + 4)]
+ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b""))
+LIVES = [f"i-{number}" for number in range(MAX_CRASHES + 4)]
 
 
 class View:
@@ -84,16 +88,16 @@
         """Have a target end under a request that was let through."""
         made = made or self.call(name)
         assert self.refusal(made) is None
-        result = TryResult(End.UNKNOWN, target=life)
+        result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
         result.ended = life
-        self.containment.took(made, result, False)
+        self.containment.record_result(made, result, False)
 
     def answer(self, made=None, name=None):
         """Have a target answer a request that was let through."""
         made = made or self.call(name)
         assert self.refusal(made) is None
-        self.containment.took(
-            made, TryResult(End.ANSWERED, Answer(200, [], b"")), False
+        self.containment.record_result(
+            made, AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b"")), False
         )
         return made
 
@@ -105,13 +109,13 @@
 
 def limit_sender(view, name=b"k=1"):
     view.answer(name=name)
-    view.clock.time += ANSWERED_SECONDS + 0.1
-    for life in LIVES[: SENDER_RULE.ends]:
+    view.clock.time += EXEMPTION_SECONDS + 0.1
+    for life in LIVES[: SENDER_POLICY.ends]:
         view.end(life, name=name)
 
 
 def limit_strangers(view):
-    for life in LIVES[: STRANGERS_RULE.ends]:
+    for life in LIVES[: UNKNOWN_SENDERS_POLICY.ends]:
         view.end(life)
 
 
@@ -119,7 +123,7 @@
     limit_sender(view)
     refusal = view.refusal(view.call(b"k=1"))
     assert refusal.code is ResultCode.GROUP_LIMITED
-    assert refusal.retry_at == view.clock.now() + SENDER_RULE.first_hold
+    assert refusal.retry_at == view.clock.now() + SENDER_POLICY.initial_refusal_seconds
 
 
 def test_other_senders_run_on_beside_a_limited_one(view):
@@ -160,8 +164,8 @@
 
 def test_strangers_are_refused_together_and_known_senders_are_not(view):
     view.answer(name=b"known")
-    view.clock.time += ANSWERED_SECONDS + 0.1
-    for number, life in enumerate(LIVES[: STRANGERS_RULE.ends]):
+    view.clock.time += EXEMPTION_SECONDS + 0.1
+    for number, life in enumerate(LIVES[: UNKNOWN_SENDERS_POLICY.ends]):
         view.end(life, name=b"new-%d" % number)
     assert view.is_refused(b"another new one")
     assert view.is_refused()
@@ -169,7 +173,7 @@
 
 
 def test_answer_to_a_stranger_speaks_for_one_end(view):
-    for life in LIVES[: STRANGERS_RULE.ends - 1]:
+    for life in LIVES[: UNKNOWN_SENDERS_POLICY.ends - 1]:
         view.end(life)
     view.answer()
     view.end(LIVES[-1])
@@ -180,11 +184,11 @@
 
 def test_answers_to_strangers_speak_for_as_many_ends_at_once_after_them(view):
     """As where a third of the targets ends at once, beside many new callers."""
-    for _ in range(STRANGERS_RULE.ends):
+    for _ in range(UNKNOWN_SENDERS_POLICY.ends):
         view.answer()
     limit_strangers(view)
     assert not view.is_refused()
-    for life in LIVES[STRANGERS_RULE.ends :][: STRANGERS_RULE.ends]:
+    for life in LIVES[UNKNOWN_SENDERS_POLICY.ends :][: UNKNOWN_SENDERS_POLICY.ends]:
         view.end(life)
     assert view.is_refused()
 
@@ -203,7 +207,7 @@
 
 def test_one_trial_at_a_time_after_the_hold(view):
     limit_sender(view)
-    view.clock.time += SENDER_RULE.first_hold + 0.1
+    view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     trial = view.call(b"k=1")
     assert view.refusal(trial) is None
     assert view.refusal(trial) is None
@@ -214,22 +218,24 @@
 
 def test_trial_that_ends_its_target_doubles_the_hold(view):
     limit_sender(view)
-    view.clock.time += SENDER_RULE.first_hold + 0.1
+    view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     view.end(LIVES[-1], name=b"k=1")
     refusal = view.refusal(view.call(b"k=1"))
-    assert refusal.retry_at == view.clock.now() + 2 * SENDER_RULE.first_hold
+    assert (
+        refusal.retry_at == view.clock.now() + 2 * SENDER_POLICY.initial_refusal_seconds
+    )
 
 
 def test_trial_that_is_answered_releases_its_sender(view):
     limit_sender(view)
-    view.clock.time += SENDER_RULE.first_hold + 0.1
+    view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     view.answer(name=b"k=1")
     assert not view.is_refused(b"k=1")
 
 
 def test_trial_that_left_makes_room_for_another(view):
     limit_sender(view)
-    view.clock.time += SENDER_RULE.first_hold + 0.1
+    view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     trial = view.call(b"k=1")
     view.refusal(trial)
     view.clock.time = trial.deadline + 0.1
@@ -247,7 +253,7 @@
 def test_answers_at_one_vm_clear_strangers_at_another():
     clock = ManualClock()
     here, there = View(clock), View(clock)
-    for _ in range(STRANGERS_RULE.ends):
+    for _ in range(UNKNOWN_SENDERS_POLICY.ends):
         there.answer()
     limit_strangers(here)
     tell(here.suspects, there.suspects)
@@ -258,11 +264,11 @@
 
 def test_cleared_ends_leave_room_for_others(view):
     """Answers in between must not use up the memory of ends."""
-    for life in LIVES[:MOST_ENDS]:
+    for life in LIVES[:MAX_CRASHES]:
         view.end(life, name=b"k=1")
         view.answer(name=b"k=1")
-        view.clock.time += ANSWERED_SECONDS + 0.1
-    view.clock.time += CLEARED_SECONDS
+        view.clock.time += EXEMPTION_SECONDS + 0.1
+    view.clock.time += CLEARED_RETENTION_SECONDS
     limit_sender(view)
     assert view.is_refused(b"k=1")
 
@@ -271,12 +277,12 @@
     for life in LIVES:
         made = view.call(b"k=1")
         made.groups = None
-        result = TryResult(End.UNKNOWN, target=life)
+        result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
         result.ended = life
         view.refusal(made)
-        view.containment.took(made, result, False)
+        view.containment.record_result(made, result, False)
     assert view.is_refused(b"k=1")
-    view.clock.time += SENDER_RULE.memory + 0.1
+    view.clock.time += SENDER_POLICY.retention_seconds + 0.1
     assert not view.is_refused(b"k=1")
 
 
@@ -284,16 +290,16 @@
     for number in range(100_000):
         made = view.call(b"k=%d" % number)
         view.refusal(made)
-        result = TryResult(End.UNKNOWN, target="t")
+        result = AttemptResult(AttemptOutcome.UNKNOWN, target="t")
         result.ended = f"i-{number}"
-        view.containment.took(made, result, False)
-        view.containment.took(
-            made, TryResult(End.ANSWERED, Answer(200, [], b"")), False
+        view.containment.record_result(made, result, False)
+        view.containment.record_result(
+            made, AttemptResult(AttemptOutcome.ANSWERED, Answer(200, [], b"")), False
         )
     containment = view.containment
-    assert view.suspects.count <= MOST_SUSPECTS
-    assert len(containment._senders) <= MOST_SENDERS
-    assert len(containment._trials) <= MOST_TRIALS
+    assert view.suspects.count <= MAX_SUSPECTS
+    assert len(containment._senders) <= MAX_SENDERS
+    assert len(containment._trials) <= MAX_TRIALS
 
 
 def test_sender_of_a_request_without_names_is_not_known():
@@ -365,7 +371,7 @@
         """What was answered once is never refused, nor is a sender that only is."""
         view = self.views[vm]
         made = view.call(b"sound", b"/popular")
-        if not view.suspects.was_answered(made.fingerprint):
+        if not view.suspects.has_response(made.fingerprint):
             return self.attempt(view, b"sound", is_fatal=False)
         assert view.refusal(made) is None
 
@@ -385,7 +391,7 @@
     def no_end_is_made_up_or_counted_twice(self):
         for view in self.views:
             for suspect in view.suspects.all():
-                assert len(suspect.ends) == len(set(suspect.ends)) <= MOST_ENDS
+                assert len(suspect.ends) == len(set(suspect.ends)) <= MAX_CRASHES
                 assert set(suspect.cleared) <= set(suspect.ends) <= self.seen
 
     @invariant()
@@ -407,7 +413,7 @@
         told = set().union(*map(_told_for_long, self.views))
         for key in told.difference(*map(_soon_forgotten, self.views)):
             assert len({each.get(key) for each in known}) == 1
-        self.clock.time += SENDER_RULE.memory + 1.0
+        self.clock.time += SENDER_POLICY.retention_seconds + 1.0
         for view in self.views:
             assert not view.is_refused(b"k=1")
             assert not view.is_refused()
@@ -422,13 +428,13 @@
 
 def _told_for_long(view):
     """Return the keys of which a VM tells for some seconds more."""
-    least = view.clock.now() + LEAST_TOLD_SECONDS + 3.0
+    least = view.clock.now() + MIN_REMAINING_SECONDS + 3.0
     return {each.fingerprint for each in view.suspects.all() if each.until > least}
 
 
 def _soon_forgotten(view):
     """Return the keys of which a VM still knows what it does not tell any more."""
-    least = view.clock.now() + LEAST_TOLD_SECONDS + 1.0
+    least = view.clock.now() + MIN_REMAINING_SECONDS + 1.0
     return {each.fingerprint for each in view.suspects.all() if each.until <= least}
 
 
@@ -439,16 +445,16 @@
 
 
 def test_credits_of_answers_are_bounded(view):
-    for _ in range(3 * MOST_CREDITS):
+    for _ in range(3 * MAX_CREDITS):
         view.answer()
-    for number in range(MOST_CREDITS + STRANGERS_RULE.ends):
+    for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.ends):
         view.end(f"i-{number}")
     assert view.is_refused()
 
 
 #: Ends that the attempts may cost: those up to the limit of strangers, as many while
 #: VMs tell each other, and two for a trial at each VM; without a limit two for each.
-MOST_RUNS = 2 * STRANGERS_RULE.ends + 2 * 6
+MOST_RUNS = 2 * UNKNOWN_SENDERS_POLICY.ends + 2 * 6
 SERVED_SHARE = 0.95
 #: Seconds in which the other callers become known to all VMs.
 WARM_UP_SECONDS = 3.0
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -5,16 +5,16 @@
 from curio import run
 
 from heathercleat import HeathercleatError, ResultCode
-from heathercleat.connection.messages import Accepted, Cover
-from heathercleat.process.capacity.covers import (
-    SHORT,
-    CoverPublisher,
-    CoverRecords,
-    Vouched,
+from heathercleat.connection.messages import Accepted, OccupancyNotice
+from heathercleat.process.capacity.occupancy import (
+    MAX_UNANNOUNCED_SECONDS,
+    OccupancyBound,
+    OccupancyPublisher,
+    OccupancyRecords,
     occupied_until,
 )
 from heathercleat.process.membership.heartbeats import Heartbeats
-from heathercleat.process.membership.members import SETTLE, Membership
+from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
 from standins.fleet import Fleet, wait_for
 from standins.load import Load
 from tests.fakes import FakeLinks, FakeVm, ManualClock
@@ -33,23 +33,23 @@
     vm, clock = FakeVm(), ManualClock()
     links = FakeLinks(answer)
     membership = Membership(vm, links, clock)
-    clock.time += SETTLE
-    membership.note_tick()
+    clock.time += SETTLE_SECONDS
+    membership.record_tick()
     membership.record(record())
-    return links, clock, membership, CoverPublisher(vm, membership, links, clock)
+    return links, clock, membership, OccupancyPublisher(vm, membership, links, clock)
 
 
 def vouched(until, gone=False, home="north-a-2"):
-    return Vouched("t", home, until, gone)
+    return OccupancyBound("t", home, until, gone)
 
 
 def covers_sent(links):
-    return [item.covers for _, item in links.calls if isinstance(item, Cover)]
+    return [item.covers for _, item in links.calls if isinstance(item, OccupancyNotice)]
 
 
 def test_short_requests_need_no_cover():
     links, clock, _, publisher = make_parts()
-    run(publisher.ensure, "t", clock.time + SHORT)
+    run(publisher.ensure, "t", clock.time + MAX_UNANNOUNCED_SECONDS)
     assert not links.calls
 
 
@@ -80,10 +80,10 @@
 
 def test_only_a_monitor_that_heard_the_home_to_its_end_vouches():
     _, clock, membership, _ = make_parts()
-    records = CoverRecords(membership, clock)
+    records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
     assert list(records.vouched(["t"])) == []
-    membership.heard(heartbeat())
+    membership.record_heartbeat(heartbeat())
     clock.time += 2.0
     membership.record(record(state="dead"))
     assert list(records.vouched(["t", "u"])) == [vouched(150.0)]
@@ -93,9 +93,9 @@
 
 def test_monitor_that_stopped_hearing_the_home_does_not_vouch():
     _, clock, membership, _ = make_parts()
-    records = CoverRecords(membership, clock)
+    records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
-    membership.heard(heartbeat())
+    membership.record_heartbeat(heartbeat())
     clock.time += 60.0
     membership.record(record(state="dead"))
     assert list(records.vouched(["t"])) == []
@@ -103,11 +103,11 @@
 
 def test_life_replaced_by_a_restart_is_vouched_for():
     _, clock, membership, _ = make_parts()
-    records = CoverRecords(membership, clock)
+    records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
-    membership.heard(heartbeat())
+    membership.record_heartbeat(heartbeat())
     clock.time += 1.0
-    membership.heard(heartbeat(incarnation=2))
+    membership.record_heartbeat(heartbeat(incarnation=2))
     assert list(records.vouched(["t"])) == [vouched(150.0)]
 
 
@@ -115,12 +115,15 @@
     ("each", "seconds"),
     [
         ([], 60.0),
-        ([vouched(0.0)], SHORT),
+        ([vouched(0.0)], MAX_UNANNOUNCED_SECONDS),
         ([vouched(130.0)], 30.0),
         ([vouched(999.0)], 60.0),
         ([vouched(0.0, gone=True)], 0.0),
         ([vouched(130.0), vouched(101.0, gone=True)], 1.0),
-        ([vouched(0.0, gone=True), vouched(0.0, home="north-a-3")], SHORT),
+        (
+            [vouched(0.0, gone=True), vouched(0.0, home="north-a-3")],
+            MAX_UNANNOUNCED_SECONDS,
+        ),
     ],
 )
 def test_occupied_until(each, seconds):
@@ -130,14 +133,14 @@
 
 def find_gone(membership, clock):
     """Let the home of a record be found gone by its monitor."""
-    membership.heard(heartbeat())
+    membership.record_heartbeat(heartbeat())
     member = membership.members["north-a-2"]
     run(Heartbeats(None, membership, FakeLinks(), clock).end, member)
 
 
 def test_requests_of_a_home_that_is_gone_are_not_waited_for():
     _, clock, membership, _ = make_parts()
-    records = CoverRecords(membership, clock)
+    records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     find_gone(membership, clock)
     assert list(records.vouched(["t"])) == [vouched(110.0, gone=True)]
@@ -145,7 +148,7 @@
 
 def test_home_that_is_gone_does_not_vouch_for_another_that_may_run():
     _, clock, membership, _ = make_parts()
-    records = CoverRecords(membership, clock)
+    records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     membership.record(record(vm="north-a-3", state="dead"))
     find_gone(membership, clock)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -27,15 +27,19 @@
 from heathercleat import ResultCode
 from heathercleat.errors import RequestError
 from heathercleat.steering.process.capacity.admission import Admission
+from heathercleat.steering.process.capacity.response_times import ResponseTimes
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.capacity.work import WorkTimes
-from heathercleat.steering.process.departure import Departure
 from heathercleat.steering.process.quarantine.rows import QUARANTINE_TABLE
 from heathercleat.steering.process.quarantine.suspects import Suspects
-from heathercleat.steering.request.answer import QUARANTINED, End, TryResult
+from heathercleat.steering.process.shutdown import Shutdown
+from heathercleat.steering.request.attempt_result import (
+    QUARANTINED,
+    AttemptOutcome,
+    AttemptResult,
+)
+from heathercleat.steering.request.destinations import Destination
 from heathercleat.steering.request.fingerprint import fingerprint
-from heathercleat.steering.request.local import LocalTry
-from heathercleat.steering.request.places import Place
+from heathercleat.steering.request.local import LocalDispatcher
 from standins.steering_fleet import SteeringFleet
 from tests.platform_samples import config
 from tests.steering_parts import Parts, beat, call, entry
@@ -222,13 +226,13 @@
 def test_request_whose_targets_ended_while_it_waited_is_not_sent():
     parts = Parts([entry("t1", slots=1)])
     suspects = Suspects(parts.journal, parts.clock)
-    local = LocalTry(
+    local = LocalDispatcher(
         Admission(parts.ledger, parts.members.region_of, parts.clock),
         parts.ledger,
         parts.registry,
         None,
-        WorkTimes(),
-        Departure(RunTimes(parts.clock), lambda: True),
+        ResponseTimes(),
+        Shutdown(RunTimes(parts.clock), lambda: True),
         None,
         suspects,
         parts.journal,
@@ -237,7 +241,7 @@
     (target,) = parts.ledger.all()
     request = call(parts.clock)
     request.fingerprint = "f"
-    request.patient_until = parts.clock.now() + 5.0
+    request.give_up_at = parts.clock.now() + 5.0
 
     async def main():
         use = target.take(parts.clock.now())
@@ -250,12 +254,12 @@
         return await task.join()
 
     result = run(main)
-    assert (result.end, result.reason) == (End.NOT_SENT, QUARANTINED)
+    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, QUARANTINED)
 
 
 def test_refusal_of_the_owner_is_final():
     """It may know of an end before the news of it has come here."""
-    refused = TryResult(End.NOT_SENT, reason=QUARANTINED)
+    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
     scene = Scene([refused, answered()])
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
@@ -266,8 +270,8 @@
 
 def test_attempt_that_ran_before_ends_at_once_when_it_is_quarantined():
     """Its outcome is not known: a refusal would say that it has not run."""
-    unknown = TryResult(End.UNKNOWN, target="t1", reason="why")
-    refused = TryResult(End.NOT_SENT, reason=QUARANTINED)
+    unknown = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
+    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
     scene = Scene([unknown, refused, answered()])
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
@@ -287,15 +291,15 @@
 
 
 def test_end_that_another_vm_saw_counts_at_once():
-    ended = TryResult(End.UNKNOWN, target="t1", reason="why")
+    ended = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
     ended.ended = "t1"
     far = [entry("t1", domain="south-a")]
     scene = Scene([], entries=far, forwarded=[ended])
     scene.suspects.ended("", "t2")
     scene.suspects.ended("", "t3")
     tries = scene.steering._tries
-    place = Place("vm-2", None, (), remote=False)
-    scene.parts.members.heard(beat("vm-2"))
+    place = Destination("vm-2", None, (), remote=False)
+    scene.parts.members.record_heartbeat(beat("vm-2"))
     run(tries.run, scene.call(), place, (), scene.parts.clock.now() + 1.0)
     assert scene.suspects.refused_until("") is not None
 
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -10,9 +10,12 @@
 from heathercleat.steering.process.membership.gossip import (
     INTERVAL,
     LEAVE_SECONDS,
-    REPAIRED_AT_ONCE,
+    MAX_REPAIRED_AT_ONCE,
+)
+from heathercleat.steering.process.membership.topology import (
+    MONITORED_IN_REGION,
+    MONITORED_OUTSIDE_REGION,
 )
-from heathercleat.steering.process.membership.topology import FAR_PICKS, NEAR_PICKS
 from heathercleat.steering.process.store.tables import READERS, Tables
 from standins.stop_simulation import (
     RESTART_SECONDS,
@@ -34,7 +37,7 @@
 HOPS = {SMALL: 1, LARGE: 2}
 LOOK_SECONDS = 0.05
 #: VMs that pick a VM or that it picks.
-PARTNERS = 2 * (NEAR_PICKS + FAR_PICKS)
+PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
 #: Heartbeats that tell a piece of news to a partner, and what is told of a stop: that
 #: the VM leaves, that it is gone, that it is back.
 TOLD, PIECES = 3, 3
@@ -155,7 +158,7 @@
     assert bill.spent.reads == bill.stops
     # A VM that stays sends a round more at most, and each partner what is told.
     assert bill.messages <= bill.stops * size * PARTNERS
-    told = PARTNERS * TOLD * (PIECES + REPAIRED_AT_ONCE)
+    told = PARTNERS * TOLD * (PIECES + MAX_REPAIRED_AT_ONCE)
     assert bill.spent.news <= bill.stops * size * told
     ranked = CHANGES * len(SERVICES) * TARGETS_OF_SERVICE
     assert max(bill.rankings, default=0) <= bill.stops * ranked
@@ -165,4 +168,4 @@
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
     fleet = settled(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
-    assert sum(each.reads_members() for each in tables) == readers
+    assert sum(each.reads_member_table() for each in tables) == readers
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -4,7 +4,6 @@
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.store.copy import MOST_REMOVALS, TableCopy
 from heathercleat.steering.process.store.follower import (
     IDLE_PEER_INTERVAL,
     RETRY_INTERVAL,
@@ -15,6 +14,7 @@
     Snapshot,
     StoreRow,
 )
+from heathercleat.steering.process.store.table_copy import MAX_REMOVALS, TableCopy
 
 WAIT = 0.02
 PAUSE = 0.01
@@ -281,9 +281,9 @@
 
 def test_earlier_change_of_a_row_does_not_undo_a_later_one():
     copy = TableCopy()
-    copy.take_whole(Snapshot(5, [StoreRow("a", b"new", 7)]))
+    copy.replace_all(Snapshot(5, [StoreRow("a", b"new", 7)]))
     changes = Snapshot(8, [StoreRow("a", None, 6), StoreRow("b", b"1", 8)])
-    assert [row.key for row in copy.take_changes(changes).rows] == ["b"]
+    assert [row.key for row in copy.merge_changes(changes).rows] == ["b"]
     assert {row.key: row.value for row in copy.rows} == {"a": b"new", "b": b"1"}
 
 
@@ -298,7 +298,7 @@
             await sleep(0.2)
             made.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
             told_at = made.clock.now()
-            await made.follower.notice()
+            await made.follower.wake_if_behind()
             while made.keys != ["b"]:
                 await sleep(0.001)
             fetched_after.append(made.clock.now() - told_at)
@@ -392,12 +392,12 @@
 
 def test_vm_that_missed_removals_is_told_the_whole_table():
     copy = TableCopy()
-    copy.take_whole(Snapshot(10, [StoreRow("a", b"1", 3)]))
-    copy.note_changes(["a"], 10)
+    copy.replace_all(Snapshot(10, [StoreRow("a", b"1", 3)]))
+    copy.record_changes(["a"], 10)
     assert copy.since(9, {}).is_whole
     assert not copy.since(10, {}).is_whole
-    removals = [StoreRow(f"gone-{n}", None, 11 + n) for n in range(MOST_REMOVALS + 1)]
-    copy.take_changes(Snapshot(20 + MOST_REMOVALS, removals, is_whole=False))
+    removals = [StoreRow(f"gone-{n}", None, 11 + n) for n in range(MAX_REMOVALS + 1)]
+    copy.merge_changes(Snapshot(20 + MAX_REMOVALS, removals, is_whole=False))
     assert copy.since(10, {}).is_whole
     assert not copy.since(11, {}).is_whole
 
@@ -405,9 +405,9 @@
 def test_table_that_is_read_again_tells_what_went_meanwhile():
     copy = TableCopy()
     rows = [StoreRow("a", b"1", 3), StoreRow("b", b"1", 4)]
-    copy.take_whole(Snapshot(10, rows))
-    copy.note_changes(["a", "b"], 10)
-    copy.take_whole(Snapshot(20, rows[1:]))
+    copy.replace_all(Snapshot(10, rows))
+    copy.record_changes(["a", "b"], 10)
+    copy.replace_all(Snapshot(20, rows[1:]))
     passed = copy.since(10, {})
     assert [(row.key, row.value, row.version) for row in passed.rows] == [
         ("a", None, 20)
@@ -426,22 +426,22 @@
     found it in one run of four.
     """
     reader, other = TableCopy(), TableCopy()
-    reader.take_whole(Snapshot(2, [], 2))
-    other.take_whole(Snapshot(3, [StoreRow("t1", b"ready", 3)], 3))
-    other.note_changes(["t1"], 3)
-    reader.take_whole(Snapshot(4, [], 4))
-    reader.note_changes(["t1"], 4)
+    reader.replace_all(Snapshot(2, [], 2))
+    other.replace_all(Snapshot(3, [StoreRow("t1", b"ready", 3)], 3))
+    other.record_changes(["t1"], 3)
+    reader.replace_all(Snapshot(4, [], 4))
+    reader.record_changes(["t1"], 4)
     told = reader.since(other.changed, {})
     assert told.is_whole
-    other.take_whole(told)
+    other.replace_all(told)
     assert other.rows == []
 
 
 def test_row_from_before_the_whole_table_is_no_news():
     copy = TableCopy()
-    copy.take_whole(Snapshot(10, []))
+    copy.replace_all(Snapshot(10, []))
     late = Snapshot(9, [StoreRow("a", b"1", 9)], is_whole=False)
-    assert copy.take_changes(late).rows == []
+    assert copy.merge_changes(late).rows == []
     assert copy.version == 10
 
 
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -8,9 +8,13 @@
 from curio.io import Socket
 
 from heathercleat.steering.connection.forwarded import ForwardedConnection
-from heathercleat.steering.process.leavers import Leavers
-from heathercleat.steering.request.answer import Answer, End, TryResult
-from heathercleat.steering.request.forward import ORDER, ForwardOrder
+from heathercleat.steering.process.active_requests import ActiveRequests
+from heathercleat.steering.request.attempt_result import (
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
+from heathercleat.steering.request.forward import ORDER_HEADER, ForwardOrder
 from tests.fakes import ManualClock
 from tests.steering_parts import call
 
@@ -25,20 +29,22 @@
 
     def __init__(self, answer=b""):
         self.clock = ManualClock()
-        self.leavers = Leavers()
+        self.active_requests = ActiveRequests()
         self.calls = []
         self._answer = answer
         with socket.create_server(("127.0.0.1", 0)) as listener:
             self.client = socket.create_connection(listener.getsockname())
             server, _ = listener.accept()
         self.connection = ForwardedConnection(
-            Socket(server), self, self.leavers, None, self.clock
+            Socket(server), self, self.active_requests, None, self.clock
         )
 
     async def run(self, call, preferred, avoid, until):
         """Answer a request as a target does."""
         self.calls.append(call)
-        return TryResult(End.ANSWERED, Answer(200, [], self._answer), "t1", 0.1)
+        return AttemptResult(
+            AttemptOutcome.ANSWERED, Answer(200, [], self._answer), "t1", 0.1
+        )
 
     def send(self, **fields):
         """Send the head of a request with a body of two bytes."""
@@ -47,7 +53,7 @@
             setattr(made, name, value)
         now = self.clock.now()
         order = ForwardOrder.of(made, (), (), now + 1.0, 0.0, now).pack()
-        headers = [("host", "a"), (ORDER, order), ("content-length", "2")]
+        headers = [("host", "a"), (ORDER_HEADER, order), ("content-length", "2")]
         request = h11.Request(method="POST", target="/", headers=headers)
         self.client.sendall(h11.Connection(h11.CLIENT).send(request))
 
@@ -83,7 +89,7 @@
         owner.send()
         owner.client.sendall(b"hi")
         await settle()
-        busy = owner.leavers.count
+        busy = owner.active_requests.count
         await task.cancel()
         return busy
 
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -10,19 +10,28 @@
 
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.capacity.admission import Admission
-from heathercleat.steering.process.capacity.held import HeldSlots
+from heathercleat.steering.process.capacity.capacity_reports import REPORT_TTL_SECONDS
+from heathercleat.steering.process.capacity.held_slots import HeldSlots
+from heathercleat.steering.process.capacity.loss_rates import LossRates
 from heathercleat.steering.process.capacity.owners import Owners
-from heathercleat.steering.process.capacity.pressure import Pressure
 from heathercleat.steering.process.capacity.registry import TargetRegistry
-from heathercleat.steering.process.capacity.rooms import REPORT_LIFE
 from heathercleat.steering.process.capacity.slots import SlotLedger
-from heathercleat.steering.process.directory import SHORT_TTL, START_SECONDS, Directory
+from heathercleat.steering.process.directory import (
+    SHORT_LOOKUP_TTL_SECONDS,
+    START_SECONDS,
+    Directory,
+)
 from heathercleat.steering.process.handover import Handover
-from heathercleat.steering.process.membership.composer import BeatComposer
 from heathercleat.steering.process.membership.gossip import INTERVAL
+from heathercleat.steering.process.membership.heartbeat_composer import (
+    HeartbeatComposer,
+)
 from heathercleat.steering.process.membership.member import Stage
 from heathercleat.steering.process.membership.members import Members
-from heathercleat.steering.process.membership.topology import FAR_PICKS, NEAR_PICKS
+from heathercleat.steering.process.membership.topology import (
+    MONITORED_IN_REGION,
+    MONITORED_OUTSIDE_REGION,
+)
 from standins.membership_simulation import REGIONS, Network, SimulatedVm, drive
 from tests.steering_parts import Parts, beat, entry
 
@@ -50,7 +59,7 @@
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
 def test_vms_that_leave_own_targets_where_none_serves(domain):
     parts = Parts(TARGETS)
-    parts.members.heard(beat("vm-2", *domain, stage=LEAVING))
+    parts.members.record_heartbeat(beat("vm-2", *domain, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
     parts.members.finish()
     assert owners_of(parts) == {"vm-2"}
@@ -59,7 +68,7 @@
 def test_nearest_vm_that_leaves_owns_targets():
     parts = Parts([*TARGETS, entry("far", domain="south-a")])
     parts.members.leave()
-    parts.members.heard(beat("vm-2", *FAR, stage=LEAVING))
+    parts.members.record_heartbeat(beat("vm-2", *FAR, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
     assert parts.owners.of("far") == "vm-2"
 
@@ -69,22 +78,22 @@
     parts = Parts(TARGETS)
     parts.members.leave()
     assert owners_of(parts) == {"vm-1"}
-    parts.members.heard(beat("vm-2", *domain))
+    parts.members.record_heartbeat(beat("vm-2", *domain))
     assert owners_of(parts) == {"vm-2"}
 
 
 def test_vm_that_starts_or_finishes_owns_nothing():
     parts = Parts(TARGETS)
     parts.members.finish()
-    parts.members.heard(beat("vm-2", stage=FINISHING))
-    parts.members.heard(beat("vm-3", stage=Stage.STARTING))
+    parts.members.record_heartbeat(beat("vm-2", stage=FINISHING))
+    parts.members.record_heartbeat(beat("vm-3", stage=Stage.STARTING))
     assert owners_of(parts) == {None}
 
 
 def test_weak_vm_that_leaves_owns_nothing_beside_a_strong_one():
     parts = Parts(TARGETS)
     parts.members.leave()
-    parts.members.heard(beat("vm-2", strength=0.1, stage=LEAVING))
+    parts.members.record_heartbeat(beat("vm-2", strength=0.1, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
 
 
@@ -94,7 +103,7 @@
     rng = random.Random(count)
     regions = {"north-a": "north", "south-a": "south"}
     stages = [Stage.SERVING] * serving + [LEAVING] * (count - serving)
-    heard = [
+    record_heartbeat = [
         beat(f"fe-{number}", domain, regions[domain], stage=stage)
         for number, stage in enumerate(stages)
         for domain in [list(regions)[number % 2]]
@@ -102,9 +111,9 @@
     views = []
     for _ in range(3):
         parts = Parts([*TARGETS, entry("far", domain="south-a")], serving=False)
-        rng.shuffle(heard)
-        for each in heard:
-            parts.members.heard(each)
+        rng.shuffle(record_heartbeat)
+        for each in record_heartbeat:
+            parts.members.record_heartbeat(each)
         views.append({each.id: parts.owners.of(each.id) for each in TARGETS})
     assert views[0] == views[1] == views[2]
     least = Stage.SERVING if serving else LEAVING
@@ -122,21 +131,21 @@
 
 def test_vm_that_leaves_is_named_only_where_none_serves():
     parts = Parts(TARGETS)
-    parts.members.heard(beat("vm-2", *FAR, stage=LEAVING))
+    parts.members.record_heartbeat(beat("vm-2", *FAR, stage=LEAVING))
     found, addresses = lookup(parts)
     assert addresses == [parts.settings.ip]
-    assert found.ttl > SHORT_TTL
+    assert found.ttl > SHORT_LOOKUP_TTL_SECONDS
     parts.members.leave()
     found, addresses = lookup(parts)
     assert addresses == [parts.settings.ip]
-    assert found.ttl == SHORT_TTL
+    assert found.ttl == SHORT_LOOKUP_TTL_SECONDS
 
 
 @pytest.mark.parametrize("stage", [Stage.STARTING, FINISHING])
 def test_vm_that_runs_no_requests_is_never_named(stage):
     parts = Parts(TARGETS)
     parts.members.finish()
-    parts.members.heard(beat("vm-2", stage=stage))
+    parts.members.record_heartbeat(beat("vm-2", stage=stage))
     assert lookup(parts)[1] == []
 
 
@@ -146,23 +155,23 @@
     def __init__(self, *others):
         self.parts = Parts(TARGETS)
         for other in others:
-            self.parts.members.heard(other)
+            self.parts.members.record_heartbeat(other)
         self.handover = Handover(
             self.parts.members, self.parts.owners, lambda now: now >= self.short_at
         )
         self.parts.members.leave()
         now = self.parts.clock.now()
         self.handover.begin(now, now + LINGER, now + GRACE)
-        self.began_at = now
+        self.started_at = now
         self.short_at = now + GRACE
 
     def run(self, until, has_clients=False):
         """Let time pass until so many seconds after the stop signal."""
         clock = self.parts.clock
-        while clock.time < self.began_at + until:
+        while clock.time < self.started_at + until:
             clock.time += 0.05
             for other in self.parts.members.live_others():
-                other.heard_at = clock.time
+                other.last_heartbeat_at = clock.time
             self.handover.check(clock.time, has_clients)
         return self.handover.is_over
 
@@ -180,7 +189,7 @@
 def test_last_vm_hands_over_to_one_that_serves_again():
     stop = Stop(beat("vm-2", stage=FINISHING))
     assert not stop.run(1.0)
-    stop.parts.members.heard(beat("vm-2", incarnation=2))
+    stop.parts.members.record_heartbeat(beat("vm-2", incarnation=2))
     assert stop.run(1.1)
 
 
@@ -202,7 +211,7 @@
 ):
     stop = Stop()
     stop.run(later)
-    stop.parts.members.heard(beat("vm-2", stage=LEAVING))
+    stop.parts.members.record_heartbeat(beat("vm-2", stage=LEAVING))
     assert not stop.run(1.5, has_clients=True)
     stop.short_at = stop.parts.clock.now()
     assert stop.run(1.6, has_clients=True) is hands_over
@@ -263,7 +272,7 @@
         stage, incarnation = self.stages[vm]
         domain = self.domains[vm]
         told = beat(vm, domain, REGIONS[domain], incarnation=incarnation, stage=stage)
-        parts.members.heard(told)
+        parts.members.record_heartbeat(told)
 
     def owners(self, parts):
         return {f"t{each}": parts.owners.of(f"t{each}") for each in range(12)}
@@ -311,12 +320,12 @@
             clock,
         )
         self.registry.replace(network.entries)
-        self.composer = BeatComposer(
+        self.composer = HeartbeatComposer(
             self.members,
             NO_TABLES,
             self.ledger,
             Admission(self.ledger, REGIONS.get, clock),
-            Pressure(),
+            LossRates(),
             self.suspects,
             tuple,
             clock,
@@ -326,11 +335,11 @@
     def compose(self, interval):
         return self.composer.compose(interval)
 
-    def heirs(self):
-        return self.ledger.heirs()
+    def new_owners(self):
+        return self.ledger.new_owners()
 
     def successors(self):
-        return self.ledger.take_successors()
+        return self.ledger.pop_new_owners()
 
     def leave(self):
         """Leave as the process does: all partners are told at once."""
@@ -346,14 +355,14 @@
         """End and begin requests, as many as there seem to be slots."""
         drive(self.gossip.notify())
         now = self.network.clock.now()
-        for use in [each for each in self.uses if each.ends_by <= now]:
+        for use in [each for each in self.uses if each.deadline <= now]:
             self.uses.remove(use)
             self.ledger.release(use)
-            use.target.health.succeeded(now - use.began_at)
+            use.target.health.succeeded(now - use.started_at)
         for target in self.ledger.all():
             while target.free(now):
-                ends_by = now + rng.uniform(0.2, LONGEST_RUN)
-                self.uses.append(target.take(now, ends_by))
+                deadline = now + rng.uniform(0.2, LONGEST_RUN)
+                self.uses.append(target.take(now, deadline))
 
 
 class AnsweringNetwork(Network):
@@ -462,10 +471,12 @@
         vm.gossip._is_partner = lambda member: False
     leaving = next(vm for vm in fleet.vms if vm.uses)
     leaving.leave()
-    heirs = {each.name: each for each in fleet.vms if each.name in leaving.heirs()}
-    assert heirs
-    for target_id, owner, count, _ in leaving.ledger.handed_over():
-        held = heirs[owner].held.count(target_id, fleet.network.clock.now())
+    new_owners = {
+        each.name: each for each in fleet.vms if each.name in leaving.new_owners()
+    }
+    assert new_owners
+    for target_id, owner, count, _ in leaving.ledger.handed_over_targets():
+        held = new_owners[owner].held.count(target_id, fleet.network.clock.now())
         assert held == count
 
 
@@ -475,7 +486,7 @@
     vm.members.leave()
     drive(vm.gossip.notify())
     near = [each for each in fleet.vms[1:] if each.domain == vm.domain]
-    assert len(near) > NEAR_PICKS
+    assert len(near) > MONITORED_IN_REGION
     assert all(each.members.live(vm.name).stage == LEAVING for each in near)
 
 
@@ -487,7 +498,7 @@
     name = vm.owners.of(target.entry.id)
     successor = next(each for each in fleet.vms if each.name == name)
     now = fleet.network.clock.now()
-    successor.held.expect(target.entry.id, vm.name)
+    successor.held.add_target(target.entry.id, vm.name)
     assert successor.held.count(target.entry.id, now) >= target.entry.slots
     # What is left is the successor's alone, not that of its failure domain.
     vm.gossip._notified_stage = LEAVING
@@ -500,29 +511,29 @@
     fleet = Fleet(count, 12)
     vm = fleet.vms[0]
     vm.leave()
-    fleet.network.run(2 * REPORT_LIFE)
+    fleet.network.run(2 * REPORT_TTL_SECONDS)
     owners = [each for each in fleet.vms[1:] if vm.rooms.is_known(each.name)]
-    assert len(owners) >= min(count - 1, NEAR_PICKS + FAR_PICKS)
+    assert len(owners) >= min(count - 1, MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
 
 
 def test_end_of_a_vm_that_left_makes_no_further_picks():
     fleet = Fleet(72, 12)
     vm = fleet.vms[0]
-    picks = {each.name: len(each.members.topology.picks) for each in fleet.vms}
+    monitored = {each.name: len(each.members.topology.monitored) for each in fleet.vms}
     vm.leave()
     fleet.network.run(1.0)
     vm.stop()
     for _ in range(20):
         fleet.network.run(0.2)
         for each in fleet.network.running():
-            assert len(each.members.topology.picks) <= picks[each.name]
+            assert len(each.members.topology.monitored) <= monitored[each.name]
     assert all(not each.members.live(vm.name) for each in fleet.network.running())
 
 
 def test_vms_that_stop_may_have_clients():
     parts = Parts(TARGETS)
-    parts.members.heard(beat("vm-2", stage=FINISHING))
-    parts.members.heard(beat("vm-3", stage=Stage.STARTING))
+    parts.members.record_heartbeat(beat("vm-2", stage=FINISHING))
+    parts.members.record_heartbeat(beat("vm-3", stage=Stage.STARTING))
     parts.members.leave()
     names = {each.vm for each in parts.members.serving_or_stopping()}
     assert names == {"vm-1", "vm-2"}
@@ -543,7 +554,7 @@
         vm.leave()
     fleet.run(0.5)
     fleet.network.is_cut = lambda sender, receiver: sender in fleet.vms[:3]
-    fleet.run(LONGEST_RUN + REPORT_LIFE)
+    fleet.run(LONGEST_RUN + REPORT_TTL_SECONDS)
     now = fleet.network.clock.now()
     owned = [(vm, target) for vm in fleet.vms[3:] for target in vm.ledger.all()]
     assert len(owned) == 12
@@ -554,7 +565,7 @@
 def test_what_a_vm_told_is_forgotten_with_it():
     parts = Parts([entry("t1", slots=4)])
     for vm in ("vm-2", "vm-3"):
-        parts.members.heard(beat(vm, stage=LEAVING))
+        parts.members.record_heartbeat(beat(vm, stage=LEAVING))
         parts.held.report(vm, [["t1", 1, 60.0]])
     parts.held.keep({"vm-3"})
     assert parts.held.count("t1", parts.clock.now()) == 1
@@ -581,7 +592,7 @@
 
     def hear(self, vm):
         told = beat(vm, incarnation=self.incarnations[vm], stage=LEAVING)
-        self.parts.members.heard(told)
+        self.parts.members.record_heartbeat(told)
 
     @rule(
         vm=st.sampled_from(VMS),
@@ -622,7 +633,7 @@
         held = sum(count for count, until in self.told.values() if now < until)
         assert self.held.count("t1", now) == held
         (target,) = self.parts.ledger.all()
-        if not target.health.is_silent(now, now) and target.limit(now):
+        if not target.health.is_unresponsive(now, now) and target.limit(now):
             expected = max(0, self.SLOTS - held - len(target.uses))
             assert target.free(now) == expected
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -4,13 +4,18 @@
 from curio import run
 
 from heathercleat import parse_text
-from heathercleat.connection.messages import Accepted, Handover, MemberRecord, Released
-from heathercleat.process.capacity.covers import CoverRecords
-from heathercleat.process.capacity.homes import HANDOVER_KEPT, Homes
-from heathercleat.process.capacity.slots import SlotLedger, Use
-from heathercleat.process.clock import NEVER
-from heathercleat.process.membership.members import SETTLE, Membership
-from heathercleat.process.membership.peers import CALL_TIMEOUT
+from heathercleat.connection.messages import (
+    Accepted,
+    Handover,
+    MemberRecord,
+    SlotReleased,
+)
+from heathercleat.process.capacity.homes import HANDOVER_RETENTION_SECONDS, HomeManager
+from heathercleat.process.capacity.occupancy import OccupancyRecords
+from heathercleat.process.capacity.slots import SlotLedger, SlotUse
+from heathercleat.process.clock import DISTANT_PAST
+from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
 
@@ -33,12 +38,12 @@
         self.homed = {TARGET: [[7, self.clock.time + 5.0, None]]}
         links = FakeLinks(self.answer)
         self.membership = Membership(vm, links, self.clock)
-        self.clock.time += SETTLE
-        self.membership.note_tick()
+        self.clock.time += SETTLE_SECONDS
+        self.membership.record_tick()
         for host in (EARLIER, ENDED):
             self.record(host, "leaving")
-        records = CoverRecords(self.membership, self.clock)
-        self.homes = Homes(
+        records = OccupancyRecords(self.membership, self.clock)
+        self.homes = HomeManager(
             vm, self.membership, self.ledger, links, records, None, self.clock
         )
 
@@ -50,10 +55,10 @@
         self.calls.append(item)
         if host == ENDED or self.deaf > len(self.calls):
             return None
-        if isinstance(item, Released):
+        if isinstance(item, SlotReleased):
             return Accepted()
         for use_id in self.released:
-            self.homes.note_released(TARGET, use_id)
+            self.homes.record_released(TARGET, use_id)
         told, self.homed = self.homed, {}
         return Handover(told, dict.fromkeys(told, []), [])
 
@@ -107,15 +112,17 @@
 def test_release_is_told_until_it_is_heard_or_the_slot_is_free_anyway(seconds, calls):
     parts = Parts()
     parts.deaf = 3
-    use = Use(7, TARGET, parts.clock.time + seconds)
-    run(parts.homes.tell_released, "north-a-2", use)
+    use = SlotUse(7, TARGET, parts.clock.time + seconds)
+    run(parts.homes.report_released, "north-a-2", use)
     assert len(parts.calls) == calls
 
 
 def test_uses_of_two_homes_have_different_numbers():
     target = parse_text(json.dumps(make_text())).services["lookup"].targets[TARGET]
     ledgers = [SlotLedger(ManualClock()) for _ in range(2)]
-    first, second = (ledger.take(ledger.adopt(target, []), NEVER) for ledger in ledgers)
+    first, second = (
+        ledger.take(ledger.adopt(target, []), DISTANT_PAST) for ledger in ledgers
+    )
     assert first.id != second.id
 
 
@@ -124,7 +131,7 @@
 
 
 def wait_long(parts):
-    parts.wait(HANDOVER_KEPT)
+    parts.wait(HANDOVER_RETENTION_SECONDS)
 
 
 @pytest.mark.parametrize("act", [forget, wait_long])
