--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -10,9 +10,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.capacity.registry import LAPSE_GRACE, TargetRegistry
-from heathercleat.steering.process.store.copy import TableCopy
+from heathercleat.steering.process.capacity.registry import (
+    LAPSE_GRACE_SECONDS,
+    TargetRegistry,
+)
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
+from heathercleat.steering.process.store.table_copy import TableCopy
 from tests.fakes import ManualClock
 from tests.steering_parts import entry
 
@@ -31,23 +34,23 @@
         self.copy = TableCopy()
         self.registry = TargetRegistry(Journal("vm-1", "north-a"), clock)
 
-    def take_whole(self, snapshot):
-        if self.copy.take_whole(snapshot):
+    def replace_all(self, snapshot):
+        if self.copy.replace_all(snapshot):
             changed = self.registry.replace(_entries(snapshot.rows), snapshot.lapsing)
-            self.copy.note_changes(changed, snapshot.changed)
+            self.copy.record_changes(changed, snapshot.changed)
 
-    def take_changes(self, snapshot):
-        changed = self._update(self.copy.take_changes(snapshot))
+    def merge_changes(self, snapshot):
+        changed = self._update(self.copy.merge_changes(snapshot))
         if changed:
-            self.copy.note_changes(changed, self.copy.version)
+            self.copy.record_changes(changed, self.copy.version)
 
     def take_relayed(self, snapshot):
         if snapshot.is_whole:
-            self.take_whole(snapshot)
+            self.replace_all(snapshot)
         else:
-            self._update(self.copy.take_changes(snapshot))
+            self._update(self.copy.merge_changes(snapshot))
         keys = [row.key for row in snapshot.rows]
-        self.copy.note_changes(keys, snapshot.changed)
+        self.copy.record_changes(keys, snapshot.changed)
 
     def _update(self, snapshot):
         removed = [row.key for row in snapshot.rows if row.value is None]
@@ -103,11 +106,11 @@
             return
         made = self.vms[vm]
         if whole or not made.registry.known:
-            made.take_whole(Snapshot(self.version, list(self.rows.values())))
+            made.replace_all(Snapshot(self.version, list(self.rows.values())))
             return
         after = made.copy.version
         news = [row for row in self.changes if row.version > after]
-        made.take_changes(Snapshot(self.version, news, is_whole=False))
+        made.merge_changes(Snapshot(self.version, news, is_whole=False))
 
     @rule(
         source=st.integers(0, VMS - 1),
@@ -147,7 +150,7 @@
             if used <= present:
                 continue
             assert self.returned_at is not None
-            assert self.clock.now() <= self.returned_at + LAPSE_GRACE + UPKEEP
+            assert self.clock.now() <= self.returned_at + LAPSE_GRACE_SECONDS + UPKEEP
 
     @invariant()
     def targets_that_said_that_they_leave_are_not_used(self):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -52,7 +52,7 @@
     lease = ledger.grant(entry, "vm", HOME, 4, clock.time + 1)
     ledger.enter(lease.id, clock.time + 1)
     assert entry.free(clock.time) == 0
-    ledger.give_back(lease.id, 1)
+    ledger.return_lease(lease.id, 1)
     assert entry.free(clock.time) == 3
     assert ledger.enter(lease.id, clock.time + 1) is None
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from heathercleat.steering.process.bodies import SHARE, BodyMemory
-from heathercleat.steering.process.capacity.budget import RetryBudget
-from heathercleat.steering.process.capacity.shift import ShiftLimit
-from heathercleat.steering.process.repeats import RepeatDetector
-from heathercleat.steering.version.routing import Share
+from heathercleat.steering.process.body_memory import BODY_MEMORY_SHARE, BodyMemory
+from heathercleat.steering.process.capacity.region_shift import RegionShiftLimit
+from heathercleat.steering.process.capacity.retry_budget import RetryBudget
+from heathercleat.steering.process.retry_detector import RetryDetector
+from heathercleat.steering.version.routing import ServiceShare
 from heathercleat.steering.version.split import Splitter
 from tests.fakes import ManualClock
 
@@ -25,7 +25,7 @@
     for _ in range(vms):
         budget = RetryBudget(ratio, slack, 10.0, lambda: vms)
         for _ in range(requests):
-            budget.count_request(0.0)
+            budget.record_request(0.0)
         total += spend_all(budget, 0.0)
     assert 0 < total <= ratio * requests * vms + slack
 
@@ -62,14 +62,14 @@
 
 def test_first_requests_may_all_move():
     clock = ManualClock()
-    shares = run_windows(ShiftLimit(0.15, clock), clock, 0.8, 1)
+    shares = run_windows(RegionShiftLimit(0.15, clock), clock, 0.8, 1)
     assert shares == [0.8]
 
 
 @pytest.mark.parametrize(("before", "after"), [(0.0, 0.8), (0.8, 0.0)])
 def test_share_changes_slowly_both_ways(before, after):
     clock = ManualClock()
-    limit = ShiftLimit(0.15, clock)
+    limit = RegionShiftLimit(0.15, clock)
     shares = run_windows(limit, clock, before, 3) + run_windows(limit, clock, after, 20)
     pairs = [(shares[i] + shares[i + 1]) / 2 for i in range(len(shares) - 1)]
     changes = [abs(pairs[i + 2] - pairs[i]) for i in range(len(pairs) - 2)]
@@ -78,7 +78,7 @@
 
 
 def test_repeat_is_told_by_the_time_that_is_left():
-    repeats = RepeatDetector()
+    repeats = RetryDetector()
     assert repeats.elapsed("r1", 1.2) == 0.0
     assert 0.2 < repeats.elapsed("r1", 0.9) <= 0.3
     assert repeats.elapsed("r1", 1.2) == 0.0
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("spread", [0.0, 0.15])
 def test_first_requests_of_clients_that_wait_unequally_are_no_repeats(spread):
     """With a bound of 97% of the longest wait 80% of them were taken for repeats."""
-    repeats, random = RepeatDetector(), Random(5)
+    repeats, random = RetryDetector(), Random(5)
 
     def first():
         return 4.0 * (1.0 - spread * random.random())
@@ -103,14 +103,14 @@
 
 
 def test_split_is_exact_over_any_run():
-    splitter = Splitter((Share("a", 90.0), Share("b", 10.0)))
+    splitter = Splitter((ServiceShare("a", 90.0), ServiceShare("b", 10.0)))
     chosen = [splitter.next() for _ in range(100)]
     assert chosen.count("b") == 10
     assert chosen[:20].count("b") == 2
 
 
 def test_bodies_take_their_part_of_the_memory_and_no_more():
-    bodies = BodyMemory(1000 / SHARE)
+    bodies = BodyMemory(1000 / BODY_MEMORY_SHARE)
     assert bodies.take(600)
     assert not bodies.take(600)
     bodies.give(600)
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -7,9 +7,9 @@
 
 from heathercleat.steering.process.directory import (
     LOOKUP_TTL,
-    MOST_ADDRESSES,
-    MOST_OVER_SHARE,
-    SHORT_TTL,
+    MAX_ADDRESSES,
+    MAX_OVER_SHARE,
+    SHORT_LOOKUP_TTL_SECONDS,
     START_SECONDS,
     Directory,
 )
@@ -89,7 +89,7 @@
 ):
     counts = {"a": here, **{f"b{number}": others for number in range(1, domains)}}
     # Some look-ups name others at random: 400 of them spread by a few percent.
-    assert max(over_share(counts).values()) <= MOST_OVER_SHARE * 1.1
+    assert max(over_share(counts).values()) <= MAX_OVER_SHARE * 1.1
 
 
 def test_vms_of_the_own_failure_domain_are_named_to_all_its_clients():
@@ -99,13 +99,13 @@
 
 
 def test_no_more_vms_are_named_than_an_answer_holds():
-    assert len(named({"a": 100, "b": 100}, "a")) == MOST_ADDRESSES
+    assert len(named({"a": 100, "b": 100}, "a")) == MAX_ADDRESSES
 
 
 def test_vm_that_has_just_started_answers_for_a_short_time():
     clock = ManualClock()
     answers = directory({"a": 3}, clock)
-    assert answers.lookup("north", "a").ttl == SHORT_TTL
+    assert answers.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
     clock.time += START_SECONDS
     assert answers.lookup("north", "a").ttl == LOOKUP_TTL
 
@@ -116,7 +116,7 @@
     answers = Directory(members, {"a": "north"}, PORT, 5.0, clock)
     clock.time += START_SECONDS
     members.own.stage = Stage.LEAVING
-    assert answers.lookup("north", "a").ttl == SHORT_TTL
+    assert answers.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
 
 
 def return_one_by_one(fleet):
@@ -135,4 +135,4 @@
     seconds = return_one_by_one(fleet)
     for _ in range(int(seconds / RETURN_SECONDS)):
         clients.run(RETURN_SECONDS)
-        assert max(clients.over_share(clients.drawn()).values()) <= MOST_OVER_SHARE
+        assert max(clients.over_share(clients.drawn()).values()) <= MAX_OVER_SHARE
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,8 +5,12 @@
 
 from heathercleat.connection.messages import Heartbeat, HeartbeatAck, MemberRecord
 from heathercleat.process.membership.heartbeats import Heartbeats
-from heathercleat.process.membership.member import DEAD_AFTER, LEASE
-from heathercleat.process.membership.members import PAUSE_GAP, SETTLE, Membership
+from heathercleat.process.membership.member import DEAD_AFTER, HOME_LEASE_SECONDS
+from heathercleat.process.membership.membership import (
+    PAUSE_GAP,
+    SETTLE_SECONDS,
+    Membership,
+)
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 
 
@@ -28,7 +32,7 @@
 
 def make_membership(vm, clock, answer=acknowledge):
     membership = Membership(vm, FakeLinks(answer), clock)
-    clock.time += SETTLE
+    clock.time += SETTLE_SECONDS
     tick(membership)
     return membership
 
@@ -38,7 +42,7 @@
 
 
 def tick(membership):
-    membership.note_tick()
+    membership.record_tick()
 
 
 def record(vm="north-a-2", incarnation=1, state="live"):
@@ -56,7 +60,7 @@
 def test_vm_alone_may_act_once_it_has_settled(vm, clock):
     membership = Membership(vm, FakeLinks(), clock)
     assert not membership.may_act()
-    clock.time += SETTLE
+    clock.time += SETTLE_SECONDS
     tick(membership)
     assert membership.may_act()
 
@@ -67,7 +71,7 @@
     acknowledged(vm, membership, clock)
     assert membership.may_act()
     for _ in range(5):
-        clock.time += LEASE / 4
+        clock.time += HOME_LEASE_SECONDS / 4
         tick(membership)
     assert not membership.may_act()
 
@@ -85,7 +89,7 @@
 
 
 def test_lease_lapses_before_a_monitor_presumes_death():
-    assert LEASE < DEAD_AFTER
+    assert HOME_LEASE_SECONDS < DEAD_AFTER
 
 
 def test_silent_member_is_presumed_dead_only_by_its_monitor_and_in_time(vm, clock):
@@ -95,7 +99,7 @@
     def judge_after(seconds):
         clock.time += seconds
         tick(membership)
-        run(make_heartbeats(vm, membership, clock).judge)
+        run(make_heartbeats(vm, membership, clock).detect_failures)
         return membership.live()
 
     assert "north-a-2" in judge_after(0.7)
@@ -108,22 +112,22 @@
     membership.record(record())
     clock.time += 10
     tick(membership)
-    clock.time += SETTLE
+    clock.time += SETTLE_SECONDS
     tick(membership)
-    run(make_heartbeats(vm, membership, clock).judge)
+    run(make_heartbeats(vm, membership, clock).detect_failures)
     assert "north-a-2" in membership.live()
 
 
 def test_monitor_that_stalls_often_takes_the_place_of_a_silent_member(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
-    for _ in range(1 + ceil(DEAD_AFTER / SETTLE)):
+    for _ in range(1 + ceil(DEAD_AFTER / SETTLE_SECONDS)):
         clock.time += 2 * PAUSE_GAP
         tick(membership)
         for _ in range(2):
-            clock.time += SETTLE / 2
+            clock.time += SETTLE_SECONDS / 2
             tick(membership)
-            run(make_heartbeats(vm, membership, clock).judge)
+            run(make_heartbeats(vm, membership, clock).detect_failures)
     assert "north-a-2" not in membership.live()
 
 
@@ -150,8 +154,8 @@
 def test_heartbeat_of_a_dead_incarnation_is_accused(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record(state="dead"))
-    assert membership.heard(heartbeat()) is True
-    assert membership.heard(heartbeat(incarnation=2)) is False
+    assert membership.record_heartbeat(heartbeat()) is True
+    assert membership.record_heartbeat(heartbeat(incarnation=2)) is False
     assert "north-a-2" in membership.live()
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,16 +5,16 @@
 import pytest
 
 from heathercleat.steering.process.membership import gossip
-from heathercleat.steering.process.membership.beat import Beat
 from heathercleat.steering.process.membership.gossip import IDLE_INTERVAL, INTERVAL
-from heathercleat.steering.process.membership.member import SILENCE
-from heathercleat.steering.process.membership.members import PAUSE
+from heathercleat.steering.process.membership.heartbeat import Heartbeat
+from heathercleat.steering.process.membership.member import SILENCE_SECONDS
+from heathercleat.steering.process.membership.members import PAUSE_SECONDS
 from heathercleat.steering.process.membership.topology import (
-    FAR_PICKS,
-    IDLE_FAR_PICKS,
-    IDLE_NEAR_PICKS,
-    MOST_IN_MESH,
-    NEAR_PICKS,
+    IDLE_MONITORED_IN_REGION,
+    IDLE_MONITORED_OUTSIDE_REGION,
+    MAX_MESH_SIZE,
+    MONITORED_IN_REGION,
+    MONITORED_OUTSIDE_REGION,
 )
 from standins.membership_simulation import (
     Network,
@@ -112,7 +112,7 @@
     def digest(*vms):
         parts = Parts()
         for vm in vms:
-            parts.members.heard(beat(vm, incarnation=7))
+            parts.members.record_heartbeat(beat(vm, incarnation=7))
         return parts.members.digest
 
     assert digest("i-1", "i-2") != digest("i-0", "i-3")
@@ -159,7 +159,7 @@
 def test_vm_whose_link_to_one_other_is_cut_stays_known_to_the_rest():
     network = start(LARGE)
     vm = next(iter(network.vms.values()))
-    pick = next(iter(vm.members.topology.picks))
+    pick = next(iter(vm.members.topology.monitored))
     pair = {vm.name, pick}
     network.is_cut = lambda one, other: {one.name, other.name} == pair
     network.run(AGREE_SECONDS)
@@ -183,7 +183,7 @@
     network = start(count)
     network.sent.clear()
     network.run(3.0)
-    most = 3.0 / INTERVAL * 3 * (NEAR_PICKS + FAR_PICKS)
+    most = 3.0 / INTERVAL * 3 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
     assert max(network.sent.values()) < most
 
 
@@ -192,13 +192,13 @@
     network = Network()
     vm = SimulatedVm(network, 0, alone=True)
     for number in range(1, rows):
-        vm.members.introduce(f"vm-{number}", f"10.9.{number}", "south-a", "south")
+        vm.members.add_known(f"vm-{number}", f"10.9.{number}", "south-a", "south")
     return vm
 
 
 def test_vm_that_starts_in_a_large_fleet_is_not_silent_for_long():
     # Others take it for dead, and it takes itself for paused.
-    assert drive(start_alone(HUGE).gossip.round()) < min(SILENCE, PAUSE)
+    assert drive(start_alone(HUGE).gossip.round()) < min(SILENCE_SECONDS, PAUSE_SECONDS)
 
 
 def test_greetings_of_a_vm_that_starts_do_not_grow_with_the_fleet():
@@ -213,13 +213,13 @@
 def test_vm_that_hears_many_before_its_first_greeting_greets_the_rest():
     vm = start_alone(LARGE)
     network = vm.network
-    for number in range(1, MOST_IN_MESH + 2):
+    for number in range(1, MAX_MESH_SIZE + 2):
         other = SimulatedVm(network, number, alone=True)
-        other.members.introduce(vm.name, vm.ip, vm.domain, "north")
+        other.members.add_known(vm.name, vm.ip, vm.domain, "north")
         drive(other.gossip.send())
     vm.members.check()
     assert not vm.members.topology.is_mesh
-    unheard = sum(each.heard_at is None for each in vm.members.others())
+    unheard = sum(each.last_heartbeat_at is None for each in vm.members.others())
     drive(vm.gossip.round())
     assert unheard > 0
     assert network.sent[vm.name] >= unheard
@@ -245,7 +245,7 @@
 
 
 def test_small_fleet_tells_no_news():
-    network = start(MOST_IN_MESH)
+    network = start(MAX_MESH_SIZE)
     assert all(vm.members.news(INTERVAL) == [] for vm in network.running())
 
 
@@ -283,8 +283,8 @@
     dead = list(network.vms.values())[1]
     dead.running = False
     network.run(AGREE_SECONDS)
-    partners = 2 * (NEAR_PICKS + FAR_PICKS)
-    idle = (IDLE_NEAR_PICKS + IDLE_FAR_PICKS) * 2
+    partners = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+    idle = (IDLE_MONITORED_IN_REGION + IDLE_MONITORED_OUTSIDE_REGION) * 2
     # Of a death two things may be told, that it is doubted and that it is believed.
     most = 3 * 2 * (STRONG * partners + WEAK * idle)
     assert 0 < network.told[dead.name] <= most
@@ -310,8 +310,8 @@
     strangers = []
 
     def is_cut(sender, receiver):
-        if Beat.of(first_object(network.datagram)).news:
-            known = sender.members.told_of(receiver.name)
+        if Heartbeat.of(first_object(network.datagram)).news:
+            known = sender.members.find(receiver.name)
             if not sender.gossip._is_partner(known):
                 strangers.append(receiver.name)
         return False
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -5,14 +5,20 @@
 import pytest
 
 from heathercleat.steering.process.capacity.admission import Admission
-from heathercleat.steering.process.capacity.losses import RegionLosses
-from heathercleat.steering.process.capacity.pressure import Pressure
-from heathercleat.steering.process.capacity.rooms import RoomView
-from heathercleat.steering.process.capacity.shift import ShiftLimit
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.loss_rates import LossRates
+from heathercleat.steering.process.capacity.region_loss_rates import RegionLossRates
+from heathercleat.steering.process.capacity.region_shift import RegionShiftLimit
+from heathercleat.steering.process.capacity.response_times import (
+    MAX_SAMPLES,
+    ResponseTimes,
+)
 from heathercleat.steering.process.capacity.view import TargetView
-from heathercleat.steering.process.capacity.work import REMEMBERED, WorkTimes
+from heathercleat.steering.request.destinations import (
+    LARGE_BODY_BYTES,
+    DestinationSelector,
+)
 from heathercleat.steering.request.estimates import Estimates
-from heathercleat.steering.request.places import LARGE_BODY, Places
 from tests.steering_parts import Parts, beat, call, entry, route
 
 NEAR, FAR = 2, 10
@@ -23,26 +29,28 @@
 class Scene:
     """A region with few targets beside one with many; all slots are free."""
 
-    def __init__(self, trip=0.07, work=0.1, answers=REMEMBERED):
+    def __init__(self, trip=0.07, work=0.1, answers=MAX_SAMPLES):
         entries = [entry(f"n{number}", slots=SLOTS) for number in range(NEAR)]
         entries += [
             entry(f"s{number}", domain="south-a", slots=SLOTS) for number in range(FAR)
         ]
         self.parts = parts = Parts(entries)
         clock, members = parts.clock, parts.members
-        members.heard(beat("vm-3", domain="south-a", region="south"))
-        self.rooms = rooms = RoomView(clock)
+        members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
+        self.rooms = rooms = CapacityReports(clock)
         self.report(SLOTS)
-        times = WorkTimes()
+        times = ResponseTimes()
         for _ in range(answers):
             times.observe("r1", work, True)
-        pressure = Pressure()
+        pressure = LossRates()
         view = TargetView(members, parts.registry, parts.owners, parts.ledger, rooms)
         admission = Admission(parts.ledger, members.region_of, clock)
         estimates = Estimates(members, admission, rooms, lambda vm: trip, times, clock)
-        losses = RegionLosses(members, rooms, pressure, clock)
-        shift = ShiftLimit(0.15, clock)
-        self.places = Places(view, members, estimates, losses, shift, clock)
+        losses = RegionLossRates(members, rooms, pressure, clock)
+        shift = RegionShiftLimit(0.15, clock)
+        self.places = DestinationSelector(
+            view, members, estimates, losses, shift, clock
+        )
 
     def report(self, free):
         rooms = [[f"s{number}", free, SLOTS, 0] for number in range(FAR)]
@@ -52,8 +60,8 @@
         made = call(
             self.parts.clock, route(sticky=True, **fields), affinity=f"o{number}"
         )
-        made.patient_until = made.deadline
-        made.home_until = made.aim_at
+        made.give_up_at = made.deadline
+        made.affinity_until = made.soft_deadline
         return made
 
     def place(self, made):
@@ -103,7 +111,7 @@
     scene = Scene()
     made = [scene.call(number) for number in range(OBJECTS)]
     for each in made:
-        each.body = b"x" * LARGE_BODY
+        each.body = b"x" * LARGE_BODY_BYTES
     assert {scene.place(each).target[0] for each in made} == {"n"}
 
 
@@ -126,7 +134,7 @@
     scene = Scene()
     made = far_call(scene)
     scene.report(0)
-    scene.parts.clock.time = made.home_until + 0.01
+    scene.parts.clock.time = made.affinity_until + 0.01
     assert not scene.place(made).remote
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -6,10 +6,14 @@
 
 from heathercleat import HeathercleatError, ResultCode
 from heathercleat.errors import PlatformError
-from heathercleat.process.once.claims import Claims, RowState
-from heathercleat.process.once.ledger import RETENTION, EntryState, OnceLedger
+from heathercleat.process.at_most_once.claims import Claims, RowState
+from heathercleat.process.at_most_once.deduplication import (
+    RETENTION,
+    DeduplicationTable,
+    EntryState,
+)
 from heathercleat.request.call import Outcome
-from heathercleat.request.ticket import Ticket, issue, read
+from heathercleat.request.ticket import Ticket, issue_ticket, read
 from tests.fakes import FakePlatform, ManualClock
 
 KEYS = ["a-shared-key-for-tests"]
@@ -29,14 +33,14 @@
 
 
 def test_ticket_is_read_as_it_was_issued():
-    text = issue(KEYS, "vm", "birth", "rules", True, 12.0)
+    text = issue_ticket(KEYS, "vm", "birth", "rules", True, 12.0)
     ticket = read(KEYS, text)
     assert (ticket.vm, ticket.birth, ticket.claims) == ("vm", "birth", True)
 
 
 @pytest.mark.parametrize(
     "text",
-    ["", "x", "!!", issue(OTHER_KEYS, "", "", "", 0, 1)],
+    ["", "x", "!!", issue_ticket(OTHER_KEYS, "", "", "", 0, 1)],
     ids=["empty", "short", "not base64", "other key"],
 )
 def test_ticket_of_a_stranger_is_refused(text):
@@ -46,12 +50,12 @@
 
 
 def test_rotated_keys_still_verify_old_tickets():
-    old = issue(OTHER_KEYS, "vm", "birth", "rules", True, 12.0)
+    old = issue_ticket(OTHER_KEYS, "vm", "birth", "rules", True, 12.0)
     assert read([*KEYS, *OTHER_KEYS], old).vm == "vm"
 
 
 def test_same_key_with_another_request_is_refused():
-    ledger = OnceLedger(ManualClock())
+    ledger = DeduplicationTable(ManualClock())
     ledger.begin(make_ticket(), "k", b"one")
     with pytest.raises(HeathercleatError) as caught:
         ledger.begin(make_ticket(), "k", b"two")
@@ -59,7 +63,7 @@
 
 
 def test_closed_key_never_runs():
-    ledger = OnceLedger(ManualClock())
+    ledger = DeduplicationTable(ManualClock())
     assert ledger.close_out("ticket", "k", 160.0).state is EntryState.CLOSED
     with pytest.raises(HeathercleatError) as caught:
         ledger.begin(make_ticket(), "k", b"one")
@@ -68,7 +72,7 @@
 
 def test_expired_ticket_runs_nothing_new_but_repeats_what_ran():
     clock = ManualClock()
-    ledger = OnceLedger(clock)
+    ledger = DeduplicationTable(clock)
     entry, first = ledger.begin(make_ticket(), "ran", b"x")
     run(ledger.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
     clock.time = 161.0
@@ -81,7 +85,7 @@
 
 def test_ticket_older_than_the_memory_is_never_called_not_run():
     clock = ManualClock()
-    ledger = OnceLedger(clock)
+    ledger = DeduplicationTable(clock)
     clock.time = 100_000.0
     with pytest.raises(HeathercleatError) as caught:
         ledger.begin(make_ticket(), "k", b"x")
@@ -90,7 +94,7 @@
 
 def test_key_that_ran_is_never_closed_as_not_run_once_it_is_forgotten():
     clock = ManualClock()
-    ledger = OnceLedger(clock)
+    ledger = DeduplicationTable(clock)
     entry, _ = ledger.begin(make_ticket(), "ran", b"x")
     run(ledger.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
     clock.time = 160.0 + RETENTION
@@ -102,7 +106,7 @@
 
 def test_closed_key_is_remembered_as_long_as_its_ticket_may_run():
     clock = ManualClock()
-    ledger = OnceLedger(clock)
+    ledger = DeduplicationTable(clock)
     long_ticket = Ticket("ticket", "vm", "p1", "rules", True, 100.0 + 3600)
     ledger.close_out("ticket", "k", long_ticket.expires_at)
     clock.time = 100.0 + 2 * RETENTION
--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -35,7 +35,7 @@
     target = owned(parts)
     now = parts.clock.now()
     target.take(now)
-    target.reported(2, 1, now)
+    target.record_reported_load(2, 1, now)
     assert target.free(now) == 0
     assert target.free(now + 0.5) == 2
 
@@ -65,30 +65,30 @@
 
 
 def fail_until_it_rests(target, now):
-    while not target.health.failed(now, now):
+    while not target.health.record_failure(now, now):
         pass
 
 
 def test_requests_cut_at_the_same_time_make_one_rest():
     parts = Parts([entry("t1", slots=4)])
     target = owned(parts)
-    began_at = parts.clock.now()
+    started_at = parts.clock.now()
     parts.clock.time += 0.1
     fail_until_it_rests(target, parts.clock.now())
-    rest_until = target.health.rest_until
+    ejected_until = target.health.ejected_until
     parts.clock.time += 0.01
-    assert not target.health.failed(parts.clock.now(), began_at)
-    assert target.health.rest_until == rest_until
+    assert not target.health.record_failure(parts.clock.now(), started_at)
+    assert target.health.ejected_until == ejected_until
 
 
 def test_trial_that_fails_makes_a_longer_rest():
     parts = Parts([entry("t1", slots=4)])
     target = owned(parts)
     fail_until_it_rests(target, parts.clock.now())
-    first = target.health.rest_until - parts.clock.now()
+    first = target.health.ejected_until - parts.clock.now()
     parts.clock.time += 1.0
-    assert target.health.failed(parts.clock.now(), parts.clock.now())
-    assert target.health.rest_until - parts.clock.now() > first
+    assert target.health.record_failure(parts.clock.now(), parts.clock.now())
+    assert target.health.ejected_until - parts.clock.now() > first
 
 
 def test_failing_target_rests_and_is_tried_by_one_request():
@@ -117,7 +117,7 @@
         target.health.succeeded(0.1)
     odd = owned(parts, "t3")
     odd.health.latency = latency
-    parts.ledger.judge_speeds()
+    parts.ledger.update_slow_targets()
     assert odd.slow is slow
     assert odd.free(parts.clock.now()) == (1 if slow else 4)
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -21,16 +21,19 @@
     rule,
 )
 
-from heathercleat.errors import CallerLeftError
+from heathercleat.errors import CallerDisconnectedError
 from heathercleat.process.clock import SystemClock
-from heathercleat.steering.connection.client import MOST_AHEAD, ClientConnection
-from heathercleat.steering.connection.pipeline import Turn
-from heathercleat.steering.process.bodies import BodyMemory
+from heathercleat.steering.connection.client import (
+    MAX_PIPELINED_REQUESTS,
+    ClientConnection,
+)
+from heathercleat.steering.connection.pipeline import PipelinedRequest
+from heathercleat.steering.process.active_requests import ActiveRequests
+from heathercleat.steering.process.body_memory import BodyMemory
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.departure import KEEP_SECONDS, Departure
-from heathercleat.steering.process.leavers import Leavers
-from heathercleat.steering.process.repeats import RepeatDetector
-from heathercleat.steering.request.answer import Answer
+from heathercleat.steering.process.retry_detector import RetryDetector
+from heathercleat.steering.process.shutdown import KEEP_ALIVE_SECONDS, Shutdown
+from heathercleat.steering.request.attempt_result import Answer
 from heathercleat.steering.version.routing import Limits, RoutingTable, Service
 from tests.steering_parts import route
 
@@ -59,11 +62,11 @@
         self.clock = SystemClock()
         self.limits = Limits(16 << 10, 1 << 20, 3.0, 15.0)
         self.table = RoutingTable(1, [route()], {"s1": Service("s1", 1.0)}, self.limits)
-        self.departure = Departure(RunTimes(self.clock), lambda: True)
-        self.repeats = RepeatDetector()
-        self.leavers = Leavers()
-        self.bodies = BodyMemory(1 << 30)
-        self.record = self
+        self.shutdown = Shutdown(RunTimes(self.clock), lambda: True)
+        self.retry_detector = RetryDetector()
+        self.active_requests = ActiveRequests()
+        self.body_memory = BodyMemory(1 << 30)
+        self.request_log = self
         self.started = True
         self.leaving = False
         self.pending = {}
@@ -72,7 +75,7 @@
     def stop(self):
         """Be told to stop so long ago that connections are not kept any more."""
         self.leaving = True
-        self.departure.begin(self.clock.now() - KEEP_SECONDS, GRACE)
+        self.shutdown.begin(self.clock.now() - KEEP_ALIVE_SECONDS, GRACE)
 
     def choose_service(self, route):
         return "s1"
@@ -83,7 +86,7 @@
         await signal.wait()
         del self.pending[call.id]
         if call.left:
-            raise CallerLeftError
+            raise CallerDisconnectedError
         return Answer(200, [(b"request-id", call.id.encode())], call.id.encode())
 
     def answered(self, call, answer, now):
@@ -150,7 +153,7 @@
 
     def look_for_leavers(self):
         async def look():
-            task = await spawn(self.node.leavers.run, daemon=True)
+            task = await spawn(self.node.active_requests.run, daemon=True)
             await sleep(0.02)
             await task.cancel()
 
@@ -239,11 +242,11 @@
 
 
 def test_requests_beyond_the_bound_stay_unread(line):
-    for _ in range(MOST_AHEAD + 3):
+    for _ in range(MAX_PIPELINED_REQUESTS + 3):
         line.send()
-    assert len(line.node.pending) == MOST_AHEAD
+    assert len(line.node.pending) == MAX_PIPELINED_REQUESTS
     line.answer("q0")
-    assert len(line.node.pending) == MOST_AHEAD
+    assert len(line.node.pending) == MAX_PIPELINED_REQUESTS
 
 
 def test_client_that_leaves_frees_all_its_requests(line):
@@ -252,7 +255,7 @@
     line.client.close()
     line.look_for_leavers()
     assert sorted(line.node.lost) == ["q0", "q1", "q2"]
-    assert not line.connection.busy
+    assert not line.connection.is_busy
 
 
 def test_stop_answers_all_that_were_read_and_then_closes(line):
@@ -324,7 +327,7 @@
         line.send()
     line.answer("q1")
     line.answer("q2")
-    line.kernel.run(line.connection.give_up_blocking)
+    line.kernel.run(line.connection.cancel_blocking_requests)
     line.settle()
     assert line.got == ["3002 answer_lost\n", "q1", "q2"]
     assert set(line.node.pending) == {"q0", "q3"}
@@ -344,7 +347,7 @@
 
 @pytest.mark.parametrize("sent", [True, False])
 def test_turn_comes_only_after_the_answer_before_it(sent):
-    before, turn = Turn(None, None, 0.0), Turn(None, None, 0.0)
+    before, turn = PipelinedRequest(None, None, 0.0), PipelinedRequest(None, None, 0.0)
     before.sent, turn.before = sent, before
 
     async def come():
@@ -408,7 +411,7 @@
 
     @invariant()
     def no_more_than_the_bound_are_served(self):
-        assert len(self.line.node.pending) <= MOST_AHEAD
+        assert len(self.line.node.pending) <= MAX_PIPELINED_REQUESTS
 
     @invariant()
     def requests_that_change_something_are_served_alone(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from heathercleat import parse_text
-from heathercleat.version.placement import POOL_SLOTS
+from heathercleat.version.placement import MIN_POOL_SLOTS
 from tests.test_text import make_text
 
 DOMAIN = "north-a"
@@ -88,4 +88,4 @@
     loads = loads_of(services, placement.homes(DOMAIN, VMS))
     total = sum(map(sum, sizes))
     assert sum(loads.values()) == total
-    assert max(loads.values()) < total / len(VMS) + 2 * POOL_SLOTS + 8
+    assert max(loads.values()) < total / len(VMS) + 2 * MIN_POOL_SLOTS + 8
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -9,14 +9,14 @@
     decode_operator_rows,
 )
 from heathercleat.platform.headers import (
-    read_answer_head,
-    read_client_head,
-    request_headers,
+    parse_client_head,
+    parse_response_head,
+    target_request_headers,
 )
 from heathercleat.platform.settings import decode_node_settings, load_node_settings
-from heathercleat.platform.units import seconds, version_number
+from heathercleat.platform.units import parse_duration, parse_version
 from heathercleat.steering.process.store.protocol import StoreRow
-from heathercleat.steering.version.routing import Kind
+from heathercleat.steering.version.routing import RequestKind
 from tests.platform_samples import SETTINGS, config
 
 
@@ -28,19 +28,19 @@
     ("text", "expected"), [("1500ms", 1.5), ("2.5s", 2.5), ("0ms", 0.0)]
 )
 def test_times_have_a_unit(text, expected):
-    assert seconds(text) == expected
+    assert parse_duration(text) == expected
 
 
 @pytest.mark.parametrize("text", ["12", "3m", "", "xms"])
 def test_malformed_times_are_named(text):
     with pytest.raises(ValueError):
-        seconds(text)
+        parse_duration(text)
 
 
 def test_versions_compare_as_numbers():
-    assert version_number("r12") > version_number("r9")
+    assert parse_version("r12") > parse_version("r9")
     with pytest.raises(ValueError, match="v12"):
-        version_number("v12")
+        parse_version("v12")
 
 
 def test_routes_match_by_host_and_longest_prefix():
@@ -55,13 +55,17 @@
 def test_route_keeps_what_operators_demand():
     table = decode_config(json.dumps(config()).encode())
     route = table.match("a.example", "/one/x")
-    assert (route.kind, route.timeout, route.latency_aim) == (Kind.UNSAFE, 1.0, 0.3)
+    assert (route.kind, route.timeout, route.latency_objective) == (
+        RequestKind.UNSAFE,
+        1.0,
+        0.3,
+    )
     assert [(each.service, each.weight) for each in route.shares] == [
         ("s1", 90.0),
         ("s2", 10.0),
     ]
     assert route.allows("north") and not route.allows("south")
-    assert table.services["s1"].cold_rate == 14.0
+    assert table.services["s1"].cold_requests_per_second == 14.0
 
 
 @pytest.mark.parametrize("broken", ["services", "hosts", "limits", "version"])
@@ -87,7 +91,7 @@
 
 
 def test_client_head_with_a_malformed_wait_has_the_usual_one():
-    head = read_client_head([(b"deadline-ms", b"soon"), (b"cookie", b"a=1")])
+    head = parse_client_head([(b"deadline-ms", b"soon"), (b"cookie", b"a=1")])
     assert head.wait == 30.0
     assert head.affinity is None
 
@@ -98,13 +102,13 @@
         (b"deadline-ms", b"1200"),
         (b"cookie", b"x=y; Affinity-Key=17"),
     ]
-    head = read_client_head(headers)
+    head = parse_client_head(headers)
     assert (head.request_id, head.wait, head.affinity) == ("r1", 1.2, "17")
 
 
 def test_headers_of_the_system_replace_those_of_the_client():
     sent = dict(
-        request_headers(
+        target_request_headers(
             [(b"deadline-ms", b"9999"), (b"expected-instance", b"x"), (b"a", b"b")],
             0.25,
             "i-1",
@@ -129,13 +133,13 @@
 def test_only_a_refusal_says_that_a_request_has_not_run(
     status, headers, not_run, promises
 ):
-    head = read_answer_head(status, headers)
+    head = parse_response_head(status, headers)
     assert (head.not_run, head.promises) == (not_run, promises)
 
 
 @pytest.mark.parametrize("load", [b"3", b"a,b,c", b"1,2,3,4"])
 def test_malformed_load_is_no_load(load):
-    assert read_answer_head(200, [(b"server-load", load)]).running is None
+    assert parse_response_head(200, [(b"server-load", load)]).running is None
 
 
 def test_settings_are_decoded():
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -22,7 +22,7 @@
 
 def acquire(made, request, preferred=(), patience=0.0):
     until = request.arrived_at + patience
-    request.patient_until = until
+    request.give_up_at = until
     return run(made.acquire, request, preferred, frozenset(), until)
 
 
@@ -58,7 +58,7 @@
     got = []
 
     async def wait(request):
-        request.patient_until = request.arrived_at + 5.0
+        request.give_up_at = request.arrived_at + 5.0
         wanted = (preferred or {}).get(request.id, ())
         permit = await made.acquire(
             request, wanted, frozenset(), parts.clock.now() + 5.0
@@ -80,7 +80,7 @@
 def test_request_that_came_back_goes_first_and_a_late_one_last():
     parts = Parts([entry("t1", slots=1)])
     late = call(parts.clock, id="late")
-    late.aim_at = parts.clock.now() - 1.0
+    late.soft_deadline = parts.clock.now() - 1.0
     back = call(parts.clock, returned=True, id="back")
     first = call(parts.clock, id="first")
     assert order_of(parts, [late, first, back]) == ["back", "first", "late"]
@@ -98,7 +98,7 @@
     made = admission(parts)
     fill(parts, "t1")
     request = call(parts.clock)
-    request.patient_until = parts.clock.now() + 5.0
+    request.give_up_at = parts.clock.now() + 5.0
 
     async def main():
         until = parts.clock.now() + 5.0
@@ -108,7 +108,7 @@
         return await task.join()
 
     assert run(main) is None
-    assert made.waiting("s1") == 0
+    assert made.waiting_count("s1") == 0
 
 
 @pytest.mark.parametrize(("patience", "served"), [(0.0, True), (0.1, False)])
@@ -116,6 +116,6 @@
     parts = Parts([entry("t1", slots=2), entry("t2", slots=2)])
     fill(parts, "t1")
     request = call(parts.clock)
-    request.home_until = request.arrived_at + patience
+    request.affinity_until = request.arrived_at + patience
     use = acquire(admission(parts), request, preferred=("t1",))
     assert (use is not None) is served
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -12,7 +12,7 @@
     schedule_drain,
 )
 from heathercleat.version.document import Document
-from heathercleat.version.ramp import away_share, position_of
+from heathercleat.version.drain_ramp import departed_share, ramp_position
 from heathercleat.version.text import Drain, DrainScope
 from standins.fleet import Fleet, wait_for
 from standins.load import Load
@@ -64,11 +64,11 @@
 
 
 def test_lead_is_what_the_caps_elsewhere_need():
-    assert parse_text(json.dumps(ramp_text())).ramps.lead("north-a") == LEAD
+    assert parse_text(json.dumps(ramp_text())).ramps.ramp_seconds("north-a") == LEAD
 
 
 def test_service_without_a_cap_needs_no_lead():
-    assert parse_text(json.dumps(make_text())).ramps.lead("north-a") == 0
+    assert parse_text(json.dumps(make_text())).ramps.ramp_seconds("north-a") == 0
 
 
 def test_drain_begins_late_enough_for_its_callers_to_move():
@@ -80,18 +80,18 @@
     ("wall", "share"), [(90, 0), (94, 0), (97, 0.5), (99.4, 0.9), (100, 1), (500, 1)]
 )
 def test_callers_leave_before_the_drain_begins(wall, share):
-    assert away_share(make_drain(), LEAD, wall) == pytest.approx(share)
+    assert departed_share(make_drain(), LEAD, wall) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(("wall", "share"), [(200, 1), (203, 0.5), (206, 0), (999, 0)])
 def test_callers_return_after_a_cancelled_drain(wall, share):
-    assert away_share(make_drain(until=200.0), LEAD, wall) == pytest.approx(share)
+    assert departed_share(make_drain(until=200.0), LEAD, wall) == pytest.approx(share)
 
 
 def test_drain_cancelled_while_callers_leave_turns_them_round():
     drain = make_drain(until=97.0)
-    assert away_share(drain, LEAD, 97.0) == pytest.approx(0.5)
-    assert away_share(drain, LEAD, 100.0) == pytest.approx(0.0)
+    assert departed_share(drain, LEAD, 97.0) == pytest.approx(0.5)
+    assert departed_share(drain, LEAD, 100.0) == pytest.approx(0.0)
 
 
 @given(
@@ -105,7 +105,9 @@
     at, cancelled_after, wall, later
 ):
     drain = make_drain(at, at + cancelled_after)
-    change = away_share(drain, LEAD, wall + later) - away_share(drain, LEAD, wall)
+    change = departed_share(drain, LEAD, wall + later) - departed_share(
+        drain, LEAD, wall
+    )
     assert abs(change) * SLOTS <= CAP + 1e-6
 
 
@@ -119,7 +121,7 @@
     ]
     assert away[0] < away[1] < away[2] < away[3] == set(callers)
     assert len(away[1]) == pytest.approx(500, abs=60)
-    assert len({position_of(caller) for caller in callers}) == len(callers)
+    assert len({ramp_position(caller) for caller in callers}) == len(callers)
 
 
 def test_cancelled_drain_is_kept_while_callers_return():
@@ -129,7 +131,7 @@
     cancelled = cancel_drain(planned, "d1", 100.0)
     assert cancelled.drains["d1"][3] == 100.0
     target = cancelled.parse().find_target("north-a-t")
-    assert cancelled.parse().draining(target, 101.0) is None
+    assert cancelled.parse().find_drain(target, 101.0) is None
     other = Drain("d2", DrainScope.TARGET, "south-a-t", 0.0)
     assert "d1" in plan_drain(cancelled, other, 101.0).drains
     assert "d1" not in plan_drain(cancelled, other, 101.0 + LEAD).drains
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -3,7 +3,7 @@
 import pytest
 
 from heathercleat import parse_text
-from heathercleat.version.reach import Reach
+from heathercleat.version.domain_ranking import DomainRanking
 from heathercleat.version.text import Drain, DrainScope
 from tests.test_text import make_text
 
@@ -47,7 +47,7 @@
 
 
 def order(text, service, domain):
-    return Reach(text, 1.0).ordered(text.services[service], domain)
+    return DomainRanking(text, 1.0).rank_domains(text.services[service], domain)
 
 
 def test_nearest_domain_comes_first(text):
@@ -67,8 +67,10 @@
 
 def test_dependency_in_the_other_domain_of_the_region_adds_little(text):
     drain(text, "lookup-x-a")
-    reach = Reach(text, 1.0)
-    assert reach.onward(text.services["intake"], "x-a") == pytest.approx(FD_MS / 1000)
+    reach = DomainRanking(text, 1.0)
+    assert reach.dependency_latency(text.services["intake"], "x-a") == pytest.approx(
+        FD_MS / 1000
+    )
     assert order(text, "intake", "x-a")[0] == "x-a"
 
 
@@ -87,4 +89,6 @@
 def test_drain_that_has_not_begun_changes_nothing(text):
     name = "lookup-x-a"
     text.drains[name] = Drain(name, DrainScope.TARGET, name, 5.0)
-    assert Reach(text, 1.0).onward(text.services["intake"], "x-a") == 0
+    assert (
+        DomainRanking(text, 1.0).dependency_latency(text.services["intake"], "x-a") == 0
+    )
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -6,12 +6,16 @@
 from heathercleat import parse_text
 from heathercleat.connection.messages import MemberRecord, Readiness
 from heathercleat.process.capacity.candidates import DomainVms
-from heathercleat.process.capacity.homes import Homes
-from heathercleat.process.capacity.readiness import GRACE, KEPT_SECONDS, ReadinessBoard
+from heathercleat.process.capacity.homes import HomeManager
+from heathercleat.process.capacity.readiness import (
+    DIVERT_DELAY_SECONDS,
+    SHARE_CACHE_TTL_SECONDS,
+    ReadinessTracker,
+)
 from heathercleat.process.capacity.slots import Hold, SlotLedger
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
-from heathercleat.process.membership.members import SETTLE, Membership
+from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
 from heathercleat.request.lookup import _choose
 from heathercleat.version.text import Drain, DrainScope
 from tests.fakes import FakeLinks, FakeVm, ManualClock
@@ -48,12 +52,12 @@
         vm.directory.adopt(VmList(1, entries))
         self.ledger = SlotLedger(self.clock)
         self.membership = Membership(vm, self.links, self.clock)
-        self.clock.time += SETTLE
-        self.membership.note_tick()
-        vm.homes = Homes(
+        self.clock.time += SETTLE_SECONDS
+        self.membership.record_tick()
+        vm.homes = HomeManager(
             vm, self.membership, self.ledger, self.links, None, None, self.clock
         )
-        self.board = ReadinessBoard(
+        self.board = ReadinessTracker(
             vm, self.ledger, self.membership, self.links, self.clock
         )
         self.service = vm.text.services["lookup"]
@@ -64,7 +68,7 @@
 
     def ask_homes(self):
         run(self.board._ask_homes)
-        self.clock.time += KEPT_SECONDS
+        self.clock.time += SHARE_CACHE_TTL_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -81,9 +85,9 @@
     parts.adopt(SLOTS)
     assert parts.board.share(parts.service) == 0
     parts.clock.time += 5.1
-    parts.membership.note_tick()
-    parts.clock.time += SETTLE
-    parts.membership.note_tick()
+    parts.membership.record_tick()
+    parts.clock.time += SETTLE_SECONDS
+    parts.membership.record_tick()
     assert parts.board.share(parts.service) == 1
 
 
@@ -109,7 +113,7 @@
     parts = Parts()
 
     async def act():
-        waiting = await spawn(parts.board.wait_asked)
+        waiting = await spawn(parts.board.wait_first_round)
         await sleep(0)
         assert not waiting.terminated
         await parts.board._ask_homes()
@@ -148,7 +152,7 @@
     parts.adopt()
     assert parts.board.share(parts.service) == 1
     parts.ledger.drop_all()
-    parts.clock.time += GRACE - 0.1
+    parts.clock.time += DIVERT_DELAY_SECONDS - 0.1
     assert parts.board.avoided(parts.service, 0.6) == frozenset()
     parts.clock.time += 0.2
     assert parts.board.avoided(parts.service, 0.6) == {"north-a"}
@@ -172,6 +176,6 @@
     parts.ask_homes()
     assert parts.links.calls == []
     parts.ledger.drop_all()
-    parts.clock.time += KEPT_SECONDS
+    parts.clock.time += SHARE_CACHE_TTL_SECONDS
     parts.ask_homes()
     assert [host for host, _ in parts.links.calls] == [NEAR]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,6 +1,6 @@
 import pytest
 
-from heathercleat.steering.process.capacity.registry import LAPSE_GRACE
+from heathercleat.steering.process.capacity.registry import LAPSE_GRACE_SECONDS
 from tests.steering_parts import Parts, entry
 
 
@@ -51,7 +51,7 @@
     parts = Parts([entry("t1"), entry("t2")])
     returned(parts)
     parts.registry.update([], ["t1"])
-    parts.clock.time += LAPSE_GRACE - 0.01
+    parts.clock.time += LAPSE_GRACE_SECONDS - 0.01
     parts.registry.expire()
     assert ids(parts) == ["t1", "t2"]
     parts.clock.time += 0.02
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -42,13 +42,13 @@
 
 def test_time_in_which_nobody_reads_a_signal_counts():
     clock = ManualClock()
-    came_at = clock.now()
+    received_at = clock.now()
 
     async def main():
         watch = SignalWatch(clock, SIGTERM)
         os.kill(os.getpid(), SIGTERM)
         clock.time += 0.5
         await watch.next()
-        return watch.came_at
+        return watch.received_at
 
-    assert run(main) == came_at
+    assert run(main) == received_at
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from heathercleat.process.capacity.shift import ShiftWindow
+from heathercleat.process.capacity.shift_window import ShiftWindow
 from heathercleat.process.capacity.slots import CANCEL_GRACE, Hold, SlotLedger
 from heathercleat.version.text import ShiftCap, Target
 from tests.fakes import ManualClock
@@ -80,10 +80,10 @@
 
     @precondition(lambda self: self.leases)
     @rule(data=st.data())
-    def give_back(self, data):
+    def return_lease(self, data):
         lease = data.draw(st.sampled_from(self.leases))
         self.leases.remove(lease)
-        self.ledger.give_back(lease.id)
+        self.ledger.return_lease(lease.id)
         self.note_foreign()
 
     @precondition(lambda self: self.uses)
--- a/tests/test_slow_targets.py
+++ b/tests/test_slow_targets.py
@@ -7,7 +7,7 @@
 from heathercleat.connection.messages import LeaseRequest
 from heathercleat.events import Event
 from heathercleat.process.capacity.admission import Admission
-from heathercleat.process.capacity.health import TRIAL_INTERVAL, HealthBoard
+from heathercleat.process.capacity.health import TRIAL_INTERVAL, HealthTracker
 from heathercleat.process.capacity.leases import LeaseGranter, LeaseHolder
 from heathercleat.process.capacity.slots import SlotLedger
 from heathercleat.process.membership.directory import Directory
@@ -39,7 +39,7 @@
         vm.text = parse_text(json.dumps(text))
         vm.local_homes = lambda service: []
         self.ledger = SlotLedger(self.clock)
-        self.health = HealthBoard(vm, self.ledger, self.clock)
+        self.health = HealthTracker(vm, self.ledger, self.clock)
         holder = LeaseHolder(vm, FakeLinks(), Directory(), self.clock)
         stalls = Stalls(self.clock)
         self.admission = Admission(
@@ -65,7 +65,7 @@
 
     def answer(self, name, seconds, times=30):
         for _ in range(times):
-            self.health.succeeded(self.targets[name], seconds)
+            self.health.record_success(self.targets[name], seconds)
 
     def place(self, seconds=5.0):
         """Return the target that a request goes to."""
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -2,16 +2,16 @@
 
 from heathercleat.steering.connection.forwarded import (
     pack_state,
-    read_state,
-    read_state_path,
+    parse_state_path,
     state_path,
+    unpack_state,
 )
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
 
 
 def test_table_is_the_same_after_its_way_between_vms():
     rows = [StoreRow("a", '{"slots": 3}', 4), StoreRow("b", None, 7)]
-    state = read_state(pack_state(Snapshot(9, rows, 7, {"c": 1.5})))
+    state = unpack_state(pack_state(Snapshot(9, rows, 7, {"c": 1.5})))
     assert (state.version, state.changed) == (9, 7)
     assert state.lapsing == {"c": 1.5}
     assert [(row.key, row.value, row.version) for row in state.rows] == [
@@ -22,18 +22,18 @@
 
 @pytest.mark.parametrize("is_whole", [True, False])
 def test_table_tells_whether_it_is_whole(is_whole):
-    state = read_state(pack_state(Snapshot(9, [], is_whole=is_whole)))
+    state = unpack_state(pack_state(Snapshot(9, [], is_whole=is_whole)))
     assert state.is_whole is is_whole
 
 
 def test_call_for_a_table_names_it_and_a_version():
-    assert read_state_path(state_path("servers", 17).encode()) == ("servers", 17)
+    assert parse_state_path(state_path("servers", 17).encode()) == ("servers", 17)
 
 
 @pytest.mark.parametrize("path", [b"/state/servers", b"/state/servers/x", b"/state/"])
 def test_call_for_a_table_without_a_version_is_an_error(path):
     with pytest.raises(ValueError):
-        read_state_path(path)
+        parse_state_path(path)
 
 
 def test_many_entries_are_sent_in_few_bytes():
@@ -45,4 +45,4 @@
 @pytest.mark.parametrize("body", [b"", b"not compressed", b"x\x9cbroken"])
 def test_broken_state_is_an_error(body):
     with pytest.raises(ValueError):
-        read_state(body)
+        unpack_state(body)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -2,29 +2,37 @@
 from curio import run
 
 from heathercleat import ResultCode
-from heathercleat.errors import CallerLeftError, RequestError
+from heathercleat.errors import CallerDisconnectedError, RequestError
 from heathercleat.steering.process.capacity.admission import Admission
-from heathercleat.steering.process.capacity.budget import RetryBudget
-from heathercleat.steering.process.capacity.losses import RegionLosses
-from heathercleat.steering.process.capacity.pressure import Pressure
-from heathercleat.steering.process.capacity.rooms import RoomView
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.loss_rates import LossRates
+from heathercleat.steering.process.capacity.region_loss_rates import RegionLossRates
+from heathercleat.steering.process.capacity.region_shift import RegionShiftLimit
+from heathercleat.steering.process.capacity.response_times import ResponseTimes
+from heathercleat.steering.process.capacity.retry_budget import RetryBudget
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.capacity.shift import ShiftLimit
-from heathercleat.steering.process.capacity.view import SUMMARY_LIFE, TargetView
-from heathercleat.steering.process.capacity.work import WorkTimes
-from heathercleat.steering.process.departure import Departure
+from heathercleat.steering.process.capacity.view import SUMMARY_TTL_SECONDS, TargetView
 from heathercleat.steering.process.quarantine.suspects import Suspects
-from heathercleat.steering.request.answer import NO_SLOT_IN_TIME, Answer, End, TryResult
+from heathercleat.steering.process.shutdown import Shutdown
+from heathercleat.steering.request.attempt_result import (
+    NO_SLOT_IN_TIME,
+    Answer,
+    AttemptOutcome,
+    AttemptResult,
+)
 from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.destinations import (
+    LARGE_BODY_BYTES,
+    DestinationSelector,
+)
+from heathercleat.steering.request.dispatch import Dispatcher
 from heathercleat.steering.request.estimates import Estimates
-from heathercleat.steering.request.places import LARGE_BODY, Places
 from heathercleat.steering.request.steer import (
-    FORWARDED_SLICE,
-    STALE_PATIENCE,
+    FORWARDED_RECHECK_SECONDS,
+    STALE_REPORT_WAIT_SECONDS,
     Steering,
 )
-from heathercleat.steering.request.tries import Tries
-from heathercleat.steering.version.routing import Kind
+from heathercleat.steering.version.routing import RequestKind
 from tests.steering_parts import Parts, beat, call, entry, route
 
 NO_SLOT = "no free slot"
@@ -53,15 +61,15 @@
 
 
 def answered(status=200, target="t1"):
-    return TryResult(End.ANSWERED, Answer(status, [], b""), target, 0.01)
+    return AttemptResult(AttemptOutcome.ANSWERED, Answer(status, [], b""), target, 0.01)
 
 
 def ended(end, target="t1", reason="why"):
-    return TryResult(end, target=target, reason=reason)
+    return AttemptResult(end, target=target, reason=reason)
 
 
 def no_slot():
-    return TryResult(End.NOT_SENT, reason=NO_SLOT, wait=0.01)
+    return AttemptResult(AttemptOutcome.NOT_SENT, reason=NO_SLOT, wait=0.01)
 
 
 class Scene:
@@ -73,12 +81,12 @@
         clock, members = self.parts.clock, self.parts.members
         self.local = ScriptedTry(clock, results)
         self.forward = ScriptedTry(clock, forwarded)
-        self.rooms = RoomView(clock)
-        self.shift = ShiftLimit(0.15, clock)
-        self.work_times = WorkTimes()
+        self.rooms = CapacityReports(clock)
+        self.shift = RegionShiftLimit(0.15, clock)
+        self.response_times = ResponseTimes()
         self.budget = RetryBudget(0.0, slack, 10.0, lambda: 1)
-        self.pressure = pressure = Pressure()
-        self.departure = Departure(RunTimes(clock), lambda: True)
+        self.pressure = pressure = LossRates()
+        self.shutdown = Shutdown(RunTimes(clock), lambda: True)
         parts = self.parts
         self.view = view = TargetView(
             members, parts.registry, parts.owners, parts.ledger, self.rooms
@@ -88,16 +96,16 @@
             Admission(parts.ledger, members.region_of, clock),
             self.rooms,
             lambda vm: 0.11,
-            self.work_times,
+            self.response_times,
             clock,
         )
-        losses = RegionLosses(members, self.rooms, pressure, clock)
-        self.places = places = Places(
+        losses = RegionLossRates(members, self.rooms, pressure, clock)
+        self.places = places = DestinationSelector(
             view, members, estimates, losses, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
         self.containment = Containment(self.suspects, clock)
-        tries = Tries(
+        tries = Dispatcher(
             self.local,
             self.forward,
             members,
@@ -110,9 +118,9 @@
             tries,
             self.shift,
             lambda service: self.budget,
-            self.work_times,
+            self.response_times,
             pressure,
-            self.departure,
+            self.shutdown,
             self.containment,
             self.parts.journal,
             clock,
@@ -121,7 +129,7 @@
     def run(self, made):
         return run(self.steering.run, made)
 
-    def call(self, kind=Kind.SAFE, **fields):
+    def call(self, kind=RequestKind.SAFE, **fields):
         return call(self.parts.clock, route(kind, **fields))
 
 
@@ -130,8 +138,8 @@
     assert scene.run(scene.call()).status == 404
 
 
-@pytest.mark.parametrize("kind", [Kind.UNSAFE, Kind.UPLOAD])
-@pytest.mark.parametrize("end", [End.UNKNOWN, End.TIMED_OUT])
+@pytest.mark.parametrize("kind", [RequestKind.UNSAFE, RequestKind.UPLOAD])
+@pytest.mark.parametrize("end", [AttemptOutcome.UNKNOWN, AttemptOutcome.TIMED_OUT])
 def test_request_that_may_have_run_is_not_sent_again(kind, end):
     scene = Scene([ended(end), answered()])
     with pytest.raises(RequestError) as caught:
@@ -141,20 +149,26 @@
     assert caught.value.retry_at is None
 
 
-@pytest.mark.parametrize("kind", list(Kind))
+@pytest.mark.parametrize("kind", list(RequestKind))
 def test_request_that_a_target_refused_is_sent_to_another(kind):
-    scene = Scene([ended(End.REFUSED, "t1"), answered(target="t2")])
+    scene = Scene([ended(AttemptOutcome.REFUSED, "t1"), answered(target="t2")])
     assert scene.run(scene.call(kind)).status == 200
     assert "t1" in scene.local.tried[1][1]
 
 
 def test_safe_request_without_an_answer_is_sent_again():
-    scene = Scene([ended(End.UNKNOWN), answered(target="t2")])
+    scene = Scene([ended(AttemptOutcome.UNKNOWN), answered(target="t2")])
     assert scene.run(scene.call()).status == 200
 
 
 def test_safe_request_runs_on_no_more_targets_than_its_route_allows():
-    scene = Scene([ended(End.UNKNOWN, "t1"), ended(End.UNKNOWN, "t2"), answered()])
+    scene = Scene(
+        [
+            ended(AttemptOutcome.UNKNOWN, "t1"),
+            ended(AttemptOutcome.UNKNOWN, "t2"),
+            answered(),
+        ]
+    )
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call(attempts=2))
     assert caught.value.code is ResultCode.ANSWER_LOST
@@ -167,23 +181,23 @@
 
 
 def test_without_budget_a_refused_request_is_given_back_as_not_run():
-    scene = Scene([ended(End.REFUSED), answered()], slack=0.0)
+    scene = Scene([ended(AttemptOutcome.REFUSED), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call(Kind.UNSAFE))
+        scene.run(scene.call(RequestKind.UNSAFE))
     assert caught.value.code is ResultCode.NO_ROOM
     assert caught.value.retry_at > scene.parts.clock.now()
     assert len(scene.local.tried) == 1
 
 
 def test_without_budget_a_safe_request_that_may_have_run_is_not_called_not_run():
-    scene = Scene([ended(End.UNKNOWN), answered()], slack=0.0)
+    scene = Scene([ended(AttemptOutcome.UNKNOWN), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
     assert caught.value.code is ResultCode.ANSWER_LOST
 
 
 def test_try_that_sent_nothing_costs_no_budget():
-    refused = ended(End.NOT_SENT, reason="connect")
+    refused = ended(AttemptOutcome.NOT_SENT, reason="connect")
     scene = Scene([refused, refused, answered(target="t3")], slack=0.0)
     assert scene.run(scene.call()).status == 200
 
@@ -197,14 +211,14 @@
 
 
 def test_request_without_hope_of_a_slot_is_refused_at_once():
-    hopeless = TryResult(End.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0)
+    hopeless = AttemptResult(AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0)
     scene = full_scene([hopeless] * 50)
     made = scene.call()
     with pytest.raises(RequestError) as caught:
         scene.run(made)
     assert caught.value.code is ResultCode.NO_ROOM
     assert caught.value.retry_at > scene.parts.clock.now()
-    assert scene.parts.clock.now() - made.arrived_at <= made.route.latency_aim / 4
+    assert scene.parts.clock.now() - made.arrived_at <= made.route.latency_objective / 4
 
 
 @pytest.mark.parametrize("returned", [True, False])
@@ -214,16 +228,16 @@
     made.returned = returned
     with pytest.raises(RequestError):
         scene.run(made)
-    assert made.aim_at < scene.parts.clock.now() <= made.deadline + 0.1
+    assert made.soft_deadline < scene.parts.clock.now() <= made.deadline + 0.1
 
 
 def test_request_of_a_client_that_left_is_not_sent_again():
     def leave(made):
         made.left = True
-        return ended(End.REFUSED)
+        return ended(AttemptOutcome.REFUSED)
 
     scene = Scene([leave, answered()])
-    with pytest.raises(CallerLeftError):
+    with pytest.raises(CallerDisconnectedError):
         scene.run(scene.call())
     assert len(scene.local.tried) == 1
 
@@ -232,7 +246,7 @@
     """A VM of the north whose own target is full, and a target in the south."""
     far = entry("t9", domain="south-a", slots=10)
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), far], forwarded)
-    scene.parts.members.heard(beat("vm-3", domain="south-a", region="south"))
+    scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
     (own,) = scene.parts.ledger.all()
     own.take(scene.parts.clock.now())
     scene.rooms.report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
@@ -243,7 +257,7 @@
 def test_owner_that_does_not_report_here_is_tried(sticky):
     """VMs that carry no requests get no reports, and still serve who comes to them."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
-    scene.parts.members.heard(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
     made = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
     assert scene.run(made).status == 200
     assert len(scene.forward.tried) == 1
@@ -270,7 +284,9 @@
 
 
 def test_vm_that_cannot_be_reached_is_not_asked_again():
-    scene = far_scene(10, [TryResult(End.NOT_SENT, reason="VM: refused")])
+    scene = far_scene(
+        10, [AttemptResult(AttemptOutcome.NOT_SENT, reason="VM: refused")]
+    )
     with pytest.raises(RequestError):
         scene.run(scene.call())
     assert len(scene.forward.tried) == 1
@@ -284,7 +300,7 @@
     target = scene.parts.ledger.get(home)
     while target.free(scene.parts.clock.now()):
         target.take(scene.parts.clock.now())
-    scene.parts.clock.time += SUMMARY_LIFE
+    scene.parts.clock.time += SUMMARY_TTL_SECONDS
     return scene, made, home
 
 
@@ -296,11 +312,11 @@
 
 def test_request_that_would_be_late_elsewhere_waits_for_its_home_first():
     scene, made, home = busy_home_scene()
-    made.home_until = scene.parts.clock.now() + 0.05
+    made.affinity_until = scene.parts.clock.now() + 0.05
     assert scene.places.free(made, set(), set()) is None
-    made.patient_until = made.home_until
+    made.give_up_at = made.affinity_until
     assert scene.places.waiting(made, set(), set()).preferred == (home,)
-    scene.parts.clock.time = made.home_until
+    scene.parts.clock.time = made.affinity_until
     assert scene.places.free(made, set(), set()).target not in (None, home)
 
 
@@ -309,12 +325,12 @@
     until = []
 
     def note(made):
-        until.append(made.home_until - made.arrived_at)
+        until.append(made.affinity_until - made.arrived_at)
         return answered()
 
     scene = Scene([note])
-    scene.work_times.observe("r1", 0.1, True)
-    scene.work_times.observe("r1", elsewhere, False)
+    scene.response_times.observe("r1", 0.1, True)
+    scene.response_times.observe("r1", elsewhere, False)
     scene.run(call(scene.parts.clock, route(sticky=True), affinity="/a"))
     assert (until[0] > 0.0) is waits
 
@@ -322,10 +338,10 @@
 def home_elsewhere_scene(forwarded):
     """A target of another VM, which reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
-    scene.parts.members.heard(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
     scene.rooms.report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
-    scene.work_times.observe("r1", 0.1, True)
-    scene.work_times.observe("r1", 0.5, False)
+    scene.response_times.observe("r1", 0.1, True)
+    scene.response_times.observe("r1", 0.5, False)
     return scene
 
 
@@ -338,35 +354,35 @@
     scene = home_elsewhere_scene([answered()])
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     scene.run(made)
-    assert waited(scene) == [made.home_until]
-    assert made.home_until - made.arrived_at > 2 * STALE_PATIENCE
+    assert waited(scene) == [made.affinity_until]
+    assert made.affinity_until - made.arrived_at > 2 * STALE_REPORT_WAIT_SECONDS
 
 
 def test_home_that_was_full_after_all_is_asked_once_a_slice():
     """A home with no room for 1 s: each send in vain carries the body again."""
     scene = home_elsewhere_scene([no_slot() for _ in range(20)])
-    scene.work_times.observe("r1", 5.0, False)
+    scene.response_times.observe("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    made.aim_at = made.deadline
+    made.soft_deadline = made.deadline
     with pytest.raises(RequestError):
         scene.run(made)
-    assert len(scene.forward.tried) <= 1.0 / FORWARDED_SLICE + 1
+    assert len(scene.forward.tried) <= 1.0 / FORWARDED_RECHECK_SECONDS + 1
 
 
 def test_request_without_a_home_does_not_wait_at_a_stale_report():
     scene = home_elsewhere_scene([answered()])
     made = call(scene.parts.clock, route())
     scene.run(made)
-    assert waited(scene) == [made.arrived_at + STALE_PATIENCE]
+    assert waited(scene) == [made.arrived_at + STALE_REPORT_WAIT_SECONDS]
 
 
-@pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY, 2)])
+@pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY_BYTES, 2)])
 def test_large_bodies_are_sent_less_often(size, most):
     scene = home_elsewhere_scene([no_slot() for _ in range(20)])
-    scene.work_times.observe("r1", 5.0, False)
+    scene.response_times.observe("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     made.body = b"x" * size
-    made.aim_at = made.deadline
+    made.soft_deadline = made.deadline
     with pytest.raises(RequestError):
         scene.run(made)
     assert 1 <= len(scene.forward.tried) <= most
--- a/tests/test_steering_stop.py
+++ b/tests/test_steering_stop.py
@@ -9,8 +9,8 @@
 from heathercleat.process.logs import Journal
 from heathercleat.steering.connection.client import ClientConnection
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.departure import Departure
 from heathercleat.steering.process.listeners import Listeners
+from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.version.routing import Limits
 from tests.fakes import ManualClock
 from tests.platform_samples import SETTINGS
@@ -24,7 +24,7 @@
     def __init__(self):
         self.clock = ManualClock()
         self.limits = Limits(16 << 10, 1 << 20, 3.0, 15.0)
-        self.departure = Departure(RunTimes(self.clock), lambda: True)
+        self.shutdown = Shutdown(RunTimes(self.clock), lambda: True)
         self.requests = 0
 
     @property
@@ -102,4 +102,4 @@
 
     client = run(main)
     assert client.recv(100) == b""
-    assert not made.busy
+    assert not made.is_busy
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -12,18 +12,18 @@
 )
 
 from heathercleat.process.logs import Journal
-from heathercleat.steering.process.quarantine.answers import ANSWERED_SECONDS
+from heathercleat.steering.process.quarantine.responses import EXEMPTION_SECONDS
 from heathercleat.steering.process.quarantine.rows import (
-    ROW_MARGIN,
+    ROW_RETENTION_SECONDS,
     decode_quarantine,
     encode_quarantine,
 )
-from heathercleat.steering.process.quarantine.suspect import MOST_ENDS, SuspectNews
+from heathercleat.steering.process.quarantine.suspect import MAX_CRASHES, SuspectUpdate
 from heathercleat.steering.process.quarantine.suspects import (
-    ENDS_TO_QUARANTINE,
-    LEAST_TOLD_SECONDS,
-    MOST_ENDS_TOLD,
-    MOST_SUSPECTS,
+    CRASHES_TO_QUARANTINE,
+    MAX_CRASHES_PER_HEARTBEAT,
+    MAX_SUSPECTS,
+    MIN_REMAINING_SECONDS,
     QUARANTINE_SECONDS,
     SUSPICION_SECONDS,
     Suspects,
@@ -45,7 +45,7 @@
 
 def tell(sender, receiver):
     for news in list(sender.news()):
-        receiver.told(SuspectNews.of(news.fields()))
+        receiver.told(SuspectUpdate.of(news.fields()))
 
 
 @pytest.mark.parametrize(("ends", "refused"), [(0, False), (2, False), (3, True)])
@@ -91,8 +91,8 @@
     clock = ManualClock()
     suspects, other = made(clock), made(clock)
     suspects.answered("f")
-    clock.time += ANSWERED_SECONDS / 2
-    end(other if told else suspects, ENDS_TO_QUARANTINE)
+    clock.time += EXEMPTION_SECONDS / 2
+    end(other if told else suspects, CRASHES_TO_QUARANTINE)
     tell(other, suspects)
     assert suspects.refused_until("f") is None
     tell(suspects, other)
@@ -103,8 +103,8 @@
     clock = ManualClock()
     suspects = made(clock)
     suspects.answered("f")
-    clock.time += ANSWERED_SECONDS + 0.1
-    end(suspects, ENDS_TO_QUARANTINE)
+    clock.time += EXEMPTION_SECONDS + 0.1
+    end(suspects, CRASHES_TO_QUARANTINE)
     assert suspects.refused_until("f") is not None
 
 
@@ -129,7 +129,7 @@
     clock = ManualClock()
     one, other = made(clock), made(clock)
     end(one, 2)
-    over = clock.time + SUSPICION_SECONDS + 2 * LEAST_TOLD_SECONDS
+    over = clock.time + SUSPICION_SECONDS + 2 * MIN_REMAINING_SECONDS
     while clock.time < over:
         # News is on its way for a while.
         told = list(one.news()), list(other.news())
@@ -145,16 +145,16 @@
 def test_request_under_which_two_targets_ended_is_left_to_its_caller():
     suspects = made()
     end(suspects, 1)
-    assert suspects.may_go_on("f")
+    assert suspects.may_retry("f")
     end(suspects, 2)
-    assert not suspects.may_go_on("f")
+    assert not suspects.may_retry("f")
 
 
 def test_memory_is_bounded_and_the_oldest_goes_first():
     suspects = made()
-    for number in range(MOST_SUSPECTS + 5):
+    for number in range(MAX_SUSPECTS + 5):
         suspects.ended(f"f{number}", "i-1")
-    assert suspects.count == MOST_SUSPECTS
+    assert suspects.count == MAX_SUSPECTS
     assert "f0" not in {each.fingerprint for each in suspects.all()}
 
 
@@ -163,7 +163,7 @@
     for number in range(200):
         end(suspects, 5, f"f{number}")
     told = list(suspects.news())
-    assert 0 < sum(len(news.ends) for news in told) <= MOST_ENDS_TOLD
+    assert 0 < sum(len(news.ends) for news in told) <= MAX_CRASHES_PER_HEARTBEAT
 
 
 def test_own_third_end_is_reported_once_and_a_told_one_is_not():
@@ -202,18 +202,18 @@
         ["f", -1.0, ["i-1"], []],
         ["f", 1.0, "i-1", []],
         ["f", 1.0, [1], []],
-        ["f", 1.0, ["i-1"] * (MOST_ENDS + 1), []],
+        ["f", 1.0, ["i-1"] * (MAX_CRASHES + 1), []],
     ],
 )
 def test_news_of_another_form_is_an_error(fields):
     with pytest.raises(ValueError):
-        SuspectNews.of(fields)
+        SuspectUpdate.of(fields)
 
 
 def test_told_time_is_bounded():
     clock = ManualClock()
     suspects = made(clock)
-    suspects.told(SuspectNews("f", float("inf"), LIVES[:3], []))
+    suspects.told(SuspectUpdate("f", float("inf"), LIVES[:3], []))
     assert suspects.refused_until("f") == clock.now() + QUARANTINE_SECONDS
 
 
@@ -226,7 +226,7 @@
     news = decode_quarantine(row, clock)
     assert (news.fingerprint, news.ends) == ("f", LIVES[:3])
     assert news.remaining == pytest.approx(QUARANTINE_SECONDS)
-    clock.time += QUARANTINE_SECONDS + 2 * ROW_MARGIN
+    clock.time += QUARANTINE_SECONDS + 2 * ROW_RETENTION_SECONDS
     assert decode_quarantine(row, clock) is None
 
 
@@ -291,7 +291,7 @@
         self.seen &= known
         self.vms[vm] = made(self.clock)
 
-    @rule(seconds=st.floats(0.1, 2 * ANSWERED_SECONDS))
+    @rule(seconds=st.floats(0.1, 2 * EXEMPTION_SECONDS))
     def wait(self, seconds):
         self.clock.time += seconds
 
@@ -312,7 +312,7 @@
         assert len({vm.digest for vm in self.vms}) == 1
         verdicts = {vm.refused_until("f") is None for vm in self.vms}
         assert len(verdicts) == 1
-        if len(self.seen) >= ENDS_TO_QUARANTINE and not self.answered:
+        if len(self.seen) >= CRASHES_TO_QUARANTINE and not self.answered:
             assert verdicts == {False}
 
 
@@ -339,14 +339,14 @@
 def test_vms_that_know_other_ends_of_too_many_agree():
     """Each kept those that it had learned first, and told the others for ever."""
     one, other = made(), made()
-    for number in range(MOST_ENDS):
+    for number in range(MAX_CRASHES):
         one.ended("f", f"i-{number}")
         other.ended("f", f"j-{number}")
     tell(one, other)
     tell(other, one)
     (here,), (there,) = one.all(), other.all()
     assert set(here.ends) == set(there.ends)
-    assert len(here.ends) == MOST_ENDS
+    assert len(here.ends) == MAX_CRASHES
 
 
 def test_random_order_of_news_comes_to_the_same_digest():
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -8,12 +8,12 @@
 from curio import run, sleep, spawn
 
 from heathercleat.steering.process.capacity.admission import Admission
+from heathercleat.steering.process.capacity.response_times import ResponseTimes
 from heathercleat.steering.process.capacity.run_times import RunTimes
-from heathercleat.steering.process.capacity.work import WorkTimes
-from heathercleat.steering.process.departure import Departure
 from heathercleat.steering.process.quarantine.suspects import Suspects
-from heathercleat.steering.request.answer import DEADLINE, End
-from heathercleat.steering.request.local import CONNECT_TIMEOUT, LocalTry
+from heathercleat.steering.process.shutdown import Shutdown
+from heathercleat.steering.request.attempt_result import DEADLINE, AttemptOutcome
+from heathercleat.steering.request.local import CONNECT_TIMEOUT_SECONDS, LocalDispatcher
 from standins.skewed import LONGEST_STEP, HeldClock
 from standins.steering_fleet import SteeringFleet
 from tests.steering_parts import Parts, call, entry
@@ -129,13 +129,13 @@
 
 
 def local_try(parts, pool):
-    return LocalTry(
+    return LocalDispatcher(
         Admission(parts.ledger, parts.members.region_of, parts.clock),
         parts.ledger,
         parts.registry,
         pool,
-        WorkTimes(),
-        Departure(RunTimes(parts.clock), lambda: True),
+        ResponseTimes(),
+        Shutdown(RunTimes(parts.clock), lambda: True),
         None,
         Suspects(parts.journal, parts.clock),
         parts.journal,
@@ -150,7 +150,7 @@
     local = local_try(parts, pool)
     (target,) = parts.ledger.all()
     request = call(parts.clock)
-    request.patient_until = request.deadline
+    request.give_up_at = request.deadline
 
     async def main():
         use = target.take(parts.clock.now())
@@ -161,21 +161,22 @@
         return await task.join()
 
     result = run(main)
-    assert (result.end, result.reason) == (End.NOT_SENT, DEADLINE)
+    assert (result.end, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE)
     assert pool.asked == 0
     assert target.limit(parts.clock.now()) == 1
 
 
 @pytest.mark.parametrize(
-    ("left", "rests"), [(CONNECT_TIMEOUT / 2, False), (2 * CONNECT_TIMEOUT, True)]
+    ("left", "rests"),
+    [(CONNECT_TIMEOUT_SECONDS / 2, False), (2 * CONNECT_TIMEOUT_SECONDS, True)],
 )
 def test_target_rests_only_if_it_had_its_time_to_accept(left, rests):
     parts = Parts([entry("t1", slots=1)])
-    pool = SlowPool(parts.clock, CONNECT_TIMEOUT)
+    pool = SlowPool(parts.clock, CONNECT_TIMEOUT_SECONDS)
     local = local_try(parts, pool)
     (target,) = parts.ledger.all()
     request = call(parts.clock)
     request.deadline = parts.clock.now() + left
     result = run(local.run, request, (), (), request.deadline)
-    assert result.end is End.NOT_SENT
+    assert result.end is AttemptOutcome.NOT_SENT
     assert (target.limit(parts.clock.now()) == 0) is rests
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -3,10 +3,14 @@
 
 from heathercleat.errors import PlatformError
 from heathercleat.events import Event
+from heathercleat.process.at_most_once.claims import (
+    BUCKET_SECONDS,
+    CLAIM_PREFIX,
+    Claims,
+)
+from heathercleat.process.at_most_once.deduplication import RETENTION
+from heathercleat.process.at_most_once.sweeper import BATCH_ROWS, ClaimSweeper
 from heathercleat.process.configuration.platform import VmEntry
-from heathercleat.process.once.claims import BUCKET_SECONDS, CLAIM_PREFIX, Claims
-from heathercleat.process.once.ledger import RETENTION
-from heathercleat.process.once.sweeper import BATCH_ROWS, ClaimSweeper
 from heathercleat.request.ticket import Ticket
 from tests.fakes import FakePlatform, FakeVm, ManualClock
 
--- a/tests/test_table_store.py
+++ b/tests/test_table_store.py
@@ -7,7 +7,7 @@
 from curio import run
 
 from heathercleat.errors import PlatformError
-from heathercleat.platform.store import PAGE_ROWS, TableStore
+from heathercleat.platform.store import PAGE_ROWS, TableStoreClient
 from heathercleat.process.clock import SystemClock
 from heathercleat.steering.process.settings import Address
 from heathercleat.steering.process.store.protocol import HistoryLostError
@@ -26,7 +26,7 @@
         command = [sys.executable, "-m", "standins.table_store"]
         processes.start("store", [*command, self.address.host, str(self.address.port)])
         wait_for(self._answers)
-        self.client = TableStore(self.address, SystemClock(), TIMEOUT)
+        self.client = TableStoreClient(self.address, SystemClock(), TIMEOUT)
 
     def _answers(self):
         try:
@@ -82,7 +82,7 @@
     for number in range(PAGE_ROWS + 1):
         store.put("servers", f"k{number:04}", {})
     store.switch(slow_s=0.5)
-    client = TableStore(store.address, SystemClock(), 10.0)
+    client = TableStoreClient(store.address, SystemClock(), 10.0)
     removal = Timer(0.75, store.put, ("servers", "k0000", None))
     removal.start()
     snapshot = play(client.read, "servers")
--- a/tests/test_target_departures.py
+++ b/tests/test_target_departures.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from heathercleat.steering.process.capacity.registry import LAPSE_GRACE
-from heathercleat.version.hashing import ranked
+from heathercleat.steering.process.capacity.registry import LAPSE_GRACE_SECONDS
+from heathercleat.version.hashing import rank_by_weight
 from standins.fleet import wait_for
 from standins.steering_fleet import SteeringFleet
 from tests.platform_samples import config
@@ -32,7 +32,7 @@
 }
 VMS = {domain: f"{domain}-1" for domain in DOMAINS}
 #: Of the three VMs of the north the one that is picked to read the store.
-RETURNING = ranked("reader", [VMS[each] for each in VMS if each[0] == "n"])[0]
+RETURNING = rank_by_weight("reader", [VMS[each] for each in VMS if each[0] == "n"])[0]
 TARGETS = {
     f"i-{domain}": ("s1", domain, 4) for domain in ("north-a", "north-b", "north-c")
 }
@@ -98,4 +98,4 @@
     returned_at = time.monotonic()
     sent = dict(send_until(fleet, vm, returned_at + SEND_SECONDS))
     reached = [sent[run[0]] - returned_at for run in fleet.record(lapsing)["runs"]]
-    assert LAPSE_GRACE / 2 < max(reached) < LAPSE_GRACE + SENT_SECONDS
+    assert LAPSE_GRACE_SECONDS / 2 < max(reached) < LAPSE_GRACE_SECONDS + SENT_SECONDS
--- a/tests/test_target_incarnations.py
+++ b/tests/test_target_incarnations.py
@@ -92,7 +92,7 @@
     parts = Parts([entry("t1", slots=2, started_ms=1000)])
     former = parts.ledger.get("t1")
     use = former.take(parts.clock.now())
-    former.health.rest(parts.clock.now())
+    former.health.eject(parts.clock.now())
     parts.registry.update([entry("t1", slots=2, started_ms=2000)], [])
     target = parts.ledger.get("t1")
     assert target.free(parts.clock.now()) == 2
--- a/tests/test_target_rows.py
+++ b/tests/test_target_rows.py
@@ -11,10 +11,10 @@
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.store.member_rows import decode_member, encode_member
 from heathercleat.steering.process.store.protocol import StoreRow
-from heathercleat.steering.process.store.rejections import (
-    MOST_LINES,
-    WINDOW,
-    Rejections,
+from heathercleat.steering.process.store.rejected_rows import (
+    MAX_LINES_PER_WINDOW,
+    WINDOW_SECONDS,
+    RejectedRowLog,
 )
 from tests.fakes import ManualClock
 from tests.platform_samples import target
@@ -181,11 +181,11 @@
 
 def test_writer_that_repeats_itself_does_not_fill_the_log():
     lines, clock = Lines(), ManualClock()
-    rejections = Rejections(Journal("vm-1", "north-a", lines), clock)
-    for number in range(10 * MOST_LINES):
+    rejections = RejectedRowLog(Journal("vm-1", "north-a", lines), clock)
+    for number in range(10 * MAX_LINES_PER_WINDOW):
         rejections.note(f"i-{number}", HeathercleatError)
-    assert len(lines.fields) == MOST_LINES
-    clock.time += WINDOW
+    assert len(lines.fields) == MAX_LINES_PER_WINDOW
+    clock.time += WINDOW_SECONDS
     rejections.note("i-1" * 1000, ValueError("x" * 1000))
-    assert lines.fields[-1]["left_out"] == 9 * MOST_LINES
+    assert lines.fields[-1]["left_out"] == 9 * MAX_LINES_PER_WINDOW
     assert len(lines.fields[-1]["key"]) + len(lines.fields[-1]["reason"]) < 500
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -1,12 +1,15 @@
 import pytest
 
-from heathercleat.steering.process.capacity.losses import LIFE, RegionLosses
-from heathercleat.steering.process.capacity.pressure import Pressure
-from heathercleat.steering.process.capacity.rooms import RoomView
+from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
+from heathercleat.steering.process.capacity.loss_rates import LossRates
+from heathercleat.steering.process.capacity.region_loss_rates import (
+    CACHE_TTL_SECONDS,
+    RegionLossRates,
+)
 from heathercleat.steering.process.capacity.view import (
-    MOST_OBJECTS,
-    MOST_RANKED,
-    SUMMARY_LIFE,
+    MAX_OBJECTS,
+    MAX_RANKED_TARGETS,
+    SUMMARY_TTL_SECONDS,
     RegionTargets,
     TargetView,
 )
@@ -21,8 +24,10 @@
     def __init__(self, own=3):
         entries = [entry(f"t{number}", slots=4) for number in range(own)]
         self.parts = Parts([*entries, entry("far", domain="south-a", slots=4)])
-        self.parts.members.heard(beat("vm-3", domain="south-a", region="south"))
-        self.rooms = RoomView(self.parts.clock)
+        self.parts.members.record_heartbeat(
+            beat("vm-3", domain="south-a", region="south")
+        )
+        self.rooms = CapacityReports(self.parts.clock)
         self.view = TargetView(
             self.parts.members,
             self.parts.registry,
@@ -68,29 +73,29 @@
 def test_room_of_another_owner_follows_its_reports():
     scene = Scene()
     (far,) = scene.region("south").candidates
-    assert far.room.free(scene.now) == 0
+    assert far.capacity.free(scene.now) == 0
     scene.report(3)
-    assert far.room.free(scene.now) == 3
+    assert far.capacity.free(scene.now) == 3
     scene.parts.clock.time += 10.0
-    assert far.room.free(scene.now) == 0
+    assert far.capacity.free(scene.now) == 0
 
 
 def test_requests_sent_count_until_the_next_report():
     scene = Scene()
     (far,) = scene.region("south").candidates
     scene.report(1)
-    far.room.take()
-    assert far.room.free(scene.now) == 0
-    far.room.give_back()
-    assert far.room.free(scene.now) == 1
+    far.capacity.take()
+    assert far.capacity.free(scene.now) == 0
+    far.capacity.release()
+    assert far.capacity.free(scene.now) == 1
 
 
 def test_owner_without_room_counts_as_full():
     scene = Scene()
     (far,) = scene.region("south").candidates
     scene.report(2)
-    scene.rooms.full("far", "vm-3", "s1", 0.4)
-    assert far.room.free(scene.now) == 0
+    scene.rooms.record_full("far", "vm-3", "s1", 0.4)
+    assert far.capacity.free(scene.now) == 0
     assert scene.rooms.waits("vm-3", "s1").early == 0.4
 
 
@@ -101,17 +106,17 @@
     assert scene.rooms.waits("vm-3", "s1").early == 0.2
     scene.rooms.keep({"vm-4"})
     assert scene.rooms.waits("vm-3", "s1") is None
-    assert scene.rooms.loss("vm-3", "s1") is None
+    assert scene.rooms.loss_rate("vm-3", "s1") is None
 
 
 def test_targets_of_owners_that_do_not_report_count_in_no_sum():
     scene = Scene()
     summary = scene.region("south").summary(scene.now)
-    assert (summary.targets, summary.sound, summary.slots) == (1, 0, 0)
+    assert (summary.targets, summary.healthy, summary.slots) == (1, 0, 0)
     scene.report(3)
-    scene.parts.clock.time += SUMMARY_LIFE
+    scene.parts.clock.time += SUMMARY_TTL_SECONDS
     summary = scene.region("south").summary(scene.now)
-    assert (summary.targets, summary.sound, summary.slots) == (1, 1, 4)
+    assert (summary.targets, summary.healthy, summary.slots) == (1, 1, 4)
 
 
 @pytest.mark.parametrize("change", ["target", "vm"])
@@ -123,14 +128,14 @@
         assert "south" not in scene.view.regions("s1")
     else:
         gone = beat("vm-3", domain="south-a", region="south", serving=False)
-        scene.parts.members.heard(gone)
+        scene.parts.members.record_heartbeat(gone)
         assert scene.region("south").owners == ["vm-1"]
 
 
 def test_summary_tells_free_and_idle_slots():
     scene = Scene()
     summary = scene.region("north").summary(scene.now)
-    assert (summary.targets, summary.sound, summary.slots, summary.free) == (
+    assert (summary.targets, summary.healthy, summary.slots, summary.free) == (
         3,
         3,
         12,
@@ -139,60 +144,64 @@
     assert summary.idle
     scene.take_all()
     assert scene.region("north").summary(scene.now).free == 12
-    scene.parts.clock.time += SUMMARY_LIFE
+    scene.parts.clock.time += SUMMARY_TTL_SECONDS
     summary = scene.region("north").summary(scene.now)
     assert (summary.free, summary.idle) == (0, False)
 
 
 def test_home_of_an_object_stays_the_same():
     scene = Scene(own=20)
-    first = ids(scene.region("north").homes("/a", 1, ANY, scene.now))
+    first = ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now))
     scene.take_all()
-    assert ids(scene.region("north").homes("/a", 1, ANY, scene.now)) == first
+    assert ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now)) == first
 
 
 def test_homes_of_objects_are_spread():
     region = Scene(own=8).region("north")
-    homes = {ids(region.homes(f"/{each}", 1, ANY, 0.0))[0] for each in range(100)}
-    assert len(homes) == 8
+    affinity_targets = {
+        ids(region.affinity_targets(f"/{each}", 1, ANY, 0.0))[0] for each in range(100)
+    }
+    assert len(affinity_targets) == 8
 
 
 def test_next_target_is_home_while_the_first_ones_are_not_usable():
-    region = Scene(own=MOST_RANKED + 3).region("north")
+    region = Scene(own=MAX_RANKED_TARGETS + 3).region("north")
     order = []
-    for _ in range(MOST_RANKED + 3):
-        (home,) = region.homes("/a", 1, lambda each: each not in order, 0.0)
+    for _ in range(MAX_RANKED_TARGETS + 3):
+        (home,) = region.affinity_targets("/a", 1, lambda each: each not in order, 0.0)
         order.append(home)
-    assert len(set(ids(order))) == MOST_RANKED + 3
-    assert region.homes("/a", 1, lambda each: each not in order, 0.0) == []
+    assert len(set(ids(order))) == MAX_RANKED_TARGETS + 3
+    assert region.affinity_targets("/a", 1, lambda each: each not in order, 0.0) == []
 
 
 def test_resting_target_is_no_home():
     scene = Scene(own=2)
     region = scene.region("north")
-    (home,) = region.homes("/a", 1, ANY, scene.now)
-    home.room.health.rest_until = scene.now + 5.0
-    (other,) = region.homes("/a", 1, ANY, scene.now)
+    (home,) = region.affinity_targets("/a", 1, ANY, scene.now)
+    home.capacity.health.ejected_until = scene.now + 5.0
+    (other,) = region.affinity_targets("/a", 1, ANY, scene.now)
     assert other is not home
 
 
 def test_number_of_remembered_objects_is_bounded():
     region = Scene().region("north")
-    for each in range(MOST_OBJECTS + 1):
-        region.homes(f"/{each}", 1, ANY, 0.0)
+    for each in range(MAX_OBJECTS + 1):
+        region.affinity_targets(f"/{each}", 1, ANY, 0.0)
     assert len(region._ranked) == 1
 
 
 def test_losses_are_means_over_the_vms_of_a_region():
     scene = Scene()
-    pressure = Pressure()
-    losses = RegionLosses(scene.parts.members, scene.rooms, pressure, scene.parts.clock)
-    scene.parts.members.heard(beat("vm-4", domain="south-a", region="south"))
+    pressure = LossRates()
+    losses = RegionLossRates(
+        scene.parts.members, scene.rooms, pressure, scene.parts.clock
+    )
+    scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
     scene.rooms.report("vm-3", [], [], [["s1", 0.2]])
     scene.rooms.report("vm-4", [], [], [["s1", 0.6]])
     assert losses.of("south", "s1") == pytest.approx(0.4)
     assert losses.of("north", "s1") == 0.0
-    scene.parts.members.heard(beat("vm-5", domain="south-a", region="south"))
-    scene.parts.clock.time += LIFE
+    scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
+    scene.parts.clock.time += CACHE_TTL_SECONDS
     assert losses.of("south", "s1") == pytest.approx(0.4)
     assert losses.of("nowhere", "s1") == 1.0
--- a/tests/test_transition.py
+++ b/tests/test_transition.py
@@ -3,7 +3,10 @@
 import pytest
 
 from heathercleat import parse_text
-from heathercleat.version.transition import SPREAD_SECONDS, Transition
+from heathercleat.version.version_transition import (
+    PROPAGATION_SECONDS,
+    VersionTransition,
+)
 from tests.test_text import make_text
 
 NOW = 100.0
@@ -40,7 +43,7 @@
 
 
 def follow(*texts):
-    transition = Transition()
+    transition = VersionTransition()
     for text in texts:
         transition.follow(text, NOW)
     return transition
@@ -80,8 +83,8 @@
 
 def test_later_limits_hold_once_the_version_is_in_force_everywhere():
     transition = follow(make_version(), make_version(limit=12, slots=(6, 6)))
-    assert not transition.settle(NOW + SPREAD_SECONDS - 1)
-    assert transition.settle(NOW + SPREAD_SECONDS)
+    assert not transition.expire_superseded(NOW + PROPAGATION_SECONDS - 1)
+    assert transition.expire_superseded(NOW + PROPAGATION_SECONDS)
     assert [target.limit for target in targets_of(transition).values()] == [6, 6]
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from heathercleat.steering.process.capacity.admission import SLACK
+from heathercleat.steering.process.capacity.admission import WAIT_TOLERANCE_SECONDS
 from heathercleat.steering.process.capacity.queue import ServiceQueue, Waiter
 from tests.steering_parts import Parts, call, entry
 
@@ -68,31 +68,33 @@
             now, _, use, made = heappop(self.ends)
             self.parts.clock.time = now
             self.parts.ledger.release(use)
-            self.queue.observe(now - use.began_at)
+            self.queue.record_hold(now - use.started_at)
             self.give_up(now)
-            self.queue.observe_turn(self.target.entry, 1, now)
-            in_time = now <= made.aim_at
+            self.queue.record_free_slot(self.target.entry, 1, now)
+            in_time = now <= made.soft_deadline
             self.outcomes.in_time += in_time
             self.outcomes.late += not in_time
             self.fill()
 
     def arrive(self):
         made = call(self.parts.clock)
-        made.aim_at = made.arrived_at + AIM
+        made.soft_deadline = made.arrived_at + AIM
         made.deadline = made.arrived_at + DEADLINE
-        made.patient_until = made.arrived_at + self.patience
+        made.give_up_at = made.arrived_at + self.patience
         now = made.arrived_at
         if not self.target.free(now):
-            waits = self.queue.waits(SLOTS, now, self.queue.late_before(made, now))
-            wait = waits.of(made, now, self.queue.mean_hold)
-            if now + wait > made.patient_until + SLACK:
+            waits = self.queue.waits(
+                SLOTS, now, self.queue.count_late_before(made, now)
+            )
+            wait = waits.of(made, now, self.queue.mean_hold_seconds)
+            if now + wait > made.give_up_at + WAIT_TOLERANCE_SECONDS:
                 self.outcomes.refused.append(0.0)
                 return
         self.queue.waiters.append(Waiter(made, (), (), str))
 
     def give_up(self, now):
         for waiter in list(self.queue.waiters):
-            if now > waiter.call.patient_until:
+            if now > waiter.call.give_up_at:
                 self.queue.waiters.remove(waiter)
                 self.outcomes.in_vain += 1
 
