--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -23,8 +23,8 @@
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
-    :param is_time_short: returns whether requests of some route that start at an instant
-        may not complete before this process exits.
+    :param is_time_short: returns whether requests of some route that start at an
+        instant may not complete before this process exits.
     """
 
     def __init__(self, members, owners, is_time_short):
@@ -43,8 +43,8 @@
     def begin(self, now, keep_alive_until, ends_at):
         """Start the handover.
 
-        :param keep_alive_until: instant until which clients with an old lookup result may
-            still connect.
+        :param keep_alive_until: instant until which clients with an old lookup result
+            may still connect.
         :param ends_at: instant at which this process exits.
         """
         self._quiet_since = now
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -32,8 +32,8 @@
     :param losses: see :meth:`CapacityReports.report`.
     :param held: see :meth:`HeldSlots.report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
-    :param suspects: the fields of each :class:`SuspectUpdate`; empty if the receiver has
-        the same digest.
+    :param suspects: the fields of each :class:`SuspectUpdate`; empty if the receiver
+        has the same digest.
     """
 
     __slots__ = (
--- a/src/heathercleat/steering/process/moving_average.py
+++ b/src/heathercleat/steering/process/moving_average.py
@@ -2,10 +2,10 @@
 
 
 def update_moving_average(means, key, value, weight):
-    """Update the average of a key with a value, in place.
+    """Move the mean of a key towards a value; the first value is the mean.
 
-    :param means: the averages by key; a new key starts at ``value``.
-    :param weight: weight of the new value, 0 to 1.
+    :param means: the mean of each key, changed in place.
+    :param weight: weight of the newest value, 0 to 1.
     """
     mean = means.get(key, value)
     means[key] = mean + weight * (value - mean)
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -63,7 +63,7 @@
         await sleep(0.005)
 
 
-@pytest.mark.parametrize("name", ["deadline", "send_by"])
+@pytest.mark.parametrize("name", ["deadline", "send_deadline"])
 def test_slow_body_does_not_lengthen_the_time_of_a_request(name):
     owner = Owner()
     until = owner.clock.now() + 4.0
