--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -1,17 +1,17 @@
-"""Retry-After instants for refused clients."""
+"""When a refused client may retry."""
 
 from random import uniform
 
-#: Longest retry delay that clients honour, as a fraction of their remaining time.
+#: Part of a client's remaining time that its retry delay takes at most.
 RETURN_SHARE = 0.3
 
 
 def compute_retry_at(call, mean, now):
     """Return the instant from which a refused client may retry.
 
-    The delay has random jitter, so that clients refused together do not retry together.
+    Jitter spreads the retries of clients that are refused together.
 
-    :param mean: expected seconds until capacity is available.
+    :param mean: seconds after which there is room, as far as is known.
     """
     longest = RETURN_SHARE * max(0.0, call.deadline - now)
     return now + min(longest, uniform(0.5, 1.5) * mean)
