--- a/src/heathercleat/steering/process/active_requests.py
+++ b/src/heathercleat/steering/process/active_requests.py
@@ -5,9 +5,9 @@
 from curio import sleep
 
 #: Seconds between two checks; one task checks all requests.
-INTERVAL = 0.08
+CHECK_SECONDS = 0.08
 #: The same while no request is in progress.
-IDLE_INTERVAL = 0.25
+IDLE_CHECK_SECONDS = 0.25
 
 
 class ActiveRequests:
@@ -42,4 +42,4 @@
                     call.left = True
                     if call.on_leave is not None:
                         await call.on_leave.interrupt()
-            await sleep(INTERVAL if self._calls else IDLE_INTERVAL)
+            await sleep(CHECK_SECONDS if self._calls else IDLE_CHECK_SECONDS)
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -16,7 +16,7 @@
 #: within this time.
 START_SECONDS = 5.0
 #: Minimum VMs in the client's failure domain for leaving out the rest of its region.
-ENOUGH = 2
+MIN_DOMAIN_VMS = 2
 #: Maximum share of a region's clients for one VM, as a multiple of an even share, so
 #: that the first restarted VMs of a failure domain do not get all of its clients.
 MAX_OVER_SHARE = 2.0
@@ -38,14 +38,14 @@
     :param members: the :class:`Members`.
     :param regions: the region of each failure domain.
     :param port: the port on which every VM accepts client requests.
-    :param longest_ttl: maximum TTL of a lookup, in seconds.
+    :param max_ttl: maximum TTL of a lookup, in seconds.
     """
 
-    def __init__(self, members, regions, port, longest_ttl, clock):
+    def __init__(self, members, regions, port, max_ttl, clock):
         self._members = members
         self._domains = Counter(regions.values())
         self._port = port
-        self._longest_ttl = longest_ttl
+        self._max_ttl = max_ttl
         self._clock = clock
         self._started_until = clock.now() + START_SECONDS
 
@@ -56,34 +56,36 @@
         clients treat an empty result as a failed lookup.
         """
         active = self._members.active()
-        named = active or self._members.leaving()
-        near = [each for each in named if each.region == region]
-        here = [each for each in near if each.failure_domain == failure_domain]
-        chosen = self._choose(here, near, self._domains[region]) or named
+        candidates = active or self._members.leaving()
+        in_region = [each for each in candidates if each.region == region]
+        in_domain = [
+            each for each in in_region if each.failure_domain == failure_domain
+        ]
+        chosen = self._select(in_domain, in_region, self._domains[region]) or candidates
         if len(chosen) > MAX_ADDRESSES:
             chosen = sample(chosen, MAX_ADDRESSES)
         addresses = [f"{each.ip}:{self._port}" for each in chosen]
-        return Lookup(addresses, min(self._ttl(), self._longest_ttl))
+        return Lookup(addresses, min(self._ttl(), self._max_ttl))
 
     def _ttl(self):
         just_started = self._clock.now() < self._started_until
-        stays = self._members.own.serving and not just_started
-        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS
+        is_stable = self._members.own.serving and not just_started
+        return LOOKUP_TTL if is_stable else SHORT_LOOKUP_TTL_SECONDS
 
-    def _choose(self, here, near, domains):
+    def _select(self, in_domain, in_region, domains):
         """Return the VMs to list, those of the client's failure domain first.
 
         Other VMs of the region are added as needed to keep each VM's load within
         :data:`MAX_OVER_SHARE`, assuming equally many clients in each failure domain.
 
-        :param here: the VMs of the client's failure domain.
-        :param near: the VMs of its region.
+        :param in_domain: the VMs of the client's failure domain.
+        :param in_region: the VMs of its region.
         :param domains: the number of failure domains of the region.
         """
-        if len(here) < ENOUGH:
-            return near
-        least = ceil(len(near) / (domains * MAX_OVER_SHARE))
-        if len(here) >= least:
-            return here
-        others = [each for each in near if each not in here]
-        return here + sample(others, least - len(here))
+        if len(in_domain) < MIN_DOMAIN_VMS:
+            return in_region
+        min_count = ceil(len(in_region) / (domains * MAX_OVER_SHARE))
+        if len(in_domain) >= min_count:
+            return in_domain
+        others = [each for each in in_region if each not in in_domain]
+        return in_domain + sample(others, min_count - len(in_domain))
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -7,9 +7,9 @@
 QUIET_SECONDS = 0.4
 #: Minimum difference between the stop times of two VMs, in seconds. Three heartbeat
 #: intervals, so that two VMs never both consider the other one to stop later.
-LATER_SECONDS = 0.45
+MIN_STOP_DIFFERENCE_SECONDS = 0.45
 #: Seconds before the process exits by which it must have released all targets.
-LEAST_RUN = 1.5
+RELEASE_MARGIN_SECONDS = 1.5
 
 
 class Handover:
@@ -30,13 +30,13 @@
     def __init__(self, members, owners, is_time_short):
         self._members = members
         self._owners = owners
-        self._is_short = is_time_short
-        self._keeps_until = 0.0
-        self._last_start_at = 0.0
-        self._quiet_since = 0.0
+        self._is_time_short = is_time_short
+        self._keep_alive_until = 0.0
+        self._release_deadline = 0.0
+        self._idle_since = 0.0
 
     @property
-    def is_over(self):
+    def has_released(self):
         """Return whether this VM owns no targets."""
         return not self._owners.owned()
 
@@ -47,9 +47,9 @@
             may still connect.
         :param ends_at: instant at which this process exits.
         """
-        self._quiet_since = now
-        self._keeps_until = keep_alive_until
-        self._last_start_at = ends_at - LEAST_RUN
+        self._idle_since = now
+        self._keep_alive_until = keep_alive_until
+        self._release_deadline = ends_at - RELEASE_MARGIN_SECONDS
 
     def check(self, now, has_clients):
         """Release all targets permanently once the conditions are met.
@@ -57,25 +57,27 @@
         :param has_clients: whether requests of this VM's own clients are in progress.
         """
         if has_clients:
-            self._quiet_since = now
-        if self.is_over:
+            self._idle_since = now
+        if self.has_released:
             return
-        if now >= self._last_start_at or self._is_relieved(now):
+        if now >= self._release_deadline or self._can_hand_over(now):
             self._members.finish()
 
-    def _is_relieved(self, now):
+    def _can_hand_over(self, now):
         """Return whether another leaving VM of the region should own the targets."""
         own = self._members.own
-        near = [each for each in self._members.leaving() if each.region == own.region]
-        if self._is_short(now) and any(map(self._has_more_time, near)):
+        in_region = [
+            each for each in self._members.leaving() if each.region == own.region
+        ]
+        if self._is_time_short(now) and any(map(self._stops_later, in_region)):
             return True
-        last = rank_by_weight("last to leave", [each.vm for each in near])[0]
-        return self._may_go(now) and last != own.vm
+        keeper = rank_by_weight("last to leave", [each.vm for each in in_region])[0]
+        return self._is_idle(now) and keeper != own.vm
 
-    def _has_more_time(self, member):
+    def _stops_later(self, member):
         own = self._members.own
-        return member.stops_since > own.stops_since + LATER_SECONDS
+        return member.stops_since > own.stops_since + MIN_STOP_DIFFERENCE_SECONDS
 
-    def _may_go(self, now):
-        is_quiet = now - self._quiet_since >= QUIET_SECONDS
-        return is_quiet and now >= self._keeps_until
+    def _is_idle(self, now):
+        has_no_clients = now - self._idle_since >= QUIET_SECONDS
+        return has_no_clients and now >= self._keep_alive_until
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -11,7 +11,7 @@
 
 #: Listen backlog, large enough for all clients of a failed VM reconnecting at once.
 BACKLOG = 1024
-MAX_ENTRY_BYTES = 1 << 16
+MAX_ENDPOINT_REQUEST_BYTES = 1 << 16
 
 
 class Listeners:
@@ -47,7 +47,7 @@
         self._journal = journal
         self._clock = clock
         self._clients = set()
-        self._closing = False
+        self._is_closing = False
 
     @property
     def is_busy(self):
@@ -64,7 +64,7 @@
 
         A request accepted just before the process exits could not complete.
         """
-        self._closing = True
+        self._is_closing = True
         self.close_idle()
 
     def close_idle(self):
@@ -74,27 +74,27 @@
 
     async def start(self, group):
         """Start to accept connections, in tasks of ``group``."""
-        for address, serve in self._places():
+        for address, serve in self._endpoints():
             await group.spawn(_listen, address, serve)
 
-    def _places(self):
+    def _endpoints(self):
         """Yield each listening address and its connection handler."""
         settings = self._settings
         yield settings.front, self._serve_client
-        yield settings.ready, self._serve_entry
+        yield settings.ready, self._serve_endpoint
         if str(settings.directory) != str(settings.ready):
-            yield settings.directory, self._serve_entry
+            yield settings.directory, self._serve_endpoint
         yield settings.internal_address(settings.forward_port), self._serve_forwarded
         if self._metrics_port is not None:
             yield settings.internal_address(self._metrics_port), self._serve_metrics
 
     async def _serve_client(self, sock, address):
-        if self._closing:
+        if self._is_closing:
             return
         connection = ClientConnection(sock, self._node)
         self._clients.add(connection)
         try:
-            await self._guard(connection)
+            await self._serve_logging_errors(connection)
         finally:
             self._clients.discard(connection)
 
@@ -102,9 +102,9 @@
         connection = ForwardedConnection(
             sock, self._local, self._node.active_requests, self._snapshot, self._clock
         )
-        await self._guard(connection)
+        await self._serve_logging_errors(connection)
 
-    async def _guard(self, connection):
+    async def _serve_logging_errors(self, connection):
         """Serve a connection; log any error without affecting other connections."""
         try:
             await connection.serve()
@@ -113,19 +113,23 @@
                 Event.TASK_FAILED, task=type(connection).__name__, reason=repr(error)
             )
 
-    async def _serve_entry(self, sock, address):
+    async def _serve_endpoint(self, sock, address):
         async def handle(message):
             return handle_platform_request(
                 message, lambda: self._node.ready, self._directory.lookup
             )
 
-        await serve_messages(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
+        await serve_messages(
+            HttpStream(sock, h11.SERVER), handle, MAX_ENDPOINT_REQUEST_BYTES
+        )
 
     async def _serve_metrics(self, sock, address):
         async def handle(message):
             return Message(body=self._metrics.render())
 
-        await serve_messages(HttpStream(sock, h11.SERVER), handle, MAX_ENTRY_BYTES)
+        await serve_messages(
+            HttpStream(sock, h11.SERVER), handle, MAX_ENDPOINT_REQUEST_BYTES
+        )
 
 
 async def _listen(address, serve):
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -93,7 +93,7 @@
             if until > now
         }
         carries = self._own in active
-        picked = live if self._is_mesh else self._choose(others, carries)
+        picked = live if self._is_mesh else self._select(others, carries)
         self._since = {each.vm: self._since.get(each.vm, now) for each in picked}
 
     def _set_mesh(self, is_mesh):
@@ -101,7 +101,7 @@
             self._mesh_since = self._clock.now()
         self._is_mesh = is_mesh
 
-    def _choose(self, others, carries):
+    def _select(self, others, carries):
         near, far = [], []
         for each in others:
             (near if each.region == self._own.region else far).append(each)
--- a/src/heathercleat/steering/process/metrics.py
+++ b/src/heathercleat/steering/process/metrics.py
@@ -16,7 +16,7 @@
     def __init__(self, read_gauges):
         self._read_gauges = read_gauges
         self._requests = {}
-        self._seconds = {}
+        self._latencies = {}
 
     def count(self, route, result, seconds):
         """Count a finished request.
@@ -25,9 +25,9 @@
         """
         key = route, result
         self._requests[key] = self._requests.get(key, 0) + 1
-        latencies = self._seconds.get(route)
+        latencies = self._latencies.get(route)
         if latencies is None:
-            latencies = self._seconds[route] = LatencyHistogram()
+            latencies = self._latencies[route] = LatencyHistogram()
         latencies.observe(seconds)
 
     def collect(self):
@@ -51,7 +51,7 @@
             "Seconds from the head of a request to its final answer",
             labels=("route",),
         )
-        for route, latencies in self._seconds.items():
+        for route, latencies in self._latencies.items():
             seconds.add_metric((route,), latencies.buckets(), latencies.sum)
         yield seconds
         state = GaugeMetricFamily(
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -59,20 +59,20 @@
 from heathercleat.steering.version.split import Splitter
 
 #: Limits on clients until the first configuration is loaded.
-FIRST_LIMITS = Limits(16 << 10, 64 << 20, 3.0, 15.0)
+INITIAL_LIMITS = Limits(16 << 10, 64 << 20, 3.0, 15.0)
 #: Idle timeout of connections to targets and other VMs, in seconds.
-IDLE_SECONDS = 8.0
+IDLE_TIMEOUT_SECONDS = 8.0
 #: Seconds between checks for freed slots and expired targets.
-UPKEEP_INTERVAL = 0.05
+MAINTENANCE_SECONDS = 0.05
 #: Seconds between checks for slow targets, expired suspects and idle connections.
-JUDGE_INTERVAL = 0.5
-#: Replaces ``UPKEEP_INTERVAL`` on a VM without owned or lapsing targets.
-IDLE_UPKEEP_INTERVAL = 0.25
-SUMMARY_INTERVAL = 5.0
+SLOW_CHECK_SECONDS = 0.5
+#: Replaces ``MAINTENANCE_SECONDS`` on a VM without owned or lapsing targets.
+IDLE_MAINTENANCE_SECONDS = 0.25
+SUMMARY_SECONDS = 5.0
 #: Seconds before a failed loop is restarted.
-RESTART_PAUSE = 0.05
+RESTART_DELAY_SECONDS = 0.05
 #: Seconds between checks whether a leaving VM has finished its requests.
-LEAVING_INTERVAL = 0.05
+SHUTDOWN_CHECK_SECONDS = 0.05
 
 
 class SteeringNode:
@@ -97,13 +97,13 @@
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(settings.memory)
         # In order of dependency.
-        self._build_beliefs()
+        self._build_state()
         self._build_store()
         self._build_gossip()
         self._build_steering()
-        self._build_edges()
+        self._build_listeners()
 
-    def _build_beliefs(self):
+    def _build_state(self):
         """Build the state of VMs, targets and requests."""
         settings, journal, clock = self._settings, self._journal, self.clock
         # Wall-clock time, used only to tell incarnations of this VM apart.
@@ -111,22 +111,22 @@
         self._registry = TargetRegistry(journal, clock)
         self._members = Members(settings, journal, clock, incarnation)
         self._owners = Owners(self._registry, self._members)
-        self._rooms = CapacityReports(clock)
-        self._held = HeldSlots(self._members, self._rooms, clock)
+        self._capacity_reports = CapacityReports(clock)
+        self._held_slots = HeldSlots(self._members, self._capacity_reports, clock)
         self._ledger = SlotLedger(
             self._owners,
             self._registry,
             self._service,
             settings.bounds,
-            self._held,
+            self._held_slots,
             journal,
             clock,
         )
-        self._handover = Handover(self._members, self._owners, self._is_short)
+        self._handover = Handover(self._members, self._owners, self._is_time_short)
         self._admission = Admission(self._ledger, self._members.region_of, clock)
         self._response_times = ResponseTimes()
         self.shutdown = Shutdown(RunTimes(clock), lambda: bool(self._members.serving()))
-        self._pressure = LossRates()
+        self._loss_rates = LossRates()
         self._suspects = Suspects(journal, clock)
         self._containment = Containment(self._suspects, clock)
         self._shift = RegionShiftLimit(settings.bounds.shift_share, clock)
@@ -140,7 +140,7 @@
             self._registry,
             self._members,
             self._peer_pool,
-            self._adopt,
+            self._apply_configuration,
             journal,
             clock,
         )
@@ -163,7 +163,7 @@
             self._tables,
             self._ledger,
             self._admission,
-            self._pressure,
+            self._loss_rates,
             self._suspects,
             lambda: self._table.services if self._table else (),
             clock,
@@ -171,8 +171,8 @@
         self._gossip = Gossip(
             settings,
             self._members,
-            self._rooms,
-            self._held,
+            self._capacity_reports,
+            self._held_slots,
             self._ledger.new_owners,
             self._ledger.pop_new_owners,
             self._suspects,
@@ -186,7 +186,11 @@
         """Build target selection and request attempts."""
         settings, journal, clock = self._settings, self._journal, self.clock
         view = TargetView(
-            self._members, self._registry, self._owners, self._ledger, self._rooms
+            self._members,
+            self._registry,
+            self._owners,
+            self._ledger,
+            self._capacity_reports,
         )
         self._target_pool = self._new_pool()
         self._local = LocalDispatcher(
@@ -201,13 +205,15 @@
             journal,
             clock,
         )
-        self._members.on_change(self._forget_rooms)
+        self._members.on_change(self._forget_reports)
         self._registry.on_change(self._update_serving)
-        losses = RegionLossRates(self._members, self._rooms, self._pressure, clock)
+        losses = RegionLossRates(
+            self._members, self._capacity_reports, self._loss_rates, clock
+        )
         estimates = Estimates(
             self._members,
             self._admission,
-            self._rooms,
+            self._capacity_reports,
             self._gossip.trip,
             self._response_times,
             clock,
@@ -219,7 +225,7 @@
             self._local,
             ForwardDispatcher(self._peer_pool, settings.forward_port, clock),
             self._members,
-            self._rooms,
+            self._capacity_reports,
             self._gossip.trip,
             self._containment,
         )
@@ -229,17 +235,17 @@
             self._shift,
             self._budget,
             self._response_times,
-            self._pressure,
+            self._loss_rates,
             self.shutdown,
             self._containment,
             journal,
             clock,
         )
 
-    def _build_edges(self):
+    def _build_listeners(self):
         """Build the listeners and what they serve."""
         settings, journal, clock = self._settings, self._journal, self.clock
-        self._warm = WarmConnections(
+        self._warm_connections = WarmConnections(
             self._peer_pool,
             self._gossip.partners,
             settings.region,
@@ -253,7 +259,7 @@
             settings.bounds.lookup_ttl,
             clock,
         )
-        self._metrics = SteeringMetrics(self._beliefs)
+        self._metrics = SteeringMetrics(self._read_gauges)
         self.request_log = RequestLog(self._metrics, journal, clock)
         self._listeners = Listeners(
             self,
@@ -270,7 +276,11 @@
     def _new_pool(self):
         fence = Fence()
         return ConnectionPool(
-            self.clock, self._settings.ip, lambda: fence, enable_keepalive, IDLE_SECONDS
+            self.clock,
+            self._settings.ip,
+            lambda: fence,
+            enable_keepalive,
+            IDLE_TIMEOUT_SECONDS,
         )
 
     @property
@@ -281,7 +291,7 @@
     @property
     def limits(self):
         """Return the :class:`Limits` on clients in force."""
-        return self._table.limits if self._table else FIRST_LIMITS
+        return self._table.limits if self._table else INITIAL_LIMITS
 
     @property
     def leaving(self):
@@ -317,7 +327,9 @@
         async with TaskGroup(wait=any) as group:
             await group.spawn(self._shut_down, signals)
             for run in self._loops():
-                await group.spawn(run_supervised, run, self._journal, RESTART_PAUSE)
+                await group.spawn(
+                    run_supervised, run, self._journal, RESTART_DELAY_SECONDS
+                )
             await self._listeners.start(group)
 
     def _loops(self):
@@ -330,18 +342,18 @@
             self._quarantines.follow,
             self._quarantines.write,
             self.active_requests.run,
-            self._keep_up,
-            self._summarise,
-            self._warm.run,
+            self._run_maintenance,
+            self._log_summaries,
+            self._warm_connections.run,
         )
 
-    async def _keep_up(self):
+    async def _run_maintenance(self):
         """Run periodic maintenance."""
-        judge_at = 0.0
+        slow_checks_at = 0.0
         while True:
             now = self.clock.now()
-            if now >= judge_at:
-                judge_at = now + JUDGE_INTERVAL
+            if now >= slow_checks_at:
+                slow_checks_at = now + SLOW_CHECK_SECONDS
                 self._ledger.update_slow_targets()
                 self._suspects.expire()
                 await self._target_pool.sweep()
@@ -350,12 +362,12 @@
             await self._admission.admit_all_queued()
             await self._gossip.notify()
             has_work = self._ledger.all() or self._registry.lapsing()
-            await sleep(UPKEEP_INTERVAL if has_work else IDLE_UPKEEP_INTERVAL)
+            await sleep(MAINTENANCE_SECONDS if has_work else IDLE_MAINTENANCE_SECONDS)
 
-    async def _summarise(self):
+    async def _log_summaries(self):
         while True:
-            await sleep(SUMMARY_INTERVAL)
-            self.request_log.flush(**self._beliefs())
+            await sleep(SUMMARY_SECONDS)
+            self.request_log.flush(**self._read_gauges())
 
     async def _shut_down(self, signals):
         """Wait for a stop signal, then shut down gracefully."""
@@ -376,7 +388,7 @@
         await self._listeners.cancel_blocking_requests()
         self._listeners.close()
         while self._is_busy() and self.clock.now() < self.shutdown.ends_at:
-            await sleep(LEAVING_INTERVAL)
+            await sleep(SHUTDOWN_CHECK_SECONDS)
         self._record_abandoned()
 
     def _record_abandoned(self):
@@ -393,21 +405,23 @@
 
     async def _finish_requests(self):
         """Keep serving until all requests are done or the final flush is due."""
-        busy_at = self.clock.now()
-        keeps = True
+        last_busy_at = self.clock.now()
+        keeps_connections = True
         while (now := self.clock.now()) < self.shutdown.flush_at:
-            if keeps and now >= self.shutdown.keep_alive_until:
-                keeps = False
+            if keeps_connections and now >= self.shutdown.keep_alive_until:
+                keeps_connections = False
                 self._listeners.close_idle()
             if self._is_busy():
-                busy_at = now
+                last_busy_at = now
             self._handover.check(now, self._listeners.is_busy)
-            is_quiet = now - busy_at >= QUIET_SECONDS and self._handover.is_over
-            if not keeps and is_quiet:
+            is_done = (
+                now - last_busy_at >= QUIET_SECONDS and self._handover.has_released
+            )
+            if not keeps_connections and is_done:
                 return
-            await sleep(LEAVING_INTERVAL)
+            await sleep(SHUTDOWN_CHECK_SECONDS)
 
-    def _is_short(self, now):
+    def _is_time_short(self, now):
         """Return whether requests of some route may not complete before the exit."""
         routes = self._table.routes if self._table else ()
         return any(self.shutdown.is_time_short(route, now) for route in routes)
@@ -419,7 +433,7 @@
         if self.started and self._members.own.stage == Stage.STARTING:
             self._members.set_serving(True)
 
-    def _adopt(self, table):
+    def _apply_configuration(self, table):
         """Apply a new configuration; ignore one that is not newer."""
         if self._table is not None and table.version <= self._table.version:
             return
@@ -448,13 +462,13 @@
             )
         return budget
 
-    def _forget_rooms(self):
+    def _forget_reports(self):
         """Drop the reports of forgotten VMs."""
         known = {member.vm for member in self._members.others()}
-        self._rooms.keep(known)
-        self._held.keep(known)
+        self._capacity_reports.keep(known)
+        self._held_slots.keep(known)
 
-    def _beliefs(self):
+    def _read_gauges(self):
         """Return the current gauges, for metrics and the periodic log line."""
         now = self.clock.now()
         return {
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -3,7 +3,7 @@
 from heathercleat.events import Event
 
 #: Maximum detailed log lines per second; further ones are only counted.
-MOST_LINES = 40
+MAX_LINES_PER_SECOND = 40
 _SERVER_ERROR = 500
 
 
@@ -19,8 +19,8 @@
         self._clock = clock
         self._window_ends = 0.0
         self._lines = 0
-        self._left_out = 0
-        self._sums = {}
+        self._omitted = 0
+        self._counts = {}
 
     def answered(self, call, answer, now):
         """Record a request that got a response from a target."""
@@ -90,7 +90,7 @@
         """Record a request that gets no response because this process exits."""
         seconds = now - call.arrived_at
         self._count(call.route.name, "abandoned", seconds)
-        place = call.trying
+        destination = call.trying
         # Not rate limited: written once, when the process exits.
         self._journal.write(
             Event.REQUEST_ABANDONED,
@@ -100,37 +100,37 @@
             seconds=round(seconds, 4),
             deadline_in=round(call.deadline - now, 3),
             forwarded=call.client_wait is None,
-            trying=f"{place.vm} {place.target}" if place else None,
-            trying_seconds=round(now - call.trying_since, 4) if place else None,
+            trying=f"{destination.vm} {destination.target}" if destination else None,
+            trying_seconds=round(now - call.trying_since, 4) if destination else None,
             tries=call.tries,
             **_stop_fields(call.stop_estimate),
         )
 
-    def flush(self, **beliefs):
+    def flush(self, **gauges):
         """Log and reset the request counts since the last call.
 
-        :param beliefs: further fields of the log line.
+        :param gauges: further fields of the log line.
         """
-        sums, self._sums = self._sums, {}
-        self._journal.write(Event.REQUESTS_SUMMED, requests=sums, **beliefs)
+        counts, self._counts = self._counts, {}
+        self._journal.write(Event.REQUESTS_SUMMED, requests=counts, **gauges)
 
     def _count(self, route, result, seconds):
         self._metrics.count(route, result, seconds)
         key = f"{route} {result}"
-        self._sums[key] = self._sums.get(key, 0) + 1
+        self._counts[key] = self._counts.get(key, 0) + 1
 
-    def _write(self, event, **inputs):
+    def _write(self, event, **fields):
         now = self._clock.now()
         if now >= self._window_ends:
-            if self._left_out:
-                self._journal.write(Event.LINES_LEFT_OUT, lines=self._left_out)
+            if self._omitted:
+                self._journal.write(Event.LINES_LEFT_OUT, lines=self._omitted)
             self._window_ends = now + 1.0
-            self._lines = self._left_out = 0
-        if self._lines >= MOST_LINES:
-            self._left_out += 1
+            self._lines = self._omitted = 0
+        if self._lines >= MAX_LINES_PER_SECOND:
+            self._omitted += 1
             return
         self._lines += 1
-        self._journal.write(event, **inputs)
+        self._journal.write(event, **fields)
 
 
 def _stop_fields(estimate):
--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -3,7 +3,7 @@
 from random import uniform
 
 #: Part of a client's remaining time that its retry delay takes at most.
-RETURN_SHARE = 0.3
+MAX_DELAY_SHARE = 0.3
 
 
 def compute_retry_at(call, mean, now):
@@ -11,7 +11,7 @@
 
     Jitter spreads the retries of clients that are refused together.
 
-    :param mean: seconds after which there is room, as far as is known.
+    :param mean: mean seconds after which there is free capacity.
     """
-    longest = RETURN_SHARE * max(0.0, call.deadline - now)
-    return now + min(longest, uniform(0.5, 1.5) * mean)
+    max_delay = MAX_DELAY_SHARE * max(0.0, call.deadline - now)
+    return now + min(max_delay, uniform(0.5, 1.5) * mean)
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -8,12 +8,12 @@
 from collections import Counter
 
 #: Number of histogram buckets between zero and the longest wait of a route.
-CLASSES = 40
+BUCKETS = 40
 #: First attempts fill adjacent buckets. A bucket with less than this fraction of the
 #: fullest bucket's count is below them.
 DENSE_SHARE = 0.25
 #: Requests after which all counts are halved, so that recent requests dominate.
-MOST_COUNTED = 400
+MAX_COUNTED = 400
 
 
 class RetryDetector:
@@ -34,45 +34,45 @@
         """
         waits = self._routes.get(route)
         if waits is None:
-            waits = self._routes[route] = _Waits()
+            waits = self._routes[route] = _WaitHistogram()
         waits.count(wait)
-        return max(0.0, waits.shortest_first() - wait)
+        return max(0.0, waits.shortest_first_wait() - wait)
 
 
-class _Waits:
+class _WaitHistogram:
     """Histogram of the waits of one route's requests."""
 
-    __slots__ = ("_longest", "_counts", "_edge")
+    __slots__ = ("_longest", "_counts", "_first_bucket")
 
     def __init__(self):
         self._longest = 0.0
         self._counts = Counter()
-        self._edge = CLASSES
+        self._first_bucket = BUCKETS
 
     def count(self, wait):
         """Count the wait of one request, in seconds."""
         if wait > self._longest:
             # Buckets are relative to the longest wait: older counts are misplaced now.
-            if wait > self._longest * (1 + 1 / CLASSES):
+            if wait > self._longest * (1 + 1 / BUCKETS):
                 self._counts.clear()
             self._longest = wait
-        self._counts[min(CLASSES - 1, int(wait / self._longest * CLASSES))] += 1
-        if self._counts.total() > MOST_COUNTED:
+        self._counts[min(BUCKETS - 1, int(wait / self._longest * BUCKETS))] += 1
+        if self._counts.total() > MAX_COUNTED:
             self._halve()
-        self._edge = self._find_edge()
+        self._first_bucket = self._find_first_bucket()
 
-    def shortest_first(self):
+    def shortest_first_wait(self):
         """Return the shortest wait of first attempts, in seconds."""
-        return self._edge / CLASSES * self._longest
+        return self._first_bucket / BUCKETS * self._longest
 
-    def _find_edge(self):
+    def _find_first_bucket(self):
         """Return the lowest bucket of the dense range at the top."""
-        least = DENSE_SHARE * max(self._counts.values())
-        edge = CLASSES
-        while edge and self._counts[edge - 1] >= least:
-            edge -= 1
-        return min(edge, CLASSES - 1)
+        min_count = DENSE_SHARE * max(self._counts.values())
+        first_bucket = BUCKETS
+        while first_bucket and self._counts[first_bucket - 1] >= min_count:
+            first_bucket -= 1
+        return min(first_bucket, BUCKETS - 1)
 
     def _halve(self):
-        for each in self._counts:
-            self._counts[each] //= 2
+        for bucket in self._counts:
+            self._counts[bucket] //= 2
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -1,7 +1,7 @@
 """Settings of a VM that steers requests, independent of the file format."""
 
 #: Link bandwidth that the requests of one core use, in Mbit/s.
-LINK_PER_CORE = 30.0
+MBPS_PER_CORE = 30.0
 
 
 class Address:
@@ -89,7 +89,7 @@
     @property
     def strength(self):
         """Return the usable capacity in cores, limited by CPU and bandwidth."""
-        return min(self.cores, self.link_mbps / LINK_PER_CORE)
+        return min(self.cores, self.link_mbps / MBPS_PER_CORE)
 
     @property
     def gossip_port(self):
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -53,8 +53,8 @@
         self._runs = runs
         self._others_serve = others_serve
         self._began_at = None
-        self._keeps_until = NO_DEADLINE
-        self._last_answers_at = NO_DEADLINE
+        self._keep_alive_until = NO_DEADLINE
+        self._flush_at = NO_DEADLINE
         self._ends_at = NO_DEADLINE
 
     @property
@@ -68,7 +68,7 @@
 
         Infinite before :meth:`begin`.
         """
-        return self._keeps_until
+        return self._keep_alive_until
 
     @property
     def ends_at(self):
@@ -81,7 +81,7 @@
 
         From then on they do not wait for earlier requests of their connection.
         """
-        return self._last_answers_at
+        return self._flush_at
 
     def begin(self, now, grace):
         """Set the deadlines at a stop signal.
@@ -90,10 +90,10 @@
         :param grace: seconds from ``now`` until the platform kills the process.
         """
         self._began_at = now
-        most = MARGIN_SHARE * grace
-        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, most)
-        self._last_answers_at = self._ends_at - min(FLUSH_SECONDS, most)
-        self._keeps_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
+        max_margin = MARGIN_SHARE * grace
+        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, max_margin)
+        self._flush_at = self._ends_at - min(FLUSH_SECONDS, max_margin)
+        self._keep_alive_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
 
     def elapsed(self, now):
         """Return the seconds since the stop signal; only after :meth:`begin`."""
@@ -121,7 +121,7 @@
         """
         if call.deadline <= self.flush_at:
             return NO_DEADLINE
-        if call.arrived_at >= self._keeps_until:
+        if call.arrived_at >= self._keep_alive_until:
             return -NO_DEADLINE
         return self.flush_at - self._runs.bound(call)
 
@@ -133,8 +133,8 @@
         :param route: a :class:`Route`.
         """
         needed = min(route.timeout, self._runs.longest_bound(route.name))
-        whole = self.flush_at - self._began_at
-        return needed <= whole and now + needed > self.flush_at
+        total = self.flush_at - self._began_at
+        return needed <= total and now + needed > self.flush_at
 
     def estimate(self, call, now):
         """Return the :class:`StopEstimate` of a request; ``None`` before the stop."""
--- a/src/heathercleat/steering/process/store/rejected_rows.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -18,7 +18,7 @@
         self._clock = clock
         self._window_until = 0.0
         self._lines = 0
-        self._left_out = 0
+        self._omitted = 0
 
     def note(self, key, error):
         """Log a rejected row, or count it if the rate limit is reached."""
@@ -27,13 +27,13 @@
             self._window_until = now + WINDOW_SECONDS
             self._lines = 0
         if self._lines >= MAX_LINES_PER_WINDOW:
-            self._left_out += 1
+            self._omitted += 1
             return
         self._lines += 1
         self._journal.write(
             Event.ROW_REJECTED,
             key=key[:_SHOWN],
             reason=str(error)[:_SHOWN],
-            left_out=self._left_out,
+            left_out=self._omitted,
         )
-        self._left_out = 0
+        self._omitted = 0
--- a/src/heathercleat/steering/process/warm_connections.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -7,10 +7,10 @@
 
 from heathercleat.connection.http import before
 
-INTERVAL = 0.25
+CHECK_SECONDS = 0.25
 #: Maximum idle connections to each VM, and to all VMs together.
-IDLE_EACH = 4
-IDLE_TOTAL = 48
+MAX_IDLE_PER_VM = 4
+MAX_IDLE_TOTAL = 48
 CONNECT_TIMEOUT_SECONDS = 1.0
 
 
@@ -18,15 +18,15 @@
     """Keeps idle connections to the VMs of other regions.
 
     :param pool: the connection pool for other VMs.
-    :param partners: returns the VMs of any region that may get forwarded requests; an
+    :param peers: returns the VMs of any region that may get forwarded requests; an
         empty list while this VM has no clients.
     :param region: the region of this VM.
     :param port: the port on which VMs accept forwarded requests.
     """
 
-    def __init__(self, pool, partners, region, port, clock):
+    def __init__(self, pool, peers, region, port, clock):
         self._pool = pool
-        self._partners = partners
+        self._peers = peers
         self._region = region
         self._port = port
         self._clock = clock
@@ -34,15 +34,17 @@
     async def run(self):
         """Open missing connections until cancelled."""
         while True:
-            far = [each for each in self._partners() if each.region != self._region]
-            if far:
-                await self._fill(far, max(1, min(IDLE_EACH, IDLE_TOTAL // len(far))))
-            await sleep(INTERVAL)
-
-    async def _fill(self, members, wanted):
+            remote = [each for each in self._peers() if each.region != self._region]
+            if remote:
+                await self._open_missing(
+                    remote, max(1, min(MAX_IDLE_PER_VM, MAX_IDLE_TOTAL // len(remote)))
+                )
+            await sleep(CHECK_SECONDS)
+
+    async def _open_missing(self, members, idle_per_vm):
         async with TaskGroup() as group:
             for member in members:
-                missing = wanted - self._pool.idle_count(member.ip, self._port)
+                missing = idle_per_vm - self._pool.idle_count(member.ip, self._port)
                 for _ in range(missing):
                     await group.spawn(self._open, member.ip)
 
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -173,7 +173,7 @@
             for other in self.parts.members.live_others():
                 other.last_heartbeat_at = clock.time
             self.handover.check(clock.time, has_clients)
-        return self.handover.is_over
+        return self.handover.has_released
 
 
 def test_vm_has_nothing_to_hand_over_where_another_serves():
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -152,7 +152,7 @@
     Mutation(
         "LOST-late-in-a-stop",
         f"{STEERING}/process/shutdown.py",
-        "if call.arrived_at >= self._keeps_until:",
+        "if call.arrived_at >= self._keep_alive_until:",
         "if False:",
         "tests/test_departure.py",
         "tests/test_planned_stops.py",
@@ -423,14 +423,14 @@
     Mutation(
         "STOP-crowd-at-first-vms-back",
         f"{STEERING}/process/directory.py",
-        "        if len(here) >= least:\n",
+        "        if len(in_domain) >= min_count:\n",
         "        if True:\n",
         "tests/test_look_ups.py",
     ),
     Mutation(
         "STOP-short-answers",
         f"{STEERING}/process/directory.py",
-        "        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS\n",
+        "        return LOOKUP_TTL if is_stable else SHORT_LOOKUP_TTL_SECONDS\n",
         "        return LOOKUP_TTL\n",
         "tests/test_look_ups.py",
         "-k",
@@ -520,8 +520,8 @@
     Mutation(
         "HANDOVER-looked-up",
         f"{STEERING}/process/directory.py",
-        "        named = active or self._members.leaving()\n",
-        "        named = active\n",
+        "        candidates = active or self._members.leaving()\n",
+        "        candidates = active\n",
         "tests/test_handing_over.py",
         "-k",
         "named_only_where_none_serves",
@@ -529,7 +529,7 @@
     Mutation(
         "HANDOVER-end",
         f"{STEERING}/process/handover.py",
-        "now >= self._last_start_at or ",
+        "now >= self._release_deadline or ",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -538,7 +538,7 @@
     Mutation(
         "HANDOVER-more-time",
         f"{STEERING}/process/handover.py",
-        "        return member.stops_since > own.stops_since + LATER_SECONDS\n",
+        "        return member.stops_since > own.stops_since + MIN_STOP_DIFFERENCE_SECONDS\n",
         "        return member is not own\n",
         "tests/test_handing_over.py",
         "-k",
@@ -547,7 +547,7 @@
     Mutation(
         "HANDOVER-one-stays",
         f"{STEERING}/process/handover.py",
-        " and last != own.vm\n",
+        " and keeper != own.vm\n",
         "\n",
         "tests/test_handing_over.py",
         "-k",
@@ -825,7 +825,8 @@
     Mutation(
         "CONTAINED-answers",
         f"{STEERING}/process/quarantine/responses.py",
-        "return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(key, now)",
+        "return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(\n"
+        "            key, now\n        )",
         "return False",
         "tests/test_containment.py",
         "-k",
