--- a/src/heathercleat/steering/process/body_memory.py
+++ b/src/heathercleat/steering/process/body_memory.py
@@ -11,24 +11,24 @@
     :param memory: memory limit of the process, in bytes.
     """
 
-    __slots__ = ("_limit", "_reserved")
+    __slots__ = ("_limit", "_held")
 
     def __init__(self, memory):
         self._limit = BODY_MEMORY_SHARE * memory
-        self._reserved = 0
+        self._held = 0
 
     @property
     def held(self):
         """Return the reserved bytes."""
-        return self._reserved
+        return self._held
 
     def take(self, size):
         """Reserve ``size`` bytes; return ``False`` if the limit would be exceeded."""
-        if self._reserved + size > self._limit:
+        if self._held + size > self._limit:
             return False
-        self._reserved += size
+        self._held += size
         return True
 
     def give(self, size):
         """Release ``size`` reserved bytes."""
-        self._reserved -= size
+        self._held -= size
--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -13,5 +13,5 @@
 
     :param mean: mean seconds after which there is free capacity.
     """
-    max_delay = MAX_DELAY_SHARE * max(0.0, call.deadline - now)
-    return now + min(max_delay, uniform(0.5, 1.5) * mean)
+    longest = MAX_DELAY_SHARE * max(0.0, call.deadline - now)
+    return now + min(longest, uniform(0.5, 1.5) * mean)
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -42,12 +42,12 @@
 class _WaitHistogram:
     """Histogram of the waits of one route's requests."""
 
-    __slots__ = ("_longest", "_counts", "_first_bucket")
+    __slots__ = ("_longest", "_counts", "_edge")
 
     def __init__(self):
         self._longest = 0.0
         self._counts = Counter()
-        self._first_bucket = BUCKETS
+        self._edge = BUCKETS
 
     def count(self, wait):
         """Count the wait of one request, in seconds."""
@@ -59,19 +59,19 @@
         self._counts[min(BUCKETS - 1, int(wait / self._longest * BUCKETS))] += 1
         if self._counts.total() > MAX_COUNTED:
             self._halve()
-        self._first_bucket = self._find_first_bucket()
+        self._edge = self._find_edge()
 
     def shortest_first_wait(self):
         """Return the shortest wait of first attempts, in seconds."""
-        return self._first_bucket / BUCKETS * self._longest
+        return self._edge / BUCKETS * self._longest
 
-    def _find_first_bucket(self):
-        """Return the lowest bucket of the dense range at the top."""
+    def _find_edge(self):
+        """Return the lowest bucket that first attempts fill."""
         min_count = DENSE_SHARE * max(self._counts.values())
-        first_bucket = BUCKETS
-        while first_bucket and self._counts[first_bucket - 1] >= min_count:
-            first_bucket -= 1
-        return min(first_bucket, BUCKETS - 1)
+        edge = BUCKETS
+        while edge and self._counts[edge - 1] >= min_count:
+            edge -= 1
+        return min(edge, BUCKETS - 1)
 
     def _halve(self):
         for bucket in self._counts:
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -6,7 +6,7 @@
 
 #: A deadline that never passes.
 NO_DEADLINE = float("inf")
-#: Seconds before the platform kills the process at which it exits by itself.
+#: Seconds before the platform's kill at which a leaving process ends by itself.
 KILL_MARGIN_SECONDS = 0.35
 #: Seconds before the exit at which ready responses are flushed without waiting for
 #: earlier requests of their connection. Long enough for a round trip.
@@ -87,16 +87,16 @@
         """Set the deadlines at a stop signal.
 
         :param now: instant of the signal.
-        :param grace: seconds from ``now`` until the platform kills the process.
+        :param grace: seconds from now until the platform kills the process.
         """
         self._began_at = now
-        max_margin = MARGIN_SHARE * grace
-        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, max_margin)
-        self._flush_at = self._ends_at - min(FLUSH_SECONDS, max_margin)
+        most = MARGIN_SHARE * grace
+        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, most)
+        self._flush_at = self._ends_at - min(FLUSH_SECONDS, most)
         self._keep_alive_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
 
     def elapsed(self, now):
-        """Return the seconds since the stop signal; only after :meth:`begin`."""
+        """Return the seconds since the stop signal."""
         return now - self._began_at
 
     def check(self, call, now):
@@ -133,8 +133,8 @@
         :param route: a :class:`Route`.
         """
         needed = min(route.timeout, self._runs.longest_bound(route.name))
-        total = self.flush_at - self._began_at
-        return needed <= total and now + needed > self.flush_at
+        whole = self.flush_at - self._began_at
+        return needed <= whole and now + needed > self.flush_at
 
     def estimate(self, call, now):
         """Return the :class:`StopEstimate` of a request; ``None`` before the stop."""
