--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -11,7 +11,7 @@
 
     Jitter spreads the retries of clients that are refused together.
 
-    :param mean: mean seconds after which there is free capacity.
+    :param mean: seconds after which there is room, as far as is known.
     """
     longest = MAX_DELAY_SHARE * max(0.0, call.deadline - now)
     return now + min(longest, uniform(0.5, 1.5) * mean)
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -34,12 +34,12 @@
         """
         waits = self._routes.get(route)
         if waits is None:
-            waits = self._routes[route] = _WaitHistogram()
+            waits = self._routes[route] = _Waits()
         waits.count(wait)
-        return max(0.0, waits.shortest_first_wait() - wait)
+        return max(0.0, waits.shortest_first() - wait)
 
 
-class _WaitHistogram:
+class _Waits:
     """Histogram of the waits of one route's requests."""
 
     __slots__ = ("_longest", "_counts", "_edge")
@@ -61,7 +61,7 @@
             self._halve()
         self._edge = self._find_edge()
 
-    def shortest_first_wait(self):
+    def shortest_first(self):
         """Return the shortest wait of first attempts, in seconds."""
         return self._edge / BUCKETS * self._longest
 
