--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -2,7 +2,7 @@
 
 from random import uniform
 
-#: Part of a client's remaining time that its retry delay takes at most.
+#: Part of a client's remaining time up to which it honours the advice.
 MAX_DELAY_SHARE = 0.3
 
 
