--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -17,55 +17,55 @@
 #: Seconds between two heartbeats; bounds the age of the capacity reports.
 INTERVAL = 0.15
 #: Rounds between two heartbeats to a VM of another region, where traffic is expensive.
-FAR_ROUNDS = 2
+ROUNDS_BETWEEN_REGIONS = 2
 #: Seconds between two heartbeats to or from a VM that handles no requests.
 IDLE_INTERVAL = 0.9
 #: Approximate maximum rate of heartbeats that a VM sends, to bound its CPU use.
-MOST_PER_SECOND = 120
+MAX_HEARTBEATS_PER_SECOND = 120
 #: Seconds for which a VM that asked for heartbeats gets them.
-ANSWER_SECONDS = 2.0
+REPLY_SECONDS = 2.0
 #: VMs not known to be live that are probed in each full round, in this region and in
 #: others; the same number of VMs that are live only according to others. Few in other
 #: regions, where traffic is expensive and one contact suffices.
-NEAR_TRIED = 6
-FAR_TRIED = 2
+PROBED_IN_REGION = 6
+PROBED_OUTSIDE_REGION = 2
 #: Seconds after the start during which every round is a full one, so that VMs that
 #: start together discover each other quickly.
 START_SECONDS = 2.0
-#: Seconds between these rounds in a large fleet, where each heartbeat has many news.
+#: Seconds between these rounds in a large fleet, with many updates in each heartbeat.
 START_INTERVAL = 0.45
 #: Maximum unseen VMs that a starting VM contacts in one round.
-MOST_GREETED = 300
+MAX_CONTACTED = 300
 #: Seconds after the stop signal during which every round is a full one, so that a lost
 #: datagram does not keep this VM in the lookups of others.
 LEAVE_SECONDS = 0.4
 MAX_DATAGRAM = 8192
-#: VMs whose news is sent again at once when the views of partners differ.
+#: VMs whose updates are sent again at once when the views of partners differ.
 MAX_REPAIRED_AT_ONCE = 24
-#: Full rounds with a difference before that, while news still arrives.
-LOOKS_BEFORE_REPAIR = 4
-_TRIP_WEIGHT = 0.2
+#: Full rounds with a difference before that, while updates still arrive.
+ROUNDS_BEFORE_REPAIR = 4
+_ROUND_TRIP_WEIGHT = 0.2
 #: Round trip in seconds that is assumed before the first measurement.
-FIRST_TRIP = 0.01
+INITIAL_ROUND_TRIP_SECONDS = 0.01
 
 
-class BeatKind(NamedTuple):
+class HeartbeatKind(NamedTuple):
     """What distinguishes heartbeats; receivers of one kind get the same datagram.
 
     :param full: whether it has reports.
     :param interval: seconds until the next heartbeat.
-    :param is_partner: whether the receivers are gossip partners, which get news.
-    :param tells_suspects: whether the receivers are partners whose suspects differ;
+    :param is_partner: whether the receivers are gossip partners, which get updates.
+    :param includes_suspects: whether the receivers are partners with other suspects;
         they get all suspects until the digests match.
     """
 
-    full: bool
+    includes_reports: bool
     interval: float
     is_partner: bool
-    tells_suspects: bool
+    includes_suspects: bool
 
 
-_KIND_FOR_SEEDS = BeatKind(False, IDLE_INTERVAL, False, False)
+_KIND_FOR_SEEDS = HeartbeatKind(False, IDLE_INTERVAL, False, False)
 
 
 class Gossip:
@@ -75,12 +75,13 @@
     :param members: the :class:`Members`.
     :param rooms: the :class:`CapacityReports` for received capacity reports.
     :param held: the :class:`HeldSlots` for received reports of slots in use.
-    :param heirs: returns the names of the VMs that own targets with requests from here.
-    :param successors: returns the names of the VMs that became owners of this VM's
+    :param new_owners: returns the names of the VMs that own targets with requests from
+        this VM.
+    :param pop_new_owners: returns the names of the VMs that became owners of this VM's
         targets since the last call.
     :param suspects: the :class:`Suspects`.
     :param compose: returns a new :class:`Heartbeat` for an interval.
-    :param on_beat: a coroutine function that is called after each heartbeat.
+    :param on_heartbeat: a coroutine function that is called after each heartbeat.
     """
 
     def __init__(
@@ -90,10 +91,10 @@
         rooms,
         held,
         new_owners,
-        successors,
+        pop_new_owners,
         suspects,
         compose,
-        on_beat,
+        on_heartbeat,
         journal,
         clock,
     ):
@@ -101,46 +102,47 @@
         self._members = members
         self._rooms = rooms
         self._held = held
-        self._heirs = new_owners
-        self._successors = successors
+        self._new_owners = new_owners
+        self._pop_new_owners = pop_new_owners
         self._suspects = suspects
         self._compose = compose
-        self._on_beat = on_beat
+        self._on_heartbeat = on_heartbeat
         self._journal = journal
         self._clock = clock
         self._sock = None
-        self._trips = {}
-        self._region_trips = {}
+        self._round_trips = {}
+        self._region_round_trips = {}
         self._echoes = {}
-        self._answer_until = {}
-        self._idle_at = 0.0
+        self._reply_until = {}
+        self._next_full_round_at = 0.0
         self._round = 0
         self._starting_until = clock.now() + START_SECONDS
         self._leaving_until = clock.now()
-        self._bad = 0
+        self._malformed_count = 0
         self._last_digest = None
-        self._differs_for = 0
+        self._rounds_differing = 0
         self._notified_stage = members.own.stage
 
-    def trip(self, vm):
+    def round_trip(self, vm):
         """Return the average round trip to a VM in seconds.
 
-        Falls back to the average of its region, then to :data:`FIRST_TRIP`.
+        Falls back to the average of its region, then to
+        :data:`INITIAL_ROUND_TRIP_SECONDS`.
         """
-        trip = self._trips.get(vm)
-        if trip is not None:
-            return trip
+        round_trip = self._round_trips.get(vm)
+        if round_trip is not None:
+            return round_trip
         member = self._members.find(vm)
         region = member.region if member else None
-        return self._region_trips.get(region, FIRST_TRIP)
+        return self._region_round_trips.get(region, INITIAL_ROUND_TRIP_SECONDS)
 
-    def partners(self):
+    def reporting_members(self):
         """Return the active VMs that send their reports here.
 
         An empty list if this VM itself is not active.
         """
         active = self._members.active()
-        return self._regular(active) if self._members.own in active else []
+        return self._select_regular(active) if self._members.own in active else []
 
     async def open(self):
         """Bind the UDP socket."""
@@ -152,15 +154,15 @@
         while True:
             data, address = await self._sock.recvfrom(MAX_DATAGRAM)
             try:
-                newcomer = self.take(data)
+                newcomer = self.receive(data)
             except (ValueError, TypeError, UnpackException) as error:
-                self._log_bad(address, error)
+                self._log_malformed(address, error)
                 continue
             if newcomer is not None:
                 await self._send_all([newcomer])
-            await self._on_beat()
+            await self._on_heartbeat()
 
-    def take(self, data):
+    def receive(self, data):
         """Process one datagram; return the :class:`Member` if its process is new here.
 
         A restarted VM is new even if its previous process still counts as live.
@@ -169,29 +171,31 @@
         """
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
-        beat = Heartbeat.of(unpacker.unpack())
-        sent_at, echoed, held, asks = unpacker.unpack()
-        before = self._members.live(beat.own.vm)
-        is_new = before is None or before.incarnation != beat.own.incarnation
-        member = self._members.record_heartbeat(beat)
+        heartbeat = Heartbeat.from_fields(unpacker.unpack())
+        sent_at, echoed, held, asks_for_replies = unpacker.unpack()
+        before = self._members.live(heartbeat.own.vm)
+        is_new = before is None or before.incarnation != heartbeat.own.incarnation
+        member = self._members.record_heartbeat(heartbeat)
         if member is None:
             return None
-        for news in beat.told(self._members.is_news):
-            self._members.told(news)
+        for update in heartbeat.decode_updates(self._members.is_newer):
+            self._members.merge_update(update)
         now = self._clock.now()
-        if asks:
-            self._answer_until[beat.own.vm] = now + ANSWER_SECONDS
-        self._echoes[beat.own.vm] = (sent_at, now)
+        if asks_for_replies:
+            self._reply_until[heartbeat.own.vm] = now + REPLY_SECONDS
+        self._echoes[heartbeat.own.vm] = (sent_at, now)
         if echoed is not None:
-            self._observe_trip(member, now - echoed - held)
-        if beat.has_reports:
-            self._rooms.report(beat.own.vm, beat.rooms, beat.waits, beat.losses)
-            self._held.report(beat.own.vm, beat.held)
-        for fields in beat.suspects:
+            self._record_round_trip(member, now - echoed - held)
+        if heartbeat.has_reports:
+            self._rooms.report(
+                heartbeat.own.vm, heartbeat.rooms, heartbeat.waits, heartbeat.losses
+            )
+            self._held.report(heartbeat.own.vm, heartbeat.held)
+        for fields in heartbeat.suspects:
             self._suspects.told(SuspectUpdate.of(fields))
         return member if is_new else None
 
-    async def beat(self):
+    async def run(self):
         """Send heartbeats until cancelled."""
         while True:
             await sleep(await self.round())
@@ -200,10 +204,12 @@
         """Send the heartbeats that are due; return the seconds until the next round."""
         self._members.check()
         now = self._clock.now()
-        to_all = now >= self._idle_at or self._is_starting() or self._is_leaving()
+        to_all = (
+            now >= self._next_full_round_at or self._is_starting() or self._is_leaving()
+        )
         self._round += 1
         if to_all:
-            self._idle_at = now + IDLE_INTERVAL
+            self._next_full_round_at = now + IDLE_INTERVAL
             self._repair()
         await self.send(to_all)
         return self._interval()
@@ -230,54 +236,65 @@
         the number of slots still in use.
         """
         live = self._members.live_others()
-        notified = self._successors()
+        notified = self._pop_new_owners()
         own = self._members.own
         if own.stage != self._notified_stage:
             self._notified_stage = own.stage
-            near = (each for each in live if each.failure_domain == own.failure_domain)
-            notified.update(each.vm for each in near)
+            in_domain = (
+                each for each in live if each.failure_domain == own.failure_domain
+            )
+            notified.update(each.vm for each in in_domain)
         await self._send_all(each for each in live if each.vm in notified)
 
     async def _send_all(self, members):
-        """Send a heartbeat to some members, encoded once per :class:`BeatKind`.
+        """Send a heartbeat to some members, encoded once per :class:`HeartbeatKind`.
 
         It has reports if both VMs handle requests, or the receiver is about to. Only
-        partners get news, to limit the traffic of weaker VMs; partners pass it on.
+        partners get updates, to limit the traffic of weaker VMs; partners pass them on.
         """
-        traffic, usual = self._members.traffic(), self._interval()
+        request_handlers, usual_interval = (
+            self._members.request_handlers(),
+            self._interval(),
+        )
         packed = {}
         for member in members:
-            kind = self._kind(member, traffic, usual)
+            kind = self._kind(member, request_handlers, usual_interval)
             if kind not in packed:
                 packed[kind] = self._pack(kind)
             await self._send_to(member.ip, packed[kind], member.vm)
 
-    def _kind(self, member, traffic, usual):
-        """Return the :class:`BeatKind` of the heartbeat to a VM.
+    def _kind(self, member, request_handlers, usual_interval):
+        """Return the :class:`HeartbeatKind` of the heartbeat to a VM.
 
         :param usual: seconds between two heartbeats to VMs that handle requests.
         """
-        takes_part = member in traffic or member.stage == Stage.STARTING
-        full = self._members.own in traffic and takes_part
+        handles_requests = member in request_handlers or member.stage == Stage.STARTING
+        includes_reports = self._members.own in request_handlers and handles_requests
         is_partner = self._is_partner(member)
         differs = member.suspects_digest != self._suspects.digest
-        interval = usual if full or self._is_passing(member) else IDLE_INTERVAL
-        if full and self._is_far(member):
-            interval = FAR_ROUNDS * usual
-        return BeatKind(full, interval, is_partner, is_partner and differs)
+        interval = (
+            usual_interval
+            if includes_reports or self._is_starting_or_leaving(member)
+            else IDLE_INTERVAL
+        )
+        if includes_reports and self._is_in_other_region(member):
+            interval = ROUNDS_BETWEEN_REGIONS * usual_interval
+        return HeartbeatKind(
+            includes_reports, interval, is_partner, is_partner and differs
+        )
 
     def _pack(self, kind):
-        """Return an encoded heartbeat of a :class:`BeatKind`."""
-        beat = self._compose(kind.interval)
-        if not kind.full:
-            beat = beat.without_reports()
+        """Return an encoded heartbeat of a :class:`HeartbeatKind`."""
+        heartbeat = self._compose(kind.interval)
+        if not kind.includes_reports:
+            heartbeat = heartbeat.without_reports()
         if not kind.is_partner:
-            beat = beat.without_news()
-        if kind.tells_suspects:
-            beat.suspects = [each.fields() for each in self._suspects.news()]
-        return beat.pack()
+            heartbeat = heartbeat.without_updates()
+        if kind.includes_suspects:
+            heartbeat.suspects = [each.fields() for each in self._suspects.news()]
+        return heartbeat.pack()
 
-    def _is_far(self, member):
+    def _is_in_other_region(self, member):
         """Return whether a VM gets fewer heartbeats because of its region.
 
         Not in a large fleet, where few heartbeats cross regions and a lost region would
@@ -288,7 +305,7 @@
         return member.region != self._settings.region
 
     async def _send_to(self, ip, body, vm):
-        echo = [self._clock.now(), *self._echo(vm), self._asks(vm)]
+        echo = [self._clock.now(), *self._echo(vm), self._asks_for_replies(vm)]
         address = ip, self._settings.gossip_port
         try:
             await self._sock.sendto(body + msgpack.packb(echo), address)
@@ -296,9 +313,9 @@
             self._journal.write(Event.PEER_REJECTED, peer=vm, reason=repr(error))
 
     def _repair(self):
-        """Send news of some VMs again if the views of partners differ.
+        """Send updates of some VMs again if the views of partners differ.
 
-        Datagrams with news may be lost. While news is still spreading, views differ
+        Datagrams may be lost. While updates are still spreading, views differ
         anyway, so the repair is delayed for a few rounds.
         """
         members = self._members
@@ -307,32 +324,39 @@
         digests = {
             each.digest for each in members.live_others() if self._is_partner(each)
         }
-        settled = members.digest == self._last_digest
+        is_settled = members.digest == self._last_digest
         self._last_digest = members.digest
         if digests <= {members.digest}:
-            self._differs_for = 0
+            self._rounds_differing = 0
             return
-        self._differs_for += 1
-        if not settled and self._differs_for < LOOKS_BEFORE_REPAIR:
+        self._rounds_differing += 1
+        if not is_settled and self._rounds_differing < ROUNDS_BEFORE_REPAIR:
             return
-        self._differs_for = 0
-        told = [each.vm for each in members.others() if each.stamp]
-        for vm in sample(told, min(MAX_REPAIRED_AT_ONCE, len(told))):
+        self._rounds_differing = 0
+        candidates = [each.vm for each in members.others() if each.stamp]
+        for vm in sample(candidates, min(MAX_REPAIRED_AT_ONCE, len(candidates))):
             members.pending_updates.add(vm)
 
     def _interval(self):
         """Return the seconds between two heartbeats to VMs that handle requests."""
-        traffic = self._members.traffic()
+        request_handlers = self._members.request_handlers()
         if self._is_starting():
-            unheard = sum(
+            unseen = sum(
                 each.last_heartbeat_at is None for each in self._members.others()
             )
-            least = INTERVAL if self._members.topology.is_mesh else START_INTERVAL
+            min_interval = (
+                INTERVAL if self._members.topology.is_mesh else START_INTERVAL
+            )
             # Other VMs consider this one dead after a longer silence.
-            return max(least, min(unheard / MOST_PER_SECOND, IDLE_INTERVAL))
-        if self._members.own not in traffic and not self._is_leaving():
+            return max(
+                min_interval, min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL)
+            )
+        if self._members.own not in request_handlers and not self._is_leaving():
             return IDLE_INTERVAL
-        return max(INTERVAL, len(self._regular(traffic)) / MOST_PER_SECOND)
+        return max(
+            INTERVAL,
+            len(self._select_regular(request_handlers)) / MAX_HEARTBEATS_PER_SECOND,
+        )
 
     def _is_starting(self):
         return self._clock.now() < self._starting_until
@@ -340,7 +364,7 @@
     def _is_leaving(self):
         return self._clock.now() < self._leaving_until
 
-    def _regular(self, members):
+    def _select_regular(self, members):
         """Return those of some VMs that get a heartbeat in each round."""
         topology = self._members.topology
         others = [each for each in members if each is not self._members.own]
@@ -351,13 +375,13 @@
     def _is_partner(self, member):
         """Return whether a VM is a gossip partner.
 
-        It is one if this VM picked it, or if it recently asked for heartbeats.
+        It is one if this VM monitors it, or if it recently asked for heartbeats.
         """
         if member.vm in self._members.topology.monitored:
             return True
-        return self._answer_until.get(member.vm, 0.0) > self._clock.now()
+        return self._reply_until.get(member.vm, 0.0) > self._clock.now()
 
-    def _is_passing(self, member):
+    def _is_starting_or_leaving(self, member):
         """Return whether a VM is starting or leaving and gets every heartbeat.
 
         It answers lookups too, and has to learn of VMs that leave at the same time. In
@@ -367,28 +391,34 @@
             return False
         return self._is_partner(member)
 
-    def _asks(self, vm):
+    def _asks_for_replies(self, vm):
         """Return whether a heartbeat asks its receiver to send heartbeats back."""
         members, topology = self._members, self._members.topology
         return topology.is_mesh or vm in topology.monitored or members.live(vm) is None
 
     def _receivers(self, to_all):
         """Return the receivers of a round, without duplicates."""
-        receivers = self._regular(self._members.traffic())
+        receivers = self._select_regular(self._members.request_handlers())
         if to_all:
-            receivers = [*receivers, *self._rare(receivers)]
-        elif self._round % FAR_ROUNDS:
-            receivers = [each for each in receivers if not self._is_far(each)]
-        more = [*self._passing(), *self._live_heirs()]
+            receivers = [*receivers, *self._select_occasional(receivers)]
+        elif self._round % ROUNDS_BETWEEN_REGIONS:
+            receivers = [
+                each for each in receivers if not self._is_in_other_region(each)
+            ]
+        more = [*self._starting_or_leaving(), *self._live_new_owners()]
         return list(dict.fromkeys([*receivers, *more]))
 
-    def _passing(self):
+    def _starting_or_leaving(self):
         """Return the starting and leaving VMs that get every heartbeat."""
-        return [each for each in self._members.live_others() if self._is_passing(each)]
+        return [
+            each
+            for each in self._members.live_others()
+            if self._is_starting_or_leaving(each)
+        ]
 
-    def _live_heirs(self):
+    def _live_new_owners(self):
         """Return the live owners of targets with requests from this VM."""
-        live = map(self._members.live, self._heirs())
+        live = map(self._members.live, self._new_owners())
         return [each for each in live if each is not None]
 
     def _unknown_seeds(self):
@@ -397,33 +427,37 @@
         known.add(self._settings.ip)
         return [seed for seed in self._settings.seeds if seed not in known]
 
-    def _rare(self, regular):
+    def _select_occasional(self, regular):
         """Return further VMs that get a heartbeat in a full round."""
         members, own = self._members, self._members.own
         rest = [each for each in members.others() if each not in regular]
         if members.topology.is_mesh:
-            tells = own in members.traffic() or self._is_leaving()
-            record_heartbeat = [
+            has_requests = own in members.request_handlers() or self._is_leaving()
+            seen = [
                 each
                 for each in rest
                 if each.last_heartbeat_at is not None
-                and (tells or each.failure_domain == own.failure_domain)
+                and (has_requests or each.failure_domain == own.failure_domain)
             ]
-            return [*record_heartbeat, *_some_unheard(rest)]
+            return [*seen, *_sample_unseen(rest)]
         partners = [each for each in rest if self._is_partner(each)]
         silent = [each for each in rest if members.live(each.vm) is None]
         if self._is_starting():
             # It may have received many heartbeats before it could send the first.
-            return [*partners, *_some_unheard(silent)]
+            return [*partners, *_sample_unseen(silent)]
         reported_alive = [each for each in silent if each.reported_alive]
-        return [*partners, *self._some(reported_alive), *self._some(silent)]
+        return [
+            *partners,
+            *self._sample(reported_alive),
+            *self._sample(silent),
+        ]
 
-    def _some(self, members):
+    def _sample(self, members):
         """Return a small random sample of members."""
-        near = [each for each in members if each.region == self._settings.region]
-        far = [each for each in members if each.region != self._settings.region]
-        yield from sample(near, min(NEAR_TRIED, len(near)))
-        yield from sample(far, min(FAR_TRIED, len(far)))
+        in_region = [each for each in members if each.region == self._settings.region]
+        outside = [each for each in members if each.region != self._settings.region]
+        yield from sample(in_region, min(PROBED_IN_REGION, len(in_region)))
+        yield from sample(outside, min(PROBED_OUTSIDE_REGION, len(outside)))
 
     def _echo(self, vm):
         """Return the send time of a VM's last heartbeat and the seconds since then.
@@ -435,19 +469,24 @@
             return None, None
         return sent_at, self._clock.now() - arrived_at
 
-    def _observe_trip(self, member, seconds):
+    def _record_round_trip(self, member, seconds):
         seconds = max(0.0, seconds)
-        update_moving_average(self._trips, member.vm, seconds, _TRIP_WEIGHT)
-        update_moving_average(self._region_trips, member.region, seconds, _TRIP_WEIGHT)
+        update_moving_average(self._round_trips, member.vm, seconds, _ROUND_TRIP_WEIGHT)
+        update_moving_average(
+            self._region_round_trips, member.region, seconds, _ROUND_TRIP_WEIGHT
+        )
 
-    def _log_bad(self, address, error):
-        self._bad += 1
+    def _log_malformed(self, address, error):
+        self._malformed_count += 1
         self._journal.write(
-            Event.PEER_REJECTED, peer=address[0], reason=repr(error), count=self._bad
+            Event.PEER_REJECTED,
+            peer=address[0],
+            reason=repr(error),
+            count=self._malformed_count,
         )
 
 
-def _some_unheard(members):
+def _sample_unseen(members):
     """Return a sample of the members that sent no heartbeat yet."""
-    unheard = [each for each in members if each.last_heartbeat_at is None]
-    return sample(unheard, min(MOST_GREETED, len(unheard)))
+    unseen = [each for each in members if each.last_heartbeat_at is None]
+    return sample(unseen, min(MAX_CONTACTED, len(unseen)))
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -10,10 +10,10 @@
 VM_FIELD = MemberUpdate.__slots__.index("vm")
 STAMP_FIELD = MemberUpdate.__slots__.index("stamp")
 
-#: Compression level of the news; the fastest one.
-_FAST = 1
-#: Maximum bytes of decompressed news.
-_MOST_NEWS_BYTES = 1 << 16
+#: Compression level of the updates; the fastest one.
+_COMPRESSION_LEVEL = 1
+#: Maximum bytes of decompressed updates.
+_MAX_UPDATES_BYTES = 1 << 16
 
 
 class Heartbeat:
@@ -61,8 +61,8 @@
         self.rooms = self.waits = self.losses = self.held = None
         return self
 
-    def without_news(self):
-        """Remove the news, for VMs that are no gossip partners; return ``self``."""
+    def without_updates(self):
+        """Remove the updates, for VMs that are no gossip partners; return ``self``."""
         self.news = []
         return self
 
@@ -74,49 +74,49 @@
     def pack(self):
         """Return the encoded heartbeat."""
         fields = {name: getattr(self, name) for name in self.__slots__[1:]}
-        fields["news"] = _pack_news(self.news)
+        fields["news"] = _pack_updates(self.news)
         return msgpack.packb([self.own.fields(), *fields.values()])
 
     @classmethod
-    def of(cls, fields):
+    def from_fields(cls, fields):
         """Return the heartbeat with the decoded fields.
 
         :raises TypeError: when the fields are malformed.
         :raises ValueError: when the fields are malformed.
         """
         own, *rest = fields
-        beat = cls(MemberUpdate(*own), *rest)
-        beat.news = _unpack_news(beat.news)
-        return beat
+        heartbeat = cls(MemberUpdate(*own), *rest)
+        heartbeat.news = _unpack_updates(heartbeat.news)
+        return heartbeat
 
-    def told(self, is_news=lambda vm, stamp: True):
+    def decode_updates(self, is_wanted=lambda vm, stamp: True):
         """Yield each :class:`MemberUpdate` that the sender passes on.
 
-        :param is_news: called with a VM and a stamp; returns whether the receiver wants
-            that item. Most items are duplicates, and are not decoded.
-        :raises ValueError: when an item has a wrong number of fields.
+        :param is_wanted: called with a VM and a stamp; returns whether the receiver
+            wants that update. Most updates are duplicates, and are not decoded.
+        :raises ValueError: when an update has a wrong number of fields.
         """
         for fields in self.news:
             if len(fields) != len(MemberUpdate.__slots__):
                 raise ValueError(f"{fields!r} is no news of a VM")
-            if is_news(fields[VM_FIELD], fields[STAMP_FIELD]):
+            if is_wanted(fields[VM_FIELD], fields[STAMP_FIELD]):
                 yield MemberUpdate(*fields)
 
 
-def _pack_news(news):
-    """Return the compressed news, or ``None`` if there are none."""
-    return zlib.compress(msgpack.packb(news), _FAST) if news else None
+def _pack_updates(news):
+    """Return the compressed updates, or ``None`` if there are none."""
+    return zlib.compress(msgpack.packb(news), _COMPRESSION_LEVEL) if news else None
 
 
-def _unpack_news(packed):
-    """Return the decompressed news.
+def _unpack_updates(packed):
+    """Return the decompressed updates.
 
     :raises ValueError: when the data is malformed.
     """
     if packed is None:
         return []
     try:
-        news = zlib.decompressobj().decompress(packed, _MOST_NEWS_BYTES)
+        news = zlib.decompressobj().decompress(packed, _MAX_UPDATES_BYTES)
     except zlib.error as fault:
         raise ValueError(f"news that are not compressed: {fault}") from None
     return msgpack.unpackb(news)
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -24,7 +24,7 @@
         tables,
         ledger,
         admission,
-        pressure,
+        loss_rates,
         suspects,
         services,
         clock,
@@ -33,7 +33,7 @@
         self._tables = tables
         self._ledger = ledger
         self._admission = admission
-        self._pressure = pressure
+        self._loss_rates = loss_rates
         self._suspects = suspects
         self._services = services
         self._clock = clock
@@ -52,7 +52,7 @@
             tables.targets.told,
             tables.store_answers,
             members.digest,
-            members.news(interval),
+            members.updates_to_send(interval),
             list(self._rooms()),
             list(self._waits()),
             list(self._losses()),
@@ -90,4 +90,4 @@
     def _losses(self):
         """Yield the fraction of their value that clients lose, for each service."""
         for service in self._services():
-            yield [service, round(self._pressure.rate(service), 3)]
+            yield [service, round(self._loss_rates.rate(service), 3)]
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -6,7 +6,7 @@
 #: to tolerate lost datagrams and short stalls.
 SILENCE_SECONDS = 1.1
 #: The same in intervals, for VMs that send heartbeats rarely.
-LOST_BEATS = 4
+MAX_LOST_HEARTBEATS = 4
 
 
 class Stage(IntEnum):
@@ -29,8 +29,8 @@
     """What this VM knows of one VM.
 
     :param incarnation: identifies the process; a restarted VM has a higher one.
-    :param stamp: version of the news of the VM; the highest one wins.
-    :param reported_alive: whether the news with that stamp reports the VM as live.
+    :param stamp: version of the updates of the VM; the highest one wins.
+    :param reported_alive: whether the update with that stamp reports the VM as live.
     :param dead_at: instant from which a reported death is accepted, or ``None``.
     :param stage: its :class:`Stage`.
     :param stops_since: instant at which this VM learned of the shutdown, or ``None``.
@@ -104,11 +104,11 @@
         return self.stage >= Stage.LEAVING
 
     @property
-    def patience(self):
+    def silence_timeout(self):
         """Return the seconds without a heartbeat until the VM is considered dead."""
-        return max(SILENCE_SECONDS, LOST_BEATS * self.interval)
+        return max(SILENCE_SECONDS, MAX_LOST_HEARTBEATS * self.interval)
 
-    def enter(self, stage, now):
+    def set_stage(self, stage, now):
         """Set the stage of the VM."""
         self.stage = stage
         if not self.stops:
@@ -116,11 +116,11 @@
         elif self.stops_since is None:
             self.stops_since = now
 
-    def is_heard(self, now):
+    def has_recent_heartbeat(self, now):
         """Return whether the VM's heartbeats to this VM are recent."""
         return (
             self.last_heartbeat_at is not None
-            and now - self.last_heartbeat_at <= self.patience
+            and now - self.last_heartbeat_at <= self.silence_timeout
         )
 
     def is_unreachable(self, now):
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -1,4 +1,4 @@
-"""Membership of the VMs, from their heartbeats and from news passed on by others."""
+"""Membership of the VMs, from their heartbeats and from updates passed on by others."""
 
 from heathercleat.events import Event
 from heathercleat.steering.process.membership.member import Member, Stage, make_update
@@ -10,25 +10,25 @@
 #: more than the longest interval between two rounds of heartbeats.
 PAUSE_SECONDS = 1.5
 #: Seconds that a VM reported as dead by others has to refute it.
-DOUBT = 0.5
+REFUTE_SECONDS = 0.5
 #: Minimum strength of a VM that handles requests, as a fraction of its region's
 #: strongest VM; requests at much weaker VMs would be too slow.
 STRONG_SHARE = 0.5
 #: Minimum fraction of a region's strength that these VMs must have together; otherwise
 #: all VMs of the region handle requests.
-ENOUGH_SHARE = 0.4
+MIN_STRONG_TOTAL_SHARE = 0.4
 #: Seconds for which a VM whose heartbeats stopped is ignored even if others report it
 #: as live. Otherwise a broken link would make it join and leave all the time.
-RETRY_SILENT = 10.0
+UNREACHABLE_SECONDS = 10.0
 #: Seconds after which a dead VM is removed.
-FORGET = 60.0
+FORGET_SECONDS = 60.0
 
 
 class Members:
     """All known VMs, including this one.
 
-    A VM picked by this one is live while its heartbeats arrive. For other VMs the news
-    with the highest stamp decides. A VM refutes news of its own death with a higher
+    A VM monitored by this one is live while its heartbeats arrive. For other VMs the
+    update with the highest stamp decides. A VM refutes its own death with a higher
     stamp, as in the SWIM protocol.
 
     :param settings: the :class:`NodeSettings` of this VM.
@@ -49,7 +49,7 @@
         self._live = {}
         self._active = None
         self._leaving = None
-        self._traffic = None
+        self._request_handlers = None
         self._owners = []
         self._topology_stale = False
         self._digest = None
@@ -123,11 +123,11 @@
         """
         return self.active() or self.leaving()
 
-    def traffic(self):
+    def request_handlers(self):
         """Return the VMs that handle requests: active ones and those shutting down."""
-        if self._traffic is None:
-            self._traffic = self._find_traffic()
-        return self._traffic
+        if self._request_handlers is None:
+            self._request_handlers = self._find_request_handlers()
+        return self._request_handlers
 
     def live(self, vm):
         """Return the live :class:`Member` with a name, or ``None``."""
@@ -151,32 +151,32 @@
 
     def set_serving(self, serving):
         """Set whether this VM accepts clients."""
-        self._enter(Stage.SERVING if serving else Stage.STARTING)
+        self._set_own_stage(Stage.SERVING if serving else Stage.STARTING)
 
     def leave(self):
         """Accept no new clients; own targets only if no VM is serving."""
-        self._enter(Stage.LEAVING)
+        self._set_own_stage(Stage.LEAVING)
 
     def finish(self):
         """Stop owning targets; other serving or leaving VMs become their owners."""
-        self._enter(Stage.FINISHING)
+        self._set_own_stage(Stage.FINISHING)
 
     def set_store_lost(self, store_lost):
         """Set whether this VM's calls to the store fail."""
         if self._own.store_lost != store_lost:
             self._own.store_lost = store_lost
-            self._tell_own()
+            self._queue_own_update()
 
-    def news(self, interval):
-        """Return the fields of each :class:`News` to pass on.
+    def updates_to_send(self, interval):
+        """Return the fields of each :class:`MemberUpdate` to pass on.
 
-        An empty list in a full mesh, where VMs do not depend on news.
+        An empty list in a full mesh, where VMs do not depend on updates.
 
-        :param interval: see :meth:`PendingUpdates.current`.
+        :param interval: see :meth:`PendingUpdates.names_to_send`.
         """
-        if not self.topology.tells_news:
+        if not self.topology.sends_updates:
             return []
-        known = map(self._members.get, self.pending_updates.current(interval))
+        known = map(self._members.get, self.pending_updates.names_to_send(interval))
         return [make_update(member).fields() for member in known if member is not None]
 
     def add_known(self, vm, ip, failure_domain, region):
@@ -185,141 +185,141 @@
         if member is None or (member.ip != ip and member.vm not in self._live):
             self._members[vm] = Member(vm, ip, failure_domain, region)
 
-    def record_heartbeat(self, beat):
+    def record_heartbeat(self, heartbeat):
         """Record a heartbeat; return its sender, or ``None`` if it is outdated."""
-        own = beat.own
+        own = heartbeat.own
         member = self._members.get(own.vm)
         if member is self._own or self._is_outdated(member, own):
             return None
         if member is None or member.ip != own.ip:
             member = Member(own.vm, own.ip, own.failure_domain, own.region)
             self._members[own.vm] = member
-        changed = self._is_change(member, own)
-        self._take_news(member, own)
-        member.interval = beat.interval
-        self._note_versions(member, beat)
-        member.store_answers = beat.store_answers
-        member.digest = beat.digest
-        member.suspects_digest = beat.suspects_digest
+        changed = self._changes_membership(member, own)
+        self._apply_update(member, own)
+        member.interval = heartbeat.interval
+        self._record_versions(member, heartbeat)
+        member.store_answers = heartbeat.store_answers
+        member.digest = heartbeat.digest
+        member.suspects_digest = heartbeat.suspects_digest
         member.last_heartbeat_at = self._clock.now()
         member.unreachable_until = None
         member.dead_at = None
-        self._weigh_stamp(member, own)
+        self._apply_own_stamp(member, own)
         if changed:
-            self._join(member)
+            self._add_live(member)
         return member
 
-    def is_news(self, vm, stamp):
-        """Return whether news of a VM with a stamp is new or may need a refutation."""
+    def is_newer(self, vm, stamp):
+        """Return whether an update with a stamp is new or may need a refutation."""
         member = self._members.get(vm)
         if member is self._own:
             return stamp >= member.stamp
         return member is None or stamp > member.stamp
 
-    def told(self, news):
-        """Merge :class:`News` received from another VM."""
-        if news.vm == self._own.vm:
-            self._refute(news)
+    def merge_update(self, update):
+        """Merge :class:`MemberUpdate` received from another VM."""
+        if update.vm == self._own.vm:
+            self._refute(update)
             return
-        member = self._members.get(news.vm)
+        member = self._members.get(update.vm)
         if member is None:
-            member = Member(news.vm, news.ip, news.failure_domain, news.region)
-            self._members[news.vm] = member
-        if news.stamp <= member.stamp:
+            member = Member(update.vm, update.ip, update.failure_domain, update.region)
+            self._members[update.vm] = member
+        if update.stamp <= member.stamp:
             return
-        member.stamp = news.stamp
-        member.reported_alive = news.live
-        self._spread(member)
+        member.stamp = update.stamp
+        member.reported_alive = update.live
+        self._queue_update(member)
         now = self._clock.now()
-        member.dead_at = None if news.live else now + DOUBT
+        member.dead_at = None if update.live else now + REFUTE_SECONDS
         # Recent heartbeats override reports of a death. Reports that the VM is live
         # originate from itself, and are newer than its heartbeats here.
-        if not news.live and member.is_heard(now):
+        if not update.live and member.has_recent_heartbeat(now):
             return
-        changed = self._is_change(member, news)
-        self._take_news(member, news)
-        if news.live and changed and not member.is_unreachable(now):
-            self._join(member)
+        changed = self._changes_membership(member, update)
+        self._apply_update(member, update)
+        if update.live and changed and not member.is_unreachable(now):
+            self._add_live(member)
 
     def check(self):
         """Remove VMs that are silent or reported dead, and update the topology."""
         now = self._clock.now()
-        self._forgive_pause(now)
+        self._compensate_pause(now)
         self._live[self._own.vm] = self._own
         lost = [each for each in self.live_others() if self._is_lost(each, now)]
         for member in lost:
-            self._lose(member, now)
+            self._remove_live(member, now)
         if lost:
-            self._changed()
+            self._membership_changed()
         if self._topology_stale or self.topology.is_outdated():
             self._update_topology()
         for member in self.others():
-            self._reconsider(member, now)
+            self._remove_or_rejoin(member, now)
 
-    def _note_versions(self, member, beat):
-        member.operator_version = beat.operator_version
-        member.target_version = beat.target_version
+    def _record_versions(self, member, heartbeat):
+        member.operator_version = heartbeat.operator_version
+        member.target_version = heartbeat.target_version
         self._newest_operator_version = max(
-            self._newest_operator_version, beat.operator_version
+            self._newest_operator_version, heartbeat.operator_version
         )
         self._newest_target_version = max(
-            self._newest_target_version, beat.target_version
+            self._newest_target_version, heartbeat.target_version
         )
 
-    def _reconsider(self, member, now):
+    def _remove_or_rejoin(self, member, now):
         """Delete a VM that died long ago; add a lost one that others report as live."""
         if member.vm in self._live or member.lost_at is None:
             return
-        if now - member.lost_at > FORGET:
+        if now - member.lost_at > FORGET_SECONDS:
             del self._members[member.vm]
             self._digest = None
         elif member.reported_alive and not member.is_unreachable(now):
-            self._join(member)
+            self._add_live(member)
 
-    def _enter(self, stage):
+    def _set_own_stage(self, stage):
         if self._own.stage == stage:
             return
-        self._own.enter(stage, self._clock.now())
+        self._own.set_stage(stage, self._clock.now())
         self.check()
-        self._tell_own()
-        self._changed()
+        self._queue_own_update()
+        self._membership_changed()
 
-    def _find_traffic(self):
+    def _find_request_handlers(self):
         """Return the active VMs and the strong ones that are shutting down."""
         strong = _find_strong(self.serving_or_stopping())
         stopping = (each for each in strong if each.stops)
         return [*self.active(), *stopping]
 
-    def _take_news(self, member, news):
-        if member.incarnation != news.incarnation:
+    def _apply_update(self, member, update):
+        if member.incarnation != update.incarnation:
             member.stops_since = None
-        member.incarnation = news.incarnation
-        member.enter(news.stage, self._clock.now())
-        member.store_lost = news.store_lost
-        member.strength = news.strength
+        member.incarnation = update.incarnation
+        member.set_stage(update.stage, self._clock.now())
+        member.store_lost = update.store_lost
+        member.strength = update.strength
 
-    def _is_change(self, member, news):
-        """Return whether news changes the live VMs or the stage of one."""
+    def _changes_membership(self, member, update):
+        """Return whether an update changes the live VMs or the stage of one."""
         return (
             self._live.get(member.vm) is not member
-            or member.stage != news.stage
-            or member.incarnation != news.incarnation
+            or member.stage != update.stage
+            or member.incarnation != update.incarnation
         )
 
-    def _is_outdated(self, member, news):
+    def _is_outdated(self, member, update):
         """Return whether a heartbeat is from an earlier process of a live VM.
 
         Lower incarnations are accepted once the VM is not live, since they derive from
         the wall clock, which may have been set back.
         """
-        if member is None or news.incarnation >= member.incarnation:
+        if member is None or update.incarnation >= member.incarnation:
             return False
         return member.vm in self._live
 
-    def _weigh_stamp(self, member, own):
+    def _apply_own_stamp(self, member, own):
         """Apply the stamp in a VM's own heartbeat.
 
-        News of a new process is not passed on, since it contacts all VMs itself. If
+        The update of a new process is not passed on, as it contacts all VMs itself. If
         another VM reported it as dead with a higher stamp, that report is passed on to
         it, so that it can refute it.
         """
@@ -332,55 +332,58 @@
         elif not member.reported_alive:
             self.pending_updates.add(member.vm)
 
-    def _refute(self, news):
-        """Refute news of this VM that is wrong, with a higher stamp."""
-        if news.stamp < self._own.stamp:
+    def _refute(self, update):
+        """Refute a wrong update of this VM, with a higher stamp."""
+        if update.stamp < self._own.stamp:
             return
         own = make_update(self._own)
-        own.stamp = news.stamp
-        if own.fields() != news.fields():
-            self._own.stamp = news.stamp
-            self._tell_own()
+        own.stamp = update.stamp
+        if own.fields() != update.fields():
+            self._own.stamp = update.stamp
+            self._queue_own_update()
 
-    def _tell_own(self):
+    def _queue_own_update(self):
         self._own.stamp += 1
-        self._spread(self._own)
+        self._queue_update(self._own)
 
-    def _spread(self, member):
+    def _queue_update(self, member):
         self._digest = None
         self.pending_updates.add(member.vm)
 
-    def _join(self, member):
+    def _add_live(self, member):
         member.lost_at = None
         self._live[member.vm] = member
         self._journal.write(Event.MEMBER_JOINED, peer=member.vm, serving=member.serving)
-        self._changed()
+        self._membership_changed()
 
     def _update_topology(self):
         """Update the topology; at most once per round, since changes come in bursts."""
         self._topology_stale = False
-        self.topology.update(self.live_others(), self.traffic())
+        self.topology.update(self.live_others(), self.request_handlers())
 
     def _is_lost(self, member, now):
-        if member.is_heard(now):
+        if member.has_recent_heartbeat(now):
             return False
         if not member.reported_alive:
             return member.dead_at is None or now >= member.dead_at
         monitored_since = self.topology.monitored_since(member.vm)
-        return monitored_since is not None and now - monitored_since > member.patience
+        return (
+            monitored_since is not None
+            and now - monitored_since > member.silence_timeout
+        )
 
-    def _lose(self, member, now):
+    def _remove_live(self, member, now):
         del self._live[member.vm]
         member.lost_at = now
         member.dead_at = None
         if member.reported_alive:
-            member.unreachable_until = now + RETRY_SILENT
+            member.unreachable_until = now + UNREACHABLE_SECONDS
             # An expected exit does not indicate a failure of the domain.
             if not member.stops:
                 self.topology.suspect(member.failure_domain)
             member.reported_alive = False
             member.stamp += 1
-            self._spread(member)
+            self._queue_update(member)
         last_heartbeat_at = member.last_heartbeat_at
         self._journal.write(
             Event.MEMBER_DEAD,
@@ -390,7 +393,7 @@
             else round(now - last_heartbeat_at, 3),
         )
 
-    def _forgive_pause(self, now):
+    def _compensate_pause(self, now):
         """Extend the timeouts of other VMs by a pause of this process."""
         pause = now - self._checked_at
         self._checked_at = now
@@ -403,9 +406,9 @@
                 member.dead_at += pause
         self._journal.write(Event.VM_PAUSED, gap=round(pause, 3))
 
-    def _changed(self):
+    def _membership_changed(self):
         """Invalidate what depends on the live VMs; run callbacks for new owners."""
-        self._active = self._leaving = self._traffic = None
+        self._active = self._leaving = self._request_handlers = None
         self._topology_stale = True
         owners = [(each.vm, each.ip) for each in self.owners()]
         if owners == self._owners:
@@ -418,14 +421,16 @@
 def _find_strong(members):
     """Yield the strong VMs of each region, or all VMs if the strong ones are too few.
 
-    See :data:`STRONG_SHARE` and :data:`ENOUGH_SHARE`.
+    See :data:`STRONG_SHARE` and :data:`MIN_STRONG_TOTAL_SHARE`.
     """
     regions = {}
     for member in members:
         regions.setdefault(member.region, []).append(member)
     for members in regions.values():
-        least = STRONG_SHARE * max(each.strength for each in members)
-        strong = [each for each in members if each.strength >= least]
+        min_strength = STRONG_SHARE * max(each.strength for each in members)
+        strong = [each for each in members if each.strength >= min_strength]
         total = sum(each.strength for each in members)
-        enough = sum(each.strength for each in strong) >= ENOUGH_SHARE * total
-        yield from strong if enough else members
+        suffices = (
+            sum(each.strength for each in strong) >= MIN_STRONG_TOTAL_SHARE * total
+        )
+        yield from strong if suffices else members
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -214,7 +214,7 @@
             self._members,
             self._admission,
             self._capacity_reports,
-            self._gossip.trip,
+            self._gossip.round_trip,
             self._response_times,
             clock,
         )
@@ -226,7 +226,7 @@
             ForwardDispatcher(self._peer_pool, settings.forward_port, clock),
             self._members,
             self._capacity_reports,
-            self._gossip.trip,
+            self._gossip.round_trip,
             self._containment,
         )
         self._steering = Steering(
@@ -247,7 +247,7 @@
         settings, journal, clock = self._settings, self._journal, self.clock
         self._warm_connections = WarmConnections(
             self._peer_pool,
-            self._gossip.partners,
+            self._gossip.reporting_members,
             settings.region,
             settings.forward_port,
             clock,
@@ -335,7 +335,7 @@
     def _loops(self):
         return (
             self._gossip.listen,
-            self._gossip.beat,
+            self._gossip.run,
             self._tables.operator.run,
             self._tables.targets.run,
             self._tables.follow_members,
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -185,15 +185,15 @@
         """
         own = self._members.own
         active = self._members.active() or [own, *self._members.live_others()]
-        near = [
+        in_region = [
             member
             for member in active
             if member.region == own.region and member is not own
         ]
-        answered = [member.vm for member in near if not member.store_lost]
-        if not self.store_lost and (own in active or not near):
+        answered = [member.vm for member in in_region if not member.store_lost]
+        if not self.store_lost and (own in active or not in_region):
             answered.append(own.vm)
-        names = answered or [own.vm, *(member.vm for member in near)]
+        names = answered or [own.vm, *(member.vm for member in in_region)]
         regions = len(set(self._settings.regions.values()))
         return own.vm in rank_by_weight("reader", names)[: ceil(READERS / regions)]
 
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -51,9 +51,9 @@
         self.sent[sender.name] += 1
         self.bytes_sent += len(data)
         self.datagram = data
-        beat = Heartbeat.of(first_object(data))
+        beat = Heartbeat.from_fields(first_object(data))
         self.suspects_told += len(beat.suspects)
-        for news in beat.told():
+        for news in beat.decode_updates():
             self.told[news.vm] += 1
         receiver = self.vms.get(ip)
         if receiver is None or not receiver.running or self.is_cut(sender, receiver):
@@ -142,7 +142,7 @@
 
     def take(self, data):
         """Take a datagram."""
-        self.gossip.take(data)
+        self.gossip.receive(data)
 
     def step(self):
         """Send the heartbeats that are due."""
@@ -159,7 +159,7 @@
             0,
             False,
             self.members.digest,
-            self.members.news(interval),
+            self.members.updates_to_send(interval),
             [],
             [],
             [],
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -137,7 +137,7 @@
 
     def take(self, data):
         """Take a datagram, and greet a VM that was not live before."""
-        newcomer = self.gossip.take(data)
+        newcomer = self.gossip.receive(data)
         if newcomer is not None:
             drive(self.gossip._send_all([newcomer]))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -246,7 +246,7 @@
 
 def test_small_fleet_tells_no_news():
     network = start(MAX_MESH_SIZE)
-    assert all(vm.members.news(INTERVAL) == [] for vm in network.running())
+    assert all(vm.members.updates_to_send(INTERVAL) == [] for vm in network.running())
 
 
 def start_mixed(strong, weak, loss=0.0):
@@ -310,7 +310,7 @@
     strangers = []
 
     def is_cut(sender, receiver):
-        if Heartbeat.of(first_object(network.datagram)).news:
+        if Heartbeat.from_fields(first_object(network.datagram)).news:
             known = sender.members.find(receiver.name)
             if not sender.gossip._is_partner(known):
                 strangers.append(receiver.name)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -373,8 +373,8 @@
     Mutation(
         "RECOVER",
         f"{STEERING}/process/membership/gossip.py",
-        "to_all = now >= self._idle_at or self._is_starting()",
-        "to_all = now >= self._idle_at",
+        "now >= self._next_full_round_at or self._is_starting()",
+        "now >= self._next_full_round_at",
         "tests/test_membership.py",
         "-k",
         "soon",
@@ -382,7 +382,7 @@
     Mutation(
         "MEMBERS-refutation",
         f"{STEERING}/process/membership/members.py",
-        "        if own.fields() != news.fields():",
+        "        if own.fields() != update.fields():",
         "        if False:",
         "tests/test_membership.py",
     ),
@@ -448,7 +448,7 @@
     Mutation(
         "STOP-next-process-not-greeted",
         f"{STEERING}/process/membership/gossip.py",
-        " or before.incarnation != beat.own.incarnation",
+        " or before.incarnation != heartbeat.own.incarnation",
         "",
         "tests/test_fleet_stops.py",
         "-k",
@@ -466,8 +466,8 @@
     Mutation(
         "SIZE-silent-start",
         f"{STEERING}/process/membership/gossip.py",
-        "min(unheard / MOST_PER_SECOND, IDLE_INTERVAL)",
-        "unheard / MOST_PER_SECOND",
+        "min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL)",
+        "unseen / MAX_HEARTBEATS_PER_SECOND",
         "tests/test_membership.py",
         "-k",
         "silent_for_long",
@@ -475,8 +475,8 @@
     Mutation(
         "SIZE-greets-all",
         f"{STEERING}/process/membership/gossip.py",
-        "return sample(unheard, min(MOST_GREETED, len(unheard)))",
-        "return unheard",
+        "return sample(unseen, min(MAX_CONTACTED, len(unseen)))",
+        "return unseen",
         "tests/test_membership.py",
         "-k",
         "greetings",
@@ -493,8 +493,8 @@
     Mutation(
         "SIZE-news-told-often",
         f"{STEERING}/process/membership/pending_updates.py",
-        "TELL_HEARTBEATS = 2.5",
-        "TELL_HEARTBEATS = 25",
+        "SEND_HEARTBEATS = 2.5",
+        "SEND_HEARTBEATS = 25",
         "tests/test_membership.py",
         "-k",
         "few_times",
@@ -583,7 +583,7 @@
     Mutation(
         "HANDOVER-successors",
         f"{STEERING}/process/membership/gossip.py",
-        "        notified = self._successors()\n",
+        "        notified = self._pop_new_owners()\n",
         "        notified = set()\n",
         "tests/test_handing_over.py",
         "-k",
@@ -592,7 +592,7 @@
     Mutation(
         "HANDOVER-stage-told-at-once",
         f"{STEERING}/process/membership/gossip.py",
-        "            notified.update(each.vm for each in near)\n",
+        "            notified.update(each.vm for each in in_domain)\n",
         "            pass\n",
         "tests/test_handing_over.py",
         "-k",
@@ -601,7 +601,7 @@
     Mutation(
         "HANDOVER-heirs",
         f"{STEERING}/process/membership/gossip.py",
-        "        live = map(self._members.live, self._heirs())\n",
+        "        live = map(self._members.live, self._new_owners())\n",
         "        live = []\n",
         "tests/test_handing_over.py",
         "-k",
@@ -709,8 +709,8 @@
     Mutation(
         "QUARANTINE-news",
         f"{STEERING}/process/membership/gossip.py",
-        "is_partner and differs)",
-        "False)",
+        "is_partner and differs\n",
+        "False\n",
         "tests/test_quarantine_spread.py",
         "-k",
         "in_time or starts",
@@ -718,8 +718,8 @@
     Mutation(
         "QUARANTINE-told-until-equal",
         f"{STEERING}/process/membership/gossip.py",
-        "is_partner and differs)",
-        "is_partner and bool(self._suspects.digest))",
+        "is_partner and differs\n",
+        "is_partner and bool(self._suspects.digest)\n",
         "tests/test_quarantine_spread.py",
         "-k",
         "nothing_is_told",
