--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -118,7 +118,7 @@
     rows = [[row.key, row.value, row.version] for row in snapshot.rows]
     fields = [
         snapshot.version,
-        snapshot.changed,
+        snapshot.last_change,
         rows,
         snapshot.lapsing,
         snapshot.is_whole,
@@ -135,6 +135,6 @@
         packed = zlib.decompress(body)
     except zlib.error as fault:
         raise ValueError(f"not compressed: {fault}") from None
-    version, changed, rows, lapsing, is_whole = msgpack.unpackb(packed)
+    version, last_change, rows, lapsing, is_whole = msgpack.unpackb(packed)
     rows = [StoreRow(*fields) for fields in rows]
-    return Snapshot(version, rows, changed, lapsing, is_whole)
+    return Snapshot(version, rows, last_change, lapsing, is_whole)
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -48,8 +48,8 @@
         return Heartbeat(
             make_update(members.own),
             interval,
-            tables.operator.told,
-            tables.targets.told,
+            tables.operator.announced_change,
+            tables.targets.announced_change,
             tables.store_answers,
             members.digest,
             members.updates_to_send(interval),
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -117,7 +117,7 @@
         try:
             news = decode_quarantine(row, self._clock)
         except ValueError as error:
-            self._rejections.note(row.key, error)
+            self._rejections.log(row.key, error)
             return
         if news is not None:
             self._suspects.told(news)
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -19,7 +19,7 @@
 SETTLE_SECONDS = 1.0
 #: Seconds for which a response shows that the store answers this VM; more than the
 #: longest time between two responses to a reader.
-ANSWER_LIFE = 2.5
+RESPONSE_TTL_SECONDS = 2.5
 #: Seconds between two requests to other VMs while one of them has a newer change.
 PEER_INTERVAL = 0.1
 #: Maximum seconds between two checks for newer changes at other VMs.
@@ -96,45 +96,45 @@
         self._journal = journal
         self._clock = clock
         self._copy = TableCopy()
-        self._newer_heard = Signal()
+        self._newer_announced = Signal()
         self._behind_since = None
-        self._told_changed = 0
+        self._announced_change = 0
         self._first_read_at = None
-        self._loaded = False
+        self._is_loaded = False
         self._outage = None
         self._read_at = None
-        self._try_at = 0.0
+        self._retry_at = 0.0
         # Instant until which this VM leaves reading to VMs that called more often.
         self._yields_until = 0.0
 
     @property
-    def changed(self):
+    def last_change(self):
         """Return the store version of the last significant change."""
-        return self._copy.changed
+        return self._copy.last_change
 
     @property
-    def told(self):
+    def announced_change(self):
         """Return the last change that this VM announces to others.
 
         The version of the first read at the start is not announced, since it is higher
         without being a change, and every VM would fetch the table. Readers announce it
         after :data:`SETTLE_SECONDS`, in case nobody else can.
         """
-        if self._told_changed < self.changed and self._reads_for_others():
-            self._told_changed = self.changed
-        return self._told_changed
+        if self._announced_change < self.last_change and self._announces_first_read():
+            self._announced_change = self.last_change
+        return self._announced_change
 
     @property
-    def lost(self):
+    def is_store_lost(self):
         """Return whether the last call to the store failed."""
         return self._outage is not None
 
     @property
-    def answered(self):
+    def is_answered(self):
         """Return whether the store recently answered a call of this VM."""
-        if self.lost or self._read_at is None:
+        if self.is_store_lost or self._read_at is None:
             return False
-        return self._clock.now() <= self._read_at + ANSWER_LIFE
+        return self._clock.now() <= self._read_at + RESPONSE_TTL_SECONDS
 
     @property
     def read_at(self):
@@ -143,43 +143,43 @@
 
     def snapshot(self, after=0):
         """Return a :class:`Snapshot` of the changes since a version; 0 for all rows."""
-        return self._copy.since(after, self._lapsing())
+        return self._copy.changes_since(after, self._lapsing())
 
     async def wake_if_behind(self):
         """Fetch the table from another VM now, if one announced a newer change."""
-        if self._is_behind() and not self._newer_heard.is_set():
-            await self._newer_heard.set()
+        if self._is_behind() and not self._newer_announced.is_set():
+            await self._newer_announced.set()
 
     async def run(self):
         """Follow the table until cancelled."""
         while True:
-            if self._may_read():
-                await sleep(await self._read_beside_peers())
+            if self._can_read():
+                await sleep(await self._read_and_watch_peers())
             else:
-                self._reconsider_outage()
-                await self._ask_peer()
-                await self._pause_for_peers()
+                self._update_outage()
+                await self._fetch_from_peer()
+                await self._wait_for_peers()
 
-    async def _pause_for_peers(self):
+    async def _wait_for_peers(self):
         """Wait until the next check for newer changes at other VMs.
 
         The wait is longer while none is known, to save wake-ups of an idle process.
         """
-        if self.lost or self._is_behind():
+        if self.is_store_lost or self._is_behind():
             await sleep(PEER_INTERVAL)
             return
-        self._newer_heard.clear()
+        self._newer_announced.clear()
         async with ignore_after(IDLE_PEER_INTERVAL):
-            await self._newer_heard.wait()
+            await self._newer_announced.wait()
 
-    def _may_read(self):
-        if not self._loaded:
+    def _can_read(self):
+        if not self._is_loaded:
             return True
         if self._is_reader():
             return self._clock.now() >= self._yields_until
-        return self.lost and self._clock.now() >= self._try_at
+        return self.is_store_lost and self._clock.now() >= self._retry_at
 
-    async def _read_beside_peers(self):
+    async def _read_and_watch_peers(self):
         """Make one call and return the seconds until the next one.
 
         Also accept changes from other VMs meanwhile, since a call whose response is
@@ -193,7 +193,7 @@
 
     def _is_behind(self):
         """Return whether another VM announced a newer change; record since when."""
-        if self._newest() <= self.changed:
+        if self._newest() <= self.last_change:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = self._clock.now()
@@ -201,101 +201,101 @@
 
     async def _watch_peers(self):
         while True:
-            await self._pause_for_peers()
-            await self._ask_peer()
+            await self._wait_for_peers()
+            await self._fetch_from_peer()
 
     async def _read_store(self):
         """Make one call and return the seconds until the next one."""
         began_at = self._clock.now()
         is_total = not self._is_answered_elsewhere()
         try:
-            await self._step()
+            await self._call_store()
         except HistoryLostError:
-            self._loaded = False
+            self._is_loaded = False
             return 0.0
         except PlatformError as error:
-            self._note_lost(error, began_at, is_total)
-            await self._ask_peer()
-            self._try_at = self._clock.now() + IDLE_RETRY_INTERVAL
+            self._record_failure(error, began_at, is_total)
+            await self._fetch_from_peer()
+            self._retry_at = self._clock.now() + IDLE_RETRY_INTERVAL
             return uniform(0.5, 1.5) * RETRY_INTERVAL
         return uniform(0.8, 1.2) * self._pause
 
-    async def _step(self):
-        if not self._loaded:
+    async def _call_store(self):
+        if not self._is_loaded:
             snapshot = await self._store.read(self._table)
-            self._note_answer()
-            self._take_whole(snapshot)
+            self._record_response()
+            self._apply_whole(snapshot)
             return
         # During an outage, a call that waits for changes would detect its end late.
-        wait = 0.0 if self.lost else self._wait
-        only_asks = self.lost and not self._is_reader()
+        wait = 0.0 if self.is_store_lost else self._wait
+        is_probe = self.is_store_lost and not self._is_reader()
         changes = await self._store.follow(self._table, self._copy.version, wait)
-        self._note_answer()
-        if only_asks:
+        self._record_response()
+        if is_probe:
             # This VM calls rarely, so it cannot tell when the outage ended and for how
             # long removed rows may still be used.
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
-        self._take_changes(changes)
-        self._told_changed = self.changed
+        self._apply_changes(changes)
+        self._announced_change = self.last_change
 
-    async def _ask_peer(self):
+    async def _fetch_from_peer(self):
         if not self._is_behind():
             return
         try:
-            snapshot = await self._relay(self.changed, self._behind_since)
+            snapshot = await self._relay(self.last_change, self._behind_since)
         except PeerError as error:
             self._journal.write(
                 Event.STATE_NOT_FETCHED, table=self._table, reason=str(error)
             )
             return
-        if snapshot is not None and snapshot.changed > self.changed:
+        if snapshot is not None and snapshot.last_change > self.last_change:
             self._journal.write(
-                Event.STATE_FROM_PEER, table=self._table, version=snapshot.changed
+                Event.STATE_FROM_PEER, table=self._table, version=snapshot.last_change
             )
-            self._take_relayed(snapshot)
+            self._apply_relayed(snapshot)
 
-    def _reads_for_others(self):
+    def _announces_first_read(self):
         if self._first_read_at is None:
             return False
-        settled = self._clock.now() >= self._first_read_at + SETTLE_SECONDS
-        return settled and self._is_reader()
+        is_settled = self._clock.now() >= self._first_read_at + SETTLE_SECONDS
+        return is_settled and self._is_reader()
 
-    def _take_whole(self, snapshot):
+    def _apply_whole(self, snapshot):
         """Apply all rows of the table, as read from the store.
 
         After a lost history the rows may include a change that no later response
         contains, so the version is announced at once.
         """
-        first, self._loaded = not self._copy.version, True
+        is_first, self._is_loaded = not self._copy.version, True
         if not self._copy.replace_all(snapshot):
             return
         keys = self._apply(snapshot)
-        if keys or first:
+        if keys or is_first:
             self._copy.record_changes(keys, snapshot.version)
-        if first:
+        if is_first:
             self._first_read_at = self._clock.now()
         else:
-            self._told_changed = self.changed
+            self._announced_change = self.last_change
 
-    def _take_changes(self, snapshot):
+    def _apply_changes(self, snapshot):
         """Apply changed rows from the store."""
         keys = self._apply(self._copy.merge_changes(snapshot))
         if keys:
             self._copy.record_changes(keys, self._copy.version)
 
-    def _take_relayed(self, snapshot):
+    def _apply_relayed(self, snapshot):
         """Apply all or changed rows from another VM."""
         if not snapshot.is_whole:
             self._apply(self._copy.merge_changes(snapshot))
         elif self._copy.replace_all(snapshot):
             self._apply(snapshot)
-        self._loaded = True
+        self._is_loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.record_changes(keys, snapshot.changed)
-        self._told_changed = self.changed
+        self._copy.record_changes(keys, snapshot.last_change)
+        self._announced_change = self.last_change
 
-    def _note_lost(self, error, began_at, is_total):
+    def _record_failure(self, error, began_at, is_total):
         if self._outage is None:
             self._outage = Outage(self._clock.now())
             self._journal.write(
@@ -307,16 +307,16 @@
         self._outage.tried_at = began_at
         self._outage.is_total = is_total
 
-    def _reconsider_outage(self):
+    def _update_outage(self):
         """Mark the outage as total if the store answers no VM any more.
 
         Checked between calls too, because other VMs still report responses for
-        :data:`ANSWER_LIFE` after an outage began.
+        :data:`RESPONSE_TTL_SECONDS` after an outage began.
         """
-        if self.lost and not self._is_answered_elsewhere():
+        if self.is_store_lost and not self._is_answered_elsewhere():
             self._outage.is_total = True
 
-    def _note_answer(self):
+    def _record_response(self):
         self._read_at = self._clock.now()
         outage, self._outage = self._outage, None
         if outage is None:
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -22,22 +22,22 @@
     """All rows of a table, or the rows that changed since some version.
 
     :param version: the store version of the rows.
-    :param changed: the version of the last significant change.
+    :param last_change: the version of the last significant change.
     :param lapsing: seconds for which the sending VM still uses removed rows, by key;
         ``None`` if the snapshot is from the store.
     :param is_whole: whether it has all rows of the table.
     """
 
-    __slots__ = ("version", "rows", "changed", "lapsing", "is_whole")
+    __slots__ = ("version", "rows", "last_change", "lapsing", "is_whole")
 
-    def __init__(self, version, rows, changed=None, lapsing=None, is_whole=True):
+    def __init__(self, version, rows, last_change=None, lapsing=None, is_whole=True):
         self.version = version
         self.rows = rows
-        self.changed = version if changed is None else changed
+        self.last_change = version if last_change is None else last_change
         self.lapsing = lapsing
         self.is_whole = is_whole
 
-    def age(self, seconds):
+    def reduce_lapsing(self, seconds):
         """Reduce the remaining times by the seconds that the transfer took."""
         if self.lapsing is not None:
             self.lapsing = {key: each - seconds for key, each in self.lapsing.items()}
--- a/src/heathercleat/steering/process/store/rejected_rows.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -7,7 +7,7 @@
 #: Length of a window, in seconds.
 WINDOW_SECONDS = 10.0
 #: Maximum characters of a key and of a reason in a line.
-_SHOWN = 200
+_MAX_SHOWN_CHARS = 200
 
 
 class RejectedRowLog:
@@ -20,7 +20,7 @@
         self._lines = 0
         self._omitted = 0
 
-    def note(self, key, error):
+    def log(self, key, error):
         """Log a rejected row, or count it if the rate limit is reached."""
         now = self._clock.now()
         if now >= self._window_until:
@@ -32,8 +32,8 @@
         self._lines += 1
         self._journal.write(
             Event.ROW_REJECTED,
-            key=key[:_SHOWN],
-            reason=str(error)[:_SHOWN],
+            key=key[:_MAX_SHOWN_CHARS],
+            reason=str(error)[:_MAX_SHOWN_CHARS],
             left_out=self._omitted,
         )
         self._omitted = 0
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -5,7 +5,7 @@
 #: Maximum remembered removals. A VM that missed more of them gets the whole table.
 MAX_REMOVALS = 1024
 #: Maximum remembered :class:`Gap` objects.
-MOST_GAPS = 16
+MAX_GAPS = 16
 
 
 class Gap:
@@ -23,7 +23,7 @@
         self.since = since
         self.until = until
 
-    def holds(self, version):
+    def contains(self, version):
         """Return whether a version is inside the range."""
         return self.since < version < self.until
 
@@ -39,22 +39,22 @@
     __slots__ = (
         "_rows",
         "_version",
-        "_changed",
-        "_changed_at",
+        "_last_change",
+        "_change_versions",
         "_removals",
-        "_floor",
+        "_removals_since",
         "_gaps",
     )
 
     def __init__(self):
         self._rows = {}
         self._version = 0
-        self._changed = 0
+        self._last_change = 0
         # By key: version of the last significant change, and of the removal.
-        self._changed_at = {}
+        self._change_versions = {}
         self._removals = {}
         # Version since which all removals are remembered.
-        self._floor = 0
+        self._removals_since = 0
         self._gaps = []
 
     @property
@@ -63,9 +63,9 @@
         return self._version
 
     @property
-    def changed(self):
+    def last_change(self):
         """Return the store version of the last significant change."""
-        return self._changed
+        return self._last_change
 
     @property
     def rows(self):
@@ -78,16 +78,16 @@
         It may be older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
-            self._changed = max(self._changed, snapshot.changed)
+            self._last_change = max(self._last_change, snapshot.last_change)
             return False
         if self._version:
-            self._note_gap(Gap(self._version, snapshot.version))
+            self._add_gap(Gap(self._version, snapshot.version))
         else:
-            self._floor = snapshot.version
+            self._removals_since = snapshot.version
         self._version = snapshot.version
         before, self._rows = self._rows, {row.key: row for row in snapshot.rows}
         for key in before.keys() - self._rows.keys():
-            self._forget(key, snapshot.version)
+            self._record_removal(key, snapshot.version)
         for key in self._rows.keys() - before.keys():
             self._removals.pop(key, None)
         return True
@@ -98,10 +98,14 @@
         Rows may be newer than the version of the table, which is read in pages, and
         must not be overwritten by older changes.
         """
-        news = [each for each in snapshot.rows if self._take(each)]
+        new_rows = [each for each in snapshot.rows if self._merge_row(each)]
         self._version = max(self._version, snapshot.version)
         return Snapshot(
-            self._version, news, snapshot.changed, snapshot.lapsing, is_whole=False
+            self._version,
+            new_rows,
+            snapshot.last_change,
+            snapshot.lapsing,
+            is_whole=False,
         )
 
     def record_changes(self, keys, version):
@@ -109,63 +113,63 @@
 
         :param version: the version of the table's last significant change.
         """
-        self._changed = max(self._changed, version)
+        self._last_change = max(self._last_change, version)
         for key in keys:
             row = self._rows.get(key)
             if row is not None:
-                self._changed_at[key] = min(row.version, self._changed)
+                self._change_versions[key] = min(row.version, self._last_change)
 
-    def since(self, version, lapsing):
+    def changes_since(self, version, lapsing):
         """Return a :class:`Snapshot` of the significant changes since a version.
 
         It is whole if the version is 0 or removals since then may be unknown here.
 
         :param lapsing: see :class:`Snapshot`.
         """
-        if version < self._floor or not version or self._is_in_gap(version):
-            return Snapshot(self._version, self.rows, self._changed, lapsing)
+        if version < self._removals_since or not version or self._is_in_gap(version):
+            return Snapshot(self._version, self.rows, self._last_change, lapsing)
         rows = [
             row
             for key, row in self._rows.items()
-            if self._changed_at.get(key, row.version) > version
+            if self._change_versions.get(key, row.version) > version
         ]
         rows.extend(
             StoreRow(key, None, removed)
             for key, removed in self._removals.items()
             if removed > version
         )
-        return Snapshot(self._version, rows, self._changed, lapsing, is_whole=False)
+        return Snapshot(self._version, rows, self._last_change, lapsing, is_whole=False)
 
     def _is_in_gap(self, version):
-        return any(gap.holds(version) for gap in self._gaps)
+        return any(gap.contains(version) for gap in self._gaps)
 
-    def _note_gap(self, gap):
+    def _add_gap(self, gap):
         self._gaps.append(gap)
-        if len(self._gaps) > MOST_GAPS:
-            self._floor = max(self._floor, self._gaps.pop(0).until)
+        if len(self._gaps) > MAX_GAPS:
+            self._removals_since = max(self._removals_since, self._gaps.pop(0).until)
 
-    def _take(self, row):
+    def _merge_row(self, row):
         """Merge one changed row; return whether it was new."""
         known = self._rows.get(row.key)
-        if row.version <= (known.version if known else self._gone_at(row.key)):
+        if row.version <= (known.version if known else self._removed_at(row.key)):
             return False
         if row.value is None:
             self._rows.pop(row.key, None)
-            self._forget(row.key, row.version)
+            self._record_removal(row.key, row.version)
             return known is not None
         self._removals.pop(row.key, None)
         self._rows[row.key] = row
         return True
 
-    def _gone_at(self, key):
+    def _removed_at(self, key):
         """Return the latest version at which a missing row is known to be missing."""
-        return max(self._floor, self._removals.get(key, 0))
+        return max(self._removals_since, self._removals.get(key, 0))
 
-    def _forget(self, key, version):
+    def _record_removal(self, key, version):
         """Record the removal of a row."""
-        self._changed_at.pop(key, None)
+        self._change_versions.pop(key, None)
         self._removals.pop(key, None)
         self._removals[key] = version
         if len(self._removals) > MAX_REMOVALS:
             oldest = next(iter(self._removals))
-            self._floor = max(self._floor, self._removals.pop(oldest))
+            self._removals_since = max(self._removals_since, self._removals.pop(oldest))
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -19,7 +19,7 @@
 
 MEMBER_TABLE = "heathercleat-members"
 #: Timeout of a call to the store in seconds, in addition to its wait for a change.
-STORE_TIMEOUT = 1.0
+STORE_TIMEOUT_SECONDS = 1.0
 #: Seconds for which calls wait for a change of the operators' table, which is rare.
 OPERATOR_WAIT = 5.0
 #: The same for the targets' table, whose entries change at every heartbeat of a target.
@@ -32,14 +32,14 @@
 #: Number of VMs that read the store, over all regions.
 READERS = 3
 #: Timeout for fetching a table from another VM, in seconds.
-RELAY_TIMEOUT = 0.5
+RELAY_TIMEOUT_SECONDS = 0.5
 #: Seconds before a VM fetches a newer table from another failure domain of its region;
 #: meanwhile a VM of its own failure domain may get it.
-REGION_DELAY = 0.15
+REGION_DELAY_SECONDS = 0.15
 #: The same for fetching from another region, to limit traffic between regions.
-FAR_DELAY = 0.5
-MAX_STATE_BYTES = 16 << 20
-REGISTER_INTERVAL = 0.5
+OTHER_REGION_DELAY_SECONDS = 0.5
+MAX_SNAPSHOT_BYTES = 16 << 20
+REGISTER_RETRY_SECONDS = 0.5
 
 
 class Tables:
@@ -66,7 +66,7 @@
             OPERATOR_TABLE,
             OPERATOR_WAIT,
             0.0,
-            self._take_operator,
+            self._apply_operator_rows,
             lambda member: member.operator_version,
             lambda: members.newest_operator_version,
         )
@@ -74,7 +74,7 @@
             TARGET_TABLE,
             TARGET_WAIT,
             TARGET_PAUSE,
-            self._take_targets,
+            self._apply_target_rows,
             lambda member: member.target_version,
             lambda: members.newest_target_version,
             lapsing=registry.lapsing,
@@ -84,7 +84,7 @@
             MEMBER_TABLE,
             MEMBER_WAIT,
             MEMBER_PAUSE,
-            self._take_members,
+            self._apply_member_rows,
             lambda _: 0,
             lambda: 0,
             is_reader=self.reads_member_table,
@@ -93,12 +93,12 @@
     @property
     def store_answers(self):
         """Return whether the store recently answered a call for targets."""
-        return self.targets.answered
+        return self.targets.is_answered
 
     @property
     def store_lost(self):
         """Return whether the last call for targets or configuration failed."""
-        return self.operator.lost or self.targets.lost
+        return self.operator.is_store_lost or self.targets.is_store_lost
 
     def snapshot(self, table, after):
         """Return a :class:`Snapshot` of a table's changes since a version.
@@ -133,7 +133,7 @@
                 return
             except PlatformError as error:
                 self._journal.write(Event.PLATFORM_FAILED, reason=str(error))
-                await sleep(REGISTER_INTERVAL)
+                await sleep(REGISTER_RETRY_SECONDS)
 
     async def deregister(self):
         """Remove this VM's row; a failure is only logged."""
@@ -145,7 +145,9 @@
     def new_store(self):
         """Return a new :class:`TableStoreClient`."""
         settings = self._settings
-        return TableStoreClient(settings.store, self._clock, STORE_TIMEOUT, settings.ip)
+        return TableStoreClient(
+            settings.store, self._clock, STORE_TIMEOUT_SECONDS, settings.ip
+        )
 
     def _follow(
         self,
@@ -190,10 +192,10 @@
             for member in active
             if member.region == own.region and member is not own
         ]
-        answered = [member.vm for member in in_region if not member.store_lost]
+        candidates = [member.vm for member in in_region if not member.store_lost]
         if not self.store_lost and (own in active or not in_region):
-            answered.append(own.vm)
-        names = answered or [own.vm, *(member.vm for member in in_region)]
+            candidates.append(own.vm)
+        names = candidates or [own.vm, *(member.vm for member in in_region)]
         regions = len(set(self._settings.regions.values()))
         return own.vm in rank_by_weight("reader", names)[: ceil(READERS / regions)]
 
@@ -207,7 +209,7 @@
     def _is_answered_elsewhere(self):
         return any(each.store_answers for each in self._members.live_others())
 
-    def _take_operator(self, snapshot):
+    def _apply_operator_rows(self, snapshot):
         """Apply the whole operators' table; it is small, and removed rows matter."""
         changed = [row.key for row in snapshot.rows]
         if not snapshot.is_whole and not changed:
@@ -227,7 +229,7 @@
             self._adopt(table)
         return changed
 
-    def _take_targets(self, snapshot):
+    def _apply_target_rows(self, snapshot):
         rows = [row for row in snapshot.rows if row.value is not None]
         entries = list(self._decode(rows, self._decode_target))
         decoded = {entry.id for entry in entries}
@@ -250,7 +252,7 @@
             raise ValueError(f"no failure domain has the name {entry.failure_domain!r}")
         return entry
 
-    def _take_members(self, snapshot):
+    def _apply_member_rows(self, snapshot):
         rows = [row for row in snapshot.rows if row.value is not None]
         for member in self._decode(rows, decode_member):
             if member.vm != self._settings.vm:
@@ -265,28 +267,30 @@
             try:
                 yield decode(row)
             except ValueError as error:
-                self._rejections.note(row.key, error)
+                self._rejections.log(row.key, error)
 
     async def _ask_peers(self, table, version, since, version_of):
         """Return a newer snapshot from the nearest VM that has one, or ``None``."""
-        newer = [
+        newer_members = [
             member
             for member in self._members.live_others()
             if version_of(member) > version
         ]
-        if not newer:
+        if not newer_members:
             return None
         waited = self._clock.now() - since
-        nearest = min(newer, key=self._relay_delay)
+        nearest = min(newer_members, key=self._relay_delay)
         if waited < self._relay_delay(nearest):
             return None
         asked_at = self._clock.now()
         fetching = self._fetch(nearest.ip, table, version)
         try:
-            snapshot = await before(asked_at + RELAY_TIMEOUT, self._clock, fetching)
+            snapshot = await before(
+                asked_at + RELAY_TIMEOUT_SECONDS, self._clock, fetching
+            )
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
             raise PeerError(f"{nearest.vm}: {error!r}") from None
-        snapshot.age(self._clock.now() - asked_at)
+        snapshot.reduce_lapsing(self._clock.now() - asked_at)
         return snapshot
 
     def _relay_delay(self, member):
@@ -294,18 +298,22 @@
         own = self._members.own
         if member.failure_domain == own.failure_domain:
             return 0.0
-        return REGION_DELAY if member.region == own.region else FAR_DELAY
+        return (
+            REGION_DELAY_SECONDS
+            if member.region == own.region
+            else OTHER_REGION_DELAY_SECONDS
+        )
 
     async def _fetch(self, ip, table, after):
         port = self._settings.forward_port
         stream = await self._pool.checkout(ip, port)
         message = Message(path=state_path(table, after))
-        whole = False
+        is_complete = False
         try:
-            answer = await exchange(stream, message, MAX_STATE_BYTES)
-            whole = True
+            answer = await exchange(stream, message, MAX_SNAPSHOT_BYTES)
+            is_complete = True
         finally:
-            if whole:
+            if is_complete:
                 await self._pool.checkin(ip, port, stream)
             else:
                 await self._pool.discard(ip, port, stream)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -93,7 +93,7 @@
             PAUSE,
             self._apply,
             self._relay,
-            lambda: self.peer.changed if self.peer else 1 << 62,
+            lambda: self.peer.last_change if self.peer else 1 << 62,
             lambda: self.reader,
             lambda: self.answered_elsewhere,
             lambda: self.lapsing,
@@ -110,7 +110,7 @@
     async def _relay(self, version, since):
         if self.peer is None:
             raise PeerError("nobody answers")
-        return self.peer if self.peer.changed > version else None
+        return self.peer if self.peer.last_change > version else None
 
     @property
     def keys(self):
@@ -136,7 +136,7 @@
     made.store.put("a", b"1")
     made.play(lambda: made.store.put("b", b"2"), lambda: made.store.put("a", None))
     assert made.keys == ["b"]
-    assert made.follower.changed == made.store.version
+    assert made.follower.last_change == made.store.version
 
 
 def test_table_is_read_again_when_the_history_is_gone():
@@ -164,7 +164,7 @@
 
     made.play(lose, change_elsewhere)
     assert made.keys == ["b"]
-    assert made.follower.changed == 9
+    assert made.follower.last_change == 9
 
 
 def test_store_that_returns_is_noticed():
@@ -175,7 +175,7 @@
         lambda: setattr(made.store, "down", False),
     )
     assert len(made.returned) == 1
-    assert not made.follower.lost
+    assert not made.follower.is_store_lost
     assert made.keys == ["a"]
 
 
@@ -199,7 +199,7 @@
         lambda: setattr(made.store, "down", False),
     )
     assert made.returned == []
-    assert made.follower.answered
+    assert made.follower.is_answered
 
 
 def test_store_that_answers_others_first_was_away_for_all():
@@ -218,7 +218,7 @@
     made.play(lambda: setattr(made.store, "down", True))
     assert made.store.waits[0] == WAIT
     assert made.store.waits[-1] == 0.0
-    assert not made.follower.answered
+    assert not made.follower.is_answered
 
 
 def test_change_comes_from_another_vm_while_the_store_is_away():
@@ -227,7 +227,7 @@
     made.store.down = True
     made.play()
     assert made.keys == ["p"]
-    assert made.follower.changed == 9
+    assert made.follower.last_change == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
@@ -238,7 +238,7 @@
 
 def test_vm_that_is_no_reader_takes_what_another_knows():
     made = Follower(Snapshot(0, []), reader=False)
-    newer = Snapshot(12, [StoreRow("p", b"1", 7)], changed=7)
+    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change=7)
     made.play(lambda: setattr(made, "peer", newer))
     assert made.keys == ["p"]
     assert made.store.calls == 1
@@ -258,7 +258,7 @@
     made.play(
         lambda: setattr(made, "matters", False), lambda: made.store.put("a", b"2")
     )
-    assert made.follower.changed == 1
+    assert made.follower.last_change == 1
     assert made.follower.snapshot().version == 2
 
 
@@ -311,13 +311,13 @@
 def test_looks_are_few_while_nobody_knows_a_newer_table():
     made = Follower(Snapshot(0, []), reader=False)
     looks = []
-    look = made.follower._ask_peer
+    look = made.follower._fetch_from_peer
 
     async def counted():
         looks.append(made.clock.now())
         await look()
 
-    made.follower._ask_peer = counted
+    made.follower._fetch_from_peer = counted
     made.play(lambda: None)
     # 0.8 s: with a look each 0.1 s there are seven and more.
     assert len(looks) <= 3
@@ -333,7 +333,7 @@
         made.store.forget = True
         made.store.follow = made.store.hang
 
-    made.play(lambda: None, forget, lambda: told.append(made.follower.told))
+    made.play(lambda: None, forget, lambda: told.append(made.follower.announced_change))
     assert made.store.reads == 2
     assert told == [2]
 
@@ -344,9 +344,9 @@
     made.store.follow = made.store.hang
     told = []
     made.play(
-        lambda: told.append(made.follower.told),
+        lambda: told.append(made.follower.announced_change),
         *[lambda: None] * 10,
-        lambda: told.append(made.follower.told),
+        lambda: told.append(made.follower.announced_change),
     )
     assert told == [0, 1]
 
@@ -355,7 +355,7 @@
     made = Follower(Snapshot(0, []), reader=False)
     made.store.put("a", b"1")
     made.play()
-    assert (made.follower.changed, made.follower.told) == (1, 0)
+    assert (made.follower.last_change, made.follower.announced_change) == (1, 0)
 
 
 @pytest.mark.parametrize("reader", [True, False])
@@ -367,7 +367,7 @@
         made.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
 
     made.play(change)
-    assert made.follower.told == 1
+    assert made.follower.announced_change == 1
 
 
 def test_only_what_changed_is_passed_on():
@@ -380,7 +380,7 @@
         made.store.put("old-7", None)
 
     known = []
-    made.play(lambda: known.append(made.follower.changed), change)
+    made.play(lambda: known.append(made.follower.last_change), change)
     passed = made.follower.snapshot(known[0])
     assert not passed.is_whole
     assert [(row.key, row.value) for row in passed.rows] == [
@@ -394,12 +394,12 @@
     copy = TableCopy()
     copy.replace_all(Snapshot(10, [StoreRow("a", b"1", 3)]))
     copy.record_changes(["a"], 10)
-    assert copy.since(9, {}).is_whole
-    assert not copy.since(10, {}).is_whole
+    assert copy.changes_since(9, {}).is_whole
+    assert not copy.changes_since(10, {}).is_whole
     removals = [StoreRow(f"gone-{n}", None, 11 + n) for n in range(MAX_REMOVALS + 1)]
     copy.merge_changes(Snapshot(20 + MAX_REMOVALS, removals, is_whole=False))
-    assert copy.since(10, {}).is_whole
-    assert not copy.since(11, {}).is_whole
+    assert copy.changes_since(10, {}).is_whole
+    assert not copy.changes_since(11, {}).is_whole
 
 
 def test_table_that_is_read_again_tells_what_went_meanwhile():
@@ -408,7 +408,7 @@
     copy.replace_all(Snapshot(10, rows))
     copy.record_changes(["a", "b"], 10)
     copy.replace_all(Snapshot(20, rows[1:]))
-    passed = copy.since(10, {})
+    passed = copy.changes_since(10, {})
     assert [(row.key, row.value, row.version) for row in passed.rows] == [
         ("a", None, 20)
     ]
@@ -431,7 +431,7 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    told = reader.since(other.changed, {})
+    told = reader.changes_since(other.last_change, {})
     assert told.is_whole
     other.replace_all(told)
     assert other.rows == []
@@ -485,6 +485,6 @@
         lambda: setattr(made, "reader", reads),
         *[lambda: None] * 10,
     )
-    assert not made.follower.lost
+    assert not made.follower.is_store_lost
     assert len(made.returned) == 1
     assert made.keys == keys
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -45,8 +45,8 @@
 #: Seconds in which VMs may differ on the owner of a target: three heartbeats.
 AGREE_SECONDS = 3 * INTERVAL
 NO_TABLES = SimpleNamespace(
-    operator=SimpleNamespace(told=0),
-    targets=SimpleNamespace(told=0),
+    operator=SimpleNamespace(announced_change=0),
+    targets=SimpleNamespace(announced_change=0),
     store_answers=True,
     store_lost=False,
 )
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -37,7 +37,7 @@
     def replace_all(self, snapshot):
         if self.copy.replace_all(snapshot):
             changed = self.registry.replace(_entries(snapshot.rows), snapshot.lapsing)
-            self.copy.record_changes(changed, snapshot.changed)
+            self.copy.record_changes(changed, snapshot.last_change)
 
     def merge_changes(self, snapshot):
         changed = self._update(self.copy.merge_changes(snapshot))
@@ -50,7 +50,7 @@
         else:
             self._update(self.copy.merge_changes(snapshot))
         keys = [row.key for row in snapshot.rows]
-        self.copy.record_changes(keys, snapshot.changed)
+        self.copy.record_changes(keys, snapshot.last_change)
 
     def _update(self, snapshot):
         removed = [row.key for row in snapshot.rows if row.value is None]
@@ -58,7 +58,7 @@
         return self.registry.update(entries, removed, snapshot.lapsing)
 
     def snapshot(self, after):
-        return self.copy.since(after, self.registry.lapsing())
+        return self.copy.changes_since(after, self.registry.lapsing())
 
 
 def _entries(rows):
@@ -119,8 +119,8 @@
     )
     def pass_on(self, source, receiver, whole):
         source, receiver = self.vms[source], self.vms[receiver]
-        if source.copy.changed > receiver.copy.changed:
-            after = 0 if whole else receiver.copy.changed
+        if source.copy.last_change > receiver.copy.last_change:
+            after = 0 if whole else receiver.copy.last_change
             receiver.take_relayed(source.snapshot(after))
 
     @rule()
--- a/tests/test_target_rows.py
+++ b/tests/test_target_rows.py
@@ -183,9 +183,9 @@
     lines, clock = Lines(), ManualClock()
     rejections = RejectedRowLog(Journal("vm-1", "north-a", lines), clock)
     for number in range(10 * MAX_LINES_PER_WINDOW):
-        rejections.note(f"i-{number}", HeathercleatError)
+        rejections.log(f"i-{number}", HeathercleatError)
     assert len(lines.fields) == MAX_LINES_PER_WINDOW
     clock.time += WINDOW_SECONDS
-    rejections.note("i-1" * 1000, ValueError("x" * 1000))
+    rejections.log("i-1" * 1000, ValueError("x" * 1000))
     assert lines.fields[-1]["left_out"] == 9 * MAX_LINES_PER_WINDOW
     assert len(lines.fields[-1]["key"]) + len(lines.fields[-1]["reason"]) < 500
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -222,7 +222,7 @@
     Mutation(
         "CONFIG",
         f"{STEERING}/process/store/tables.py",
-        "        if not newer:",
+        "        if not newer_members:",
         "        if True:",
         "tests/test_steering_path.py",
         "-k",
@@ -277,7 +277,7 @@
     Mutation(
         "DRAIN-earlier-change-of-a-row",
         f"{STEERING}/process/store/table_copy.py",
-        "row.version <= (known.version if known else self._gone_at(row.key))",
+        "row.version <= (known.version if known else self._removed_at(row.key))",
         "False",
         "tests/test_follower.py",
         "-k",
@@ -664,8 +664,8 @@
     Mutation(
         "SIZE-first-read-told",
         f"{STEERING}/process/store/follower.py",
-        "        return self._told_changed\n",
-        "        return self.changed\n",
+        "        return self._announced_change\n",
+        "        return self.last_change\n",
         "tests/test_follower.py",
         "-k",
         "not_told",
@@ -682,7 +682,7 @@
     Mutation(
         "LAPSE-left-to-readers",
         f"{STEERING}/process/store/follower.py",
-        "        if only_asks:\n",
+        "        if is_probe:\n",
         "        if False:\n",
         "tests/test_follower.py",
         "-k",
