--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -227,7 +227,7 @@
 
 def test_vm_that_greets_some_others_only_is_told_of_the_rest(monkeypatch):
     network = start(LARGE)
-    monkeypatch.setattr(gossip, "MOST_GREETED", 2)
+    monkeypatch.setattr(gossip, "MAX_CONTACTED", 2)
     newcomer = SimulatedVm(network, LARGE)
     network.run(START_SECONDS)
     assert newcomer.known == {vm.name for vm in network.running()}
