--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -75,7 +75,7 @@
 
     async def _wait_for_start(self, until):
         """Wait for the configuration and the targets, an instant at most."""
-        while not self._node.started and self._clock.now() < until:
+        while not self._node.is_started and self._clock.now() < until:
             await sleep(START_POLL)
 
     def _match(self, head, headers):
@@ -119,7 +119,7 @@
         """
         if size <= 0:
             return
-        if not self._node.body_memory.take(size):
+        if not self._node.body_memory.reserve(size):
             message = f"no memory for a body of {size} bytes beside the others"
             retry_at = self._clock.now() + UNKNOWN_RETURN
             raise RequestError(ResultCode.NO_ROOM, message, retry_at)
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -117,16 +117,16 @@
             call = await self._reader.read(turn)
             answer = await self._steer(turn, call)
             await self._send(turn, answer.status, answer.headers, answer.body)
-            self._node.request_log.answered(call, answer, self._clock.now())
+            self._node.request_log.record_response(call, answer, self._clock.now())
         except RequestError as error:
-            self._node.request_log.refused(call, error, self._clock.now())
+            self._node.request_log.record_refusal(call, error, self._clock.now())
             await self._refuse(turn, error)
         except CallerDisconnectedError:
-            self._node.request_log.left(call, self._clock.now())
+            self._node.request_log.record_disconnect(call, self._clock.now())
             self._abort()
             raise
         finally:
-            self._node.body_memory.give(turn.held)
+            self._node.body_memory.release(turn.held)
 
     async def _steer(self, turn, call):
         """Return the :class:`Answer` to a call.
@@ -180,7 +180,7 @@
     async def _refuse_head(self, error):
         """Send the final answer to a request whose head could not be read."""
         await self._pipeline.drain()
-        self._node.request_log.refused(None, error, self._clock.now())
+        self._node.request_log.record_refusal(None, error, self._clock.now())
         await self._refuse(
             PipelinedRequest(self._stream, None, self._clock.now()), error
         )
@@ -203,7 +203,7 @@
         """Send an answer when its turn has come."""
         await turn.come()
         headers = [*headers, (b"content-length", str(len(body)).encode())]
-        closes = self._node.leaving and self._pipeline.is_last(turn)
+        closes = self._node.is_leaving and self._pipeline.is_last(turn)
         if closes and (b"connection", b"close") not in headers:
             headers.append((b"connection", b"close"))
         # Requests that were not read before the close were not taken: the client may
--- a/src/heathercleat/steering/process/body_memory.py
+++ b/src/heathercleat/steering/process/body_memory.py
@@ -22,13 +22,13 @@
         """Return the reserved bytes."""
         return self._held
 
-    def take(self, size):
+    def reserve(self, size):
         """Reserve ``size`` bytes; return ``False`` if the limit would be exceeded."""
         if self._held + size > self._limit:
             return False
         self._held += size
         return True
 
-    def give(self, size):
+    def release(self, size):
         """Release ``size`` reserved bytes."""
         self._held -= size
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -69,7 +69,7 @@
 
     def _ttl(self):
         just_started = self._clock.now() < self._started_until
-        is_stable = self._members.own.serving and not just_started
+        is_stable = self._members.own.is_serving and not just_started
         return LOOKUP_TTL if is_stable else SHORT_LOOKUP_TTL_SECONDS
 
     def _select(self, in_domain, in_region, domains):
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -116,7 +116,7 @@
     async def _serve_endpoint(self, sock, address):
         async def handle(message):
             return handle_platform_request(
-                message, lambda: self._node.ready, self._directory.lookup
+                message, lambda: self._node.is_ready, self._directory.lookup
             )
 
         await serve_messages(
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -387,7 +387,7 @@
         It answers lookups too, and has to learn of VMs that leave at the same time. In
         a small fleet those VMs notify it directly.
         """
-        if member.serving or self._members.topology.is_mesh:
+        if member.is_serving or self._members.topology.is_mesh:
             return False
         return self._is_partner(member)
 
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -94,12 +94,12 @@
         self.suspects_digest = 0
 
     @property
-    def serving(self):
+    def is_serving(self):
         """Return whether the VM accepts clients and may own targets."""
         return self.stage == Stage.SERVING
 
     @property
-    def stops(self):
+    def is_stopping(self):
         """Return whether the VM is shutting down."""
         return self.stage >= Stage.LEAVING
 
@@ -111,7 +111,7 @@
     def set_stage(self, stage, now):
         """Set the stage of the VM."""
         self.stage = stage
-        if not self.stops:
+        if not self.is_stopping:
             self.stops_since = None
         elif self.stops_since is None:
             self.stops_since = now
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -95,11 +95,13 @@
 
     def serving(self):
         """Return the live VMs in the serving stage."""
-        return [member for member in self._live.values() if member.serving]
+        return [member for member in self._live.values() if member.is_serving]
 
     def serving_or_stopping(self):
         """Return the live VMs that may have clients, leaving ones included."""
-        return [each for each in self._live.values() if each.serving or each.stops]
+        return [
+            each for each in self._live.values() if each.is_serving or each.is_stopping
+        ]
 
     def active(self):
         """Return the serving VMs that lookups return and that own targets."""
@@ -287,7 +289,7 @@
     def _find_request_handlers(self):
         """Return the active VMs and the strong ones that are shutting down."""
         strong = _find_strong(self.serving_or_stopping())
-        stopping = (each for each in strong if each.stops)
+        stopping = (each for each in strong if each.is_stopping)
         return [*self.active(), *stopping]
 
     def _apply_update(self, member, update):
@@ -353,7 +355,9 @@
     def _add_live(self, member):
         member.lost_at = None
         self._live[member.vm] = member
-        self._journal.write(Event.MEMBER_JOINED, peer=member.vm, serving=member.serving)
+        self._journal.write(
+            Event.MEMBER_JOINED, peer=member.vm, serving=member.is_serving
+        )
         self._membership_changed()
 
     def _update_topology(self):
@@ -379,7 +383,7 @@
         if member.reported_alive:
             member.unreachable_until = now + UNREACHABLE_SECONDS
             # An expected exit does not indicate a failure of the domain.
-            if not member.stops:
+            if not member.is_stopping:
                 self.topology.suspect(member.failure_domain)
             member.reported_alive = False
             member.stamp += 1
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -294,19 +294,19 @@
         return self._table.limits if self._table else INITIAL_LIMITS
 
     @property
-    def leaving(self):
+    def is_leaving(self):
         """Return whether this VM is shutting down."""
-        return self._members.own.stops
+        return self._members.own.is_stopping
 
     @property
-    def started(self):
+    def is_started(self):
         """Return whether the configuration and the targets are loaded."""
         return self._table is not None and self._registry.known
 
     @property
-    def ready(self):
+    def is_ready(self):
         """Return whether this VM accepts clients."""
-        return self._members.own.serving
+        return self._members.own.is_serving
 
     async def steer(self, call):
         """Return the final response to a call; see :meth:`Steering.run`."""
@@ -396,7 +396,7 @@
         now = self.clock.now()
         calls = self.active_requests.calls()
         for call in calls:
-            self.request_log.abandoned(call, now)
+            self.request_log.record_abandoned(call, now)
         self._journal.write(
             Event.VM_STOPPED,
             seconds=round(self.shutdown.elapsed(now), 3),
@@ -430,7 +430,7 @@
         return bool(self.active_requests.count) or self._listeners.is_busy
 
     def _update_serving(self):
-        if self.started and self._members.own.stage == Stage.STARTING:
+        if self.is_started and self._members.own.stage == Stage.STARTING:
             self._members.set_serving(True)
 
     def _apply_configuration(self, table):
@@ -496,7 +496,7 @@
                 Event.TASK_FAILED, task="reload settings", reason=error.render()
             )
             return
-        self._settings.bounds.take(bounds)
+        self._settings.bounds.update_from(bounds)
         self._journal.write(Event.SETTINGS_RELOADED, path=path)
 
 
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -22,7 +22,7 @@
         self._omitted = 0
         self._counts = {}
 
-    def answered(self, call, answer, now):
+    def record_response(self, call, answer, now):
         """Record a request that got a response from a target."""
         seconds = now - call.arrived_at
         result = "late" if now > call.soft_deadline else "in_time"
@@ -45,7 +45,7 @@
                 tries=call.tries,
             )
 
-    def refused(self, call, error, now):
+    def record_refusal(self, call, error, now):
         """Record a request that this system answered with an error.
 
         :param call: ``None`` when the request could not be parsed.
@@ -72,7 +72,7 @@
             **_stop_fields(call and call.stop_estimate),
         )
 
-    def left(self, call, now):
+    def record_disconnect(self, call, now):
         """Record a client that disconnected before its response."""
         if call is None:
             return
@@ -86,7 +86,7 @@
             tries=call.tries,
         )
 
-    def abandoned(self, call, now):
+    def record_abandoned(self, call, now):
         """Record a request that gets no response because this process exits."""
         seconds = now - call.arrived_at
         self._count(call.route.name, "abandoned", seconds)
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -41,7 +41,7 @@
         self.lookup_ttl = 5.0
         self.shift_share = 0.15
 
-    def take(self, other):
+    def update_from(self, other):
         """Copy all values of other :class:`Bounds`."""
         for name in self.__slots__:
             setattr(self, name, getattr(other, name))
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -128,7 +128,7 @@
     @property
     def serving(self):
         """Return whether the VM takes clients."""
-        return self.running and self.members.own.serving
+        return self.running and self.members.own.is_serving
 
     @property
     def leaving(self):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -111,8 +111,8 @@
 
 def test_bodies_take_their_part_of_the_memory_and_no_more():
     bodies = BodyMemory(1000 / BODY_MEMORY_SHARE)
-    assert bodies.take(600)
-    assert not bodies.take(600)
-    bodies.give(600)
-    assert bodies.take(1000)
+    assert bodies.reserve(600)
+    assert not bodies.reserve(600)
+    bodies.release(600)
+    assert bodies.reserve(1000)
     assert bodies.held == 1000
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -54,7 +54,7 @@
         parts.members.record_heartbeat(beat("vm-2", incarnation=4, serving=False))
         is None
     )
-    assert parts.members.live("vm-2").serving
+    assert parts.members.live("vm-2").is_serving
 
 
 def test_vm_known_from_the_store_only_is_not_live():
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -67,14 +67,14 @@
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(1 << 30)
         self.request_log = self
-        self.started = True
-        self.leaving = False
+        self.is_started = True
+        self.is_leaving = False
         self.pending = {}
         self.lost = []
 
     def stop(self):
         """Be told to stop so long ago that connections are not kept any more."""
-        self.leaving = True
+        self.is_leaving = True
         self.shutdown.begin(self.clock.now() - KEEP_ALIVE_SECONDS, GRACE)
 
     def choose_service(self, route):
@@ -89,13 +89,13 @@
             raise CallerDisconnectedError
         return Answer(200, [(b"request-id", call.id.encode())], call.id.encode())
 
-    def answered(self, call, answer, now):
+    def record_response(self, call, answer, now):
         pass
 
-    def refused(self, call, error, now):
+    def record_refusal(self, call, error, now):
         pass
 
-    def left(self, call, now):
+    def record_disconnect(self, call, now):
         self.lost.append(call.id)
 
 
@@ -261,7 +261,7 @@
 def test_stop_answers_all_that_were_read_and_then_closes(line):
     for _ in range(3):
         line.send()
-    line.node.leaving = True
+    line.node.is_leaving = True
     line.connection.close_idle()
     for name in ("q1", "q2", "q0"):
         line.answer(name)
@@ -271,7 +271,7 @@
 
 def test_request_behind_a_closing_answer_is_not_taken(line):
     line.send()
-    line.node.leaving = True
+    line.node.is_leaving = True
     line.answer("q0")
     line.send()
     assert line.node.pending == {}
@@ -293,7 +293,7 @@
 def test_request_that_waits_for_those_before_it_is_answered_in_a_stop(line):
     line.send()
     line.send("POST")
-    line.node.leaving = True
+    line.node.is_leaving = True
     line.answer("q0")
     line.answer("q1")
     assert line.got == ["q0", "q1"]
@@ -303,7 +303,7 @@
 def test_head_that_cannot_be_read_after_a_request_alone_closes_in_a_stop(line):
     line.send("POST")
     line.answer("q0")
-    line.node.leaving = True
+    line.node.is_leaving = True
     line.client.sendall(b"\x00 bad\r\n\r\n")
     line.settle()
     assert line.connection._closed
--- a/tests/test_steering_stop.py
+++ b/tests/test_steering_stop.py
@@ -28,7 +28,7 @@
         self.requests = 0
 
     @property
-    def started(self):
+    def is_started(self):
         self.requests += 1
         raise EOFError("the request was taken")
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -414,7 +414,7 @@
     Mutation(
         "STOP-not-told-to-vms-that-leave",
         f"{STEERING}/process/membership/gossip.py",
-        "        if member.serving or self._members.topology.is_mesh:\n",
+        "        if member.is_serving or self._members.topology.is_mesh:\n",
         "        if True:\n",
         "tests/test_fleet_stops.py",
         "-k",
@@ -637,7 +637,7 @@
     Mutation(
         "SIZE-end-of-one-that-stops",
         f"{STEERING}/process/membership/members.py",
-        "            if not member.stops:\n",
+        "            if not member.is_stopping:\n",
         "            if True:\n",
         "tests/test_handing_over.py",
         "-k",
@@ -646,8 +646,8 @@
     Mutation(
         "BUDGET-vms-that-stop",
         f"{STEERING}/process/membership/members.py",
-        " if each.serving or each.stops]\n",
-        " if each.serving]\n",
+        " if each.is_serving or each.is_stopping\n",
+        " if each.is_serving\n",
         "tests/test_handing_over.py",
         "-k",
         "may_have_clients",
