--- a/bench/stops.py
+++ b/bench/stops.py
@@ -3,7 +3,7 @@
 import random
 
 from bench.report import Row
-from heathercleat.steering.process.directory import LOOKUP_TTL, MAX_OVER_SHARE
+from heathercleat.steering.process.directory import LOOKUP_TTL_SECONDS, MAX_OVER_SHARE
 from standins.simulated_clients import SimulatedClients
 from standins.stop_simulation import STOP_SECONDS, settled
 from tests.test_fleet_stops import Bill, in_turn
@@ -52,7 +52,7 @@
     """Return the most that one VM is named for over its even share of the clients."""
     fleet = settled(LARGE, loss=0.1)
     clients = SimulatedClients(fleet, CLIENTS)
-    clients.run(3 * LOOKUP_TTL)
+    clients.run(3 * LOOKUP_TTL_SECONDS)
     domain = next(iter(fleet.regions))
     stopped = [vm for vm in fleet.serving() if vm.domain == domain]
     for number, vm in enumerate(stopped):
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -8,7 +8,7 @@
 MAX_ADDRESSES = 64
 #: Seconds for which clients may cache a lookup; shorter than a leaving VM keeps its
 #: client connections.
-LOOKUP_TTL = 2.0
+LOOKUP_TTL_SECONDS = 2.0
 #: The same for lookups at a VM that is leaving or has just started: other VMs often do
 #: so at the same time, and it learns of them late.
 SHORT_LOOKUP_TTL_SECONDS = 0.5
@@ -70,7 +70,7 @@
     def _ttl(self):
         just_started = self._clock.now() < self._started_until
         is_stable = self._members.own.is_serving and not just_started
-        return LOOKUP_TTL if is_stable else SHORT_LOOKUP_TTL_SECONDS
+        return LOOKUP_TTL_SECONDS if is_stable else SHORT_LOOKUP_TTL_SECONDS
 
     def _select(self, in_domain, in_region, domains):
         """Return the VMs to list, those of the client's failure domain first.
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -6,7 +6,7 @@
 import pytest
 
 from heathercleat.steering.process.directory import (
-    LOOKUP_TTL,
+    LOOKUP_TTL_SECONDS,
     MAX_ADDRESSES,
     MAX_OVER_SHARE,
     SHORT_LOOKUP_TTL_SECONDS,
@@ -23,7 +23,7 @@
 #: Seconds between the starts of two VMs that come back, and for which clients at most
 #: keep an answer.
 RETURN_SECONDS = 2.0
-KEPT_SECONDS = 3 * LOOKUP_TTL
+KEPT_SECONDS = 3 * LOOKUP_TTL_SECONDS
 
 
 @pytest.fixture(autouse=True)
@@ -107,7 +107,7 @@
     answers = directory({"a": 3}, clock)
     assert answers.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
     clock.time += START_SECONDS
-    assert answers.lookup("north", "a").ttl == LOOKUP_TTL
+    assert answers.lookup("north", "a").ttl == LOOKUP_TTL_SECONDS
 
 
 def test_vm_that_leaves_answers_for_a_short_time():
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -430,8 +430,8 @@
     Mutation(
         "STOP-short-answers",
         f"{STEERING}/process/directory.py",
-        "        return LOOKUP_TTL if is_stable else SHORT_LOOKUP_TTL_SECONDS\n",
-        "        return LOOKUP_TTL\n",
+        "        return LOOKUP_TTL_SECONDS if is_stable else SHORT_LOOKUP_TTL_SECONDS\n",
+        "        return LOOKUP_TTL_SECONDS\n",
         "tests/test_look_ups.py",
         "-k",
         "short",
