--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -52,7 +52,7 @@
 class HeartbeatKind(NamedTuple):
     """What distinguishes heartbeats; receivers of one kind get the same datagram.
 
-    :param full: whether it has reports.
+    :param includes_reports: whether it has reports.
     :param interval: seconds until the next heartbeat.
     :param is_partner: whether the receivers are gossip partners, which get updates.
     :param includes_suspects: whether the receivers are partners with other suspects;
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -79,7 +79,7 @@
             yield [target_id, count, ceil(max(0.0, deadline - now) * 100) / 100]
 
     def _waits(self):
-        """Yield the fields of each owned service's :class:`WaitEstimate`, in seconds."""
+        """Yield the :class:`WaitEstimate` fields of each owned service, in seconds."""
         for service in self._ledger.services():
             waits = self._admission.waits(service)
             if waits is None:
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -219,7 +219,7 @@
         return member is None or stamp > member.stamp
 
     def merge_update(self, update):
-        """Merge :class:`MemberUpdate` received from another VM."""
+        """Merge a :class:`MemberUpdate` received from another VM."""
         if update.vm == self._own.vm:
             self._refute(update)
             return
