--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -13,7 +13,7 @@
     :param tables: the :class:`Tables`.
     :param ledger: the :class:`SlotLedger` of the owned targets.
     :param admission: the :class:`Admission` with the queues for their slots.
-    :param pressure: the :class:`LossRates` with the losses of this VM's clients.
+    :param loss_rates: the :class:`LossRates` with the losses of this VM's clients.
     :param suspects: the :class:`Suspects`.
     :param services: returns the names of all services.
     """
