--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -266,7 +266,7 @@
     def _kind(self, member, request_handlers, usual_interval):
         """Return the :class:`HeartbeatKind` of the heartbeat to a VM.
 
-        :param usual_interval: seconds between two heartbeats to VMs that handle requests.
+        :param usual_interval: seconds between heartbeats to VMs that handle requests.
         """
         handles_requests = member in request_handlers or member.stage == Stage.STARTING
         includes_reports = self._members.own in request_handlers and handles_requests
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -430,8 +430,8 @@
     Mutation(
         "STOP-short-answers",
         f"{STEERING}/process/directory.py",
-        "        return LOOKUP_TTL_SECONDS if is_stable else SHORT_LOOKUP_TTL_SECONDS\n",
-        "        return LOOKUP_TTL_SECONDS\n",
+        "return LOOKUP_TTL_SECONDS if is_stable else SHORT_LOOKUP_TTL_SECONDS\n",
+        "return LOOKUP_TTL_SECONDS\n",
         "tests/test_look_ups.py",
         "-k",
         "short",
@@ -538,8 +538,8 @@
     Mutation(
         "HANDOVER-more-time",
         f"{STEERING}/process/handover.py",
-        "        return member.stops_since > own.stops_since + MIN_STOP_DIFFERENCE_SECONDS\n",
-        "        return member is not own\n",
+        "return member.stops_since > own.stops_since + MIN_STOP_DIFFERENCE_SECONDS\n",
+        "return member is not own\n",
         "tests/test_handing_over.py",
         "-k",
         "too_little_time",
