--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -163,7 +163,8 @@
 class LeaseHolder:
     """The leases that this VM holds, and the search for more.
 
-    :param on_lease_gained: a coroutine function called with the service that gained room.
+    :param on_lease_gained: a coroutine function called with the service that gained
+        room.
     """
 
     def __init__(self, vm, links, directory, clock):
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -168,7 +168,8 @@
         self._records.clear()
 
     def vouched(self, targets):
-        """Yield a :class:`OccupancyBound` for each of the targets of homes that ended."""
+        """Yield a :class:`OccupancyBound` for each of the targets of homes that
+        ended."""
         for vm, (incarnation, covers) in self._records.items():
             if not self._membership.heard_until_end(vm, incarnation):
                 continue
@@ -188,7 +189,8 @@
 def occupied_until(clock, service, vouched):
     """Return the instant until which a target may be occupied that nobody handed over.
 
-    :param vouched: a :class:`OccupancyBound` of every monitor that has one; without any only
+    :param vouched: a :class:`OccupancyBound` of every monitor that has one; without any
+        only
         the longest timeout of the service is certain.
     """
     now = clock.now()
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -2,7 +2,8 @@
 
 Every VM sends heartbeats to a few monitors, its successors on a hash ring, so the cost
 does not grow with the number of VMs. A VM may act as a home only while its monitors
-have acknowledged a heartbeat within ``HOME_LEASE_SECONDS``; a monitor presumes a VM dead only after
+have acknowledged a heartbeat within ``HOME_LEASE_SECONDS``; a monitor presumes a VM
+dead only after
 ``DEAD_AFTER`` without a heartbeat, which is longer. A paused VM therefore finds its
 right to act lapsed before anybody takes its place.
 """
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -98,7 +98,8 @@
 
         :param fresh: use a new connection.
         :raises AttemptFailedError: when it could not be sent.
-        :raises CallerDisconnectedError: when the caller left while its body was sent on.
+        :raises CallerDisconnectedError: when the caller left while its body was sent
+            on.
         """
         await self._connect(fresh)
         try:
--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -35,7 +35,8 @@
     async def read(self, turn):
         """Read the rest of a request and return its :class:`Call`.
 
-        :param turn: its :class:`PipelinedRequest`, which takes the body and the memory held.
+        :param turn: its :class:`PipelinedRequest`, which takes the body and the memory
+            held.
         :raises RequestError: with the final answer, when it cannot be served.
         """
         head, arrived_at = turn.head, turn.arrived_at
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -122,7 +122,8 @@
             del self._reports[owner]
 
     def capacity(self, target_id, owner):
-        """Return the :class:`ReportedCapacity` at a target of an owner; the same one each time."""
+        """Return the :class:`ReportedCapacity` at a target of an owner; the same one
+        each time."""
         report = self._report(owner)
         capacity = report.rooms.get(target_id)
         if capacity is None:
@@ -138,7 +139,8 @@
         return self._report(owner).reported_at
 
     def find(self, target_id, owner):
-        """Return the :class:`ReportedCapacity` at a target of an owner, ``None`` if it has none."""
+        """Return the :class:`ReportedCapacity` at a target of an owner, ``None`` if it
+        has none."""
         return self._report(owner).rooms.get(target_id)
 
     def is_known(self, owner):
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -29,7 +29,8 @@
     request, and all of a VM's end with its process.
 
     :param members: the live VMs.
-    :param rooms: the :class:`CapacityReports`; tells what an owner had before it has heard
+    :param rooms: the :class:`CapacityReports`; tells what an owner had before it has
+        heard
         that it is none any more.
     """
 
@@ -60,7 +61,8 @@
 
         The owner before it may not know yet. Until it tells what it still has there,
         its last report as the owner counts. Where it has not reported of late all slots
-        are taken to be in use until it tells, for :data:`FORMER_OWNER_REPORT_SECONDS` at most.
+        are taken to be in use until it tells, for :data:`FORMER_OWNER_REPORT_SECONDS`
+        at most.
 
         :param former: name of that owner, or ``None``.
         """
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -29,7 +29,8 @@
     """All known targets by id.
 
     An entry that vanished while the store was away for all VMs lapses: its target may
-    be alive and about to come back, and is used until :data:`LAPSE_GRACE_SECONDS` is over. One
+    be alive and about to come back, and is used until :data:`LAPSE_GRACE_SECONDS` is
+    over. One
     that vanishes at any other time has left. A lapse has a deadline, which is kept even
     if nothing else changes, and which nothing that is told later extends.
 
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -55,7 +55,8 @@
     """A target whose slots this VM counts.
 
     :param entry: its :class:`TargetEntry`.
-    :param cold_limit: requests within :data:`COLD_WINDOW_SECONDS` while cold, or ``None``.
+    :param cold_limit: requests within :data:`COLD_WINDOW_SECONDS` while cold, or
+        ``None``.
     :param held: the :class:`HeldSlots`.
     """
 
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -109,7 +109,8 @@
         self._until = 0.0
 
     def summary(self, now):
-        """Return the :class:`RegionSummary`, of the last :data:`SUMMARY_TTL_SECONDS` seconds."""
+        """Return the :class:`RegionSummary`, of the last :data:`SUMMARY_TTL_SECONDS`
+        seconds."""
         if self._summary is None or now >= self._until:
             self._summary = RegionSummary(self.candidates, now)
             self._until = now + SUMMARY_TTL_SECONDS
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -21,9 +21,11 @@
     """When requests of a key are refused, and for how long.
 
     :param ends: ends from which they are refused.
-    :param crashes_to_stop_retries: ends from which one is sent to another target only when its
+    :param crashes_to_stop_retries: ends from which one is sent to another target only
+        when its
         caller comes back.
-    :param initial_refusal_seconds: seconds for which they are refused after the last of so many
+    :param initial_refusal_seconds: seconds for which they are refused after the last of
+        so many
         ends; twice as long after each more.
     :param max_refusal_seconds: the longest such time in seconds.
     :param memory: seconds for which ends are laid to a key after the last one.
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -7,7 +7,8 @@
 #: that many callers send is under way at most targets that end by another cause. Not
 #: longer, since a request may begin to end targets that answered it before.
 EXEMPTION_SECONDS = 3.0
-#: ResponseHistory that are kept for ends to come: as many as ends are remembered of a group.
+#: ResponseHistory that are kept for ends to come: as many as ends are remembered of a
+#: group.
 MAX_CREDITS = 16
 
 
@@ -22,7 +23,8 @@
 
 
 class RecentResponses:
-    """ResponseHistory that speak for all ends: what is answered does not end its target.
+    """ResponseHistory that speak for all ends: what is answered does not end its
+    target.
 
     :param most: keys that are remembered, the latest answered ones.
     """
@@ -54,7 +56,8 @@
 
 
 class ResponseCredits:
-    """ResponseHistory that speak for one end each: who was answered is not who ended a target.
+    """ResponseHistory that speak for one end each: who was answered is not who ended a
+    target.
 
     :param most: keys that are remembered, the latest answered ones.
     """
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -80,7 +80,8 @@
 
 
 def decode_quarantine(row, clock):
-    """Return the :class:`SuspectUpdate` of a row, or ``None`` for one that is long over.
+    """Return the :class:`SuspectUpdate` of a row, or ``None`` for one that is long
+    over.
 
     :raises ValueError: when it holds no quarantine.
     """
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -153,7 +153,8 @@
         return digest
 
     def add(self, lives, cleared=()):
-        """Add ends, some of which are not laid to it; return an :class:`SuspectChange`."""
+        """Add ends, some of which are not laid to it; return an
+        :class:`SuspectChange`."""
         ends, count = list(self.ends), len(self.cleared)
         for incarnation_id in lives:
             if incarnation_id not in self.ends:
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -54,7 +54,8 @@
     :param deadline: when the final answer is due.
     :param soft_deadline: when the answer should be there.
     :param give_up_at: when it is given up without a slot.
-    :param send_deadline: until when it may be sent to a target: the VM that took it may end
+    :param send_deadline: until when it may be sent to a target: the VM that took it may
+        end
         before a later one ends.
     :param affinity_until: until when only targets that know its object may run it.
     :param returned: whether it came back after a refusal.
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -84,7 +84,8 @@
         return self._best_far(choice, self._near_wait(choice))
 
     def _confined(self, choice):
-        """Return the :class:`Destination` for a request that may end its target, or ``None``.
+        """Return the :class:`Destination` for a request that may end its target, or
+        ``None``.
 
         It is one of a few targets of this region that runs no other request, and not
         the last one with room. Where there is none the request goes where any does: an
@@ -131,7 +132,8 @@
         return self._waiting_cost(call, home.candidate.owner, patience) is not None
 
     def select_spillover(self, call, avoid, avoid_vms):
-        """Return the :class:`Destination` to wait at where clients lose less, or ``None``.
+        """Return the :class:`Destination` to wait at where clients lose less, or
+        ``None``.
 
         It lies in another region, which can answer in time and whose own clients lose
         less of their worth than those of this region. A large body stays: to carry it
@@ -225,7 +227,8 @@
         )
 
     def _best(self, choice, targets, affinity_targets, usable, remote):
-        """Return the :class:`Destination` of the best free target of a region, or ``None``.
+        """Return the :class:`Destination` of the best free target of a region, or
+        ``None``.
 
         A target that knows the object goes first; after it one that this VM owns, then
         the one with the largest part of its slots free.
@@ -277,7 +280,8 @@
         return float("inf") if wait is None else wait
 
     def _best_far(self, choice, near_wait):
-        """Return the :class:`Destination` in the region with the most room, or ``None``.
+        """Return the :class:`Destination` in the region with the most room, or
+        ``None``.
 
         :param near_wait: seconds that the request would wait in this region.
         """
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -27,7 +27,8 @@
 
 
 class Route:
-    """Requests of one host and path prefix; ``timeout`` and ``latency_objective`` in seconds.
+    """Requests of one host and path prefix; ``timeout`` and ``latency_objective`` in
+    seconds.
 
     :param priority: rank of the requests, 0 is the most urgent.
     :param max_attempts: targets that may run one request.
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -58,7 +58,8 @@
 def departed_share(drain, ramp_seconds, wall):
     """Return the share of a domain's callers that have to be elsewhere at ``wall``.
 
-    It rises to 1 within ``ramp_seconds`` seconds before the drain begins, and falls to 0 within
+    It rises to 1 within ``ramp_seconds`` seconds before the drain begins, and falls to
+    0 within
     as long after it was cancelled.
     """
     if drain.until is None or wall < drain.until:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -565,7 +565,8 @@
     Mutation(
         "HANDOVER-owner-before",
         f"{STEERING}/process/capacity/slots.py",
-        "            self._held.add_target(target_id, self._owners.before(target_id))\n",
+        "            self._held.add_target(target_id, "
+        "self._owners.before(target_id))\n",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -574,7 +575,8 @@
     Mutation(
         "HANDOVER-owner-before-untold",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            self._put(target_id, former, Hold(_ALL, now + FORMER_OWNER_REPORT_SECONDS))\n",
+        "            self._put(target_id, former, Hold(_ALL, now + "
+        "FORMER_OWNER_REPORT_SECONDS))\n",
         "            pass\n",
         "tests/test_handing_over.py",
         "-k",
@@ -853,7 +855,8 @@
     Mutation(
         "CONTAINED-cleared-forgotten",
         f"{STEERING}/process/quarantine/suspect.py",
-        "return CLEARED_RETENTION_SECONDS if is_over else self.policy.retention_seconds",
+        "return CLEARED_RETENTION_SECONDS if is_over else "
+        "self.policy.retention_seconds",
         "return self.policy.retention_seconds",
         "tests/test_containment.py",
         "-k",
