--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -101,7 +101,9 @@
             deadline_in=round(call.deadline - now, 3),
             forwarded=call.client_wait is None,
             trying=f"{destination.vm} {destination.target}" if destination else None,
-            trying_seconds=round(now - call.attempt_started_at, 4) if destination else None,
+            trying_seconds=round(now - call.attempt_started_at, 4)
+            if destination
+            else None,
             tries=call.attempt_log,
             **_stop_fields(call.stop_estimate),
         )
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -4,7 +4,12 @@
 
 from curio import sleep
 
-from heathercleat.connection.http import CONNECTION_ERRORS, Message, with_deadline, exchange
+from heathercleat.connection.http import (
+    CONNECTION_ERRORS,
+    Message,
+    exchange,
+    with_deadline,
+)
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.events import Event
 from heathercleat.platform.decode import decode_operator_rows
