--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the targets and the callers, for demos and tests."""
+"""Fake platforms, targets and callers, used by demos, tests and benchmarks."""
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller: looks up entry VMs, keeps the answer as long as it says, sends requests."""
+"""HTTP client that looks up entry VMs, caches the look-up and sends requests."""
 
 import json
 import time
@@ -11,9 +11,9 @@
 
 
 class Caller:
-    """One caller with its cache of look-ups.
+    """A caller with its look-up cache.
 
-    :param hosts: IP numbers of entry VMs to ask first.
+    :param hosts: IP addresses of entry VMs for the first look-up.
     """
 
     def __init__(self, hosts, timeout=10.0):
@@ -22,7 +22,10 @@
         self._lookups = {}
 
     def look_up(self, service):
-        """Return the look-up answer for a service, from the cache while it is valid."""
+        """Return the look-up response for a service, cached until it expires.
+
+        :raises ConnectionError: when no entry VM responds.
+        """
         cached = self._lookups.get(service)
         if cached is not None and cached["expires_at"] > time.time():
             return cached
@@ -36,10 +39,13 @@
             if answer is not None:
                 self._lookups[service] = answer
                 return answer
-        raise ConnectionError(f"no entry VM answered a look-up for {service}")
+        raise ConnectionError(f"no entry VM responded to a look-up for {service}")
 
     def send(self, service, method, path, body=None, headers=None):
-        """Send an idempotent request, to the next entry VM when one does not answer."""
+        """Send an idempotent request; on a connection error, try the next entry VM.
+
+        :raises ConnectionError: when every entry VM failed in each round.
+        """
         last = None
         for _ in range(ATTEMPTS):
             for vm in self.look_up(service)["vms"]:
@@ -53,7 +59,9 @@
     def run_once(self, service, method, path, body, key):
         """Send a non-idempotent request with a ticket and an Idempotency-Key.
 
-        Repeats go out with the same ticket and key until the outcome is known.
+        Retries carry the same ticket and key.
+
+        :raises ConnectionError: when every entry VM failed.
         """
         lookup = self.look_up(service)
         headers = {
@@ -71,7 +79,7 @@
         raise ConnectionError(f"no entry VM served {service}: {last!r}")
 
     def forget(self):
-        """Drop every cached look-up."""
+        """Clear the look-up cache."""
         self._lookups.clear()
 
     def _ask(self, host, service):
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: shows what must hold, or exits non-zero."""
+"""Demo of the request path with separate processes; exits with 1 if a step fails."""
 
 import os
 import sys
@@ -19,7 +19,7 @@
 
 
 def demo_text():
-    """Return a small text with the services of both deployments."""
+    """Return a small configuration text with one service per kind of request."""
     return {
         "regions": {
             "north": {"failure_domains": ["north-a", "north-b"]},
@@ -67,7 +67,7 @@
 
 
 class Demo:
-    """Runs the steps against a fleet and notes what each one showed."""
+    """Runs the demo steps against a fleet and records the result of each."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -76,7 +76,7 @@
 
     @property
     def rows(self):
-        """Return ``(what, passed, detail)`` for each step."""
+        """Return ``(step, passed, detail)`` for each step."""
         return self._rows
 
     def run(self):
@@ -89,7 +89,7 @@
         self.show_killed_vm()
 
     def show_each_kind(self):
-        """Serve one request of each kind, and count the runs of those run once."""
+        """Serve one request of each kind; at-most-once requests are sent twice."""
         status, _, body = self._caller.send("style-lookup", "GET", "/style/whom")
         self._note("style look-up", status == 200, body.split()[0].decode())
         for service, path, what in (
@@ -111,7 +111,7 @@
         self._note(what, passed, f"sent twice, ran {runs} time(s)")
 
     def show_upload(self):
-        """Upload several megabytes and compare the digest at the target."""
+        """Upload several megabytes and compare the digest with the target's."""
         data = os.urandom(UPLOAD_BYTES)
         status, _, body = self._caller.send("intake", "PUT", "/uploads/photo", data)
         digest = body.decode().split()[-1]
@@ -119,7 +119,7 @@
         self._note("upload", passed, f"{UPLOAD_BYTES} bytes, digest as sent")
 
     def show_new_text(self):
-        """Apply a new text and wait until every entry VM has it in force."""
+        """Apply a new configuration and wait until it is in force on every entry VM."""
         text = self._fleet.text
         text["services"]["style-lookup"]["queue"] = {"limit": 16, "wait_ms": 300}
         started = time.monotonic()
@@ -133,7 +133,7 @@
         self._note("new text in force", True, f"on {len(vms)} VMs after {took:.2f} s")
 
     def show_drain(self):
-        """Drain a target under load: no request is cut, no new work after seconds."""
+        """Drain a target under load: no request fails, and new requests stop."""
         target = "style-north-a"
         results, stop = [], threading.Event()
         threads = [
@@ -160,7 +160,7 @@
         self._fleet.run("drain", "cancel", "demo")
 
     def _pauses(self):
-        """Return how often a VM found that it had not run, by name."""
+        """Return the number of detected process pauses by VM name."""
         return {
             vm.name: sum(1 for line in self._fleet.log(vm) if line.get("event") == 103)
             for vm in self._fleet.vms.values()
@@ -175,7 +175,7 @@
                 results.append(None)
 
     def show_killed_vm(self):
-        """Kill the entry VM that the caller uses; the caller is served elsewhere."""
+        """Kill the entry VM that the caller uses; another one serves the caller."""
         first = self._caller.look_up("style-lookup")["vms"][0]["vm"]
         self._fleet.vms[first].process.kill()
         started = time.monotonic()
@@ -186,8 +186,8 @@
         self._note("entry VM killed", passed, f"served by {target} after {took:.3f} s")
 
     def show_log_lines(self):
-        """Every request at a target has a numbered routing decision in a log."""
-        # Lines are written in batches; a VM that is killed would lose the last one.
+        """Check that each completed request has a routing decision in a VM's log."""
+        # Log lines are written in batches.
         time.sleep(LOG_SECONDS)
         logs = [line for vm in self._fleet.vms.values() for line in self._fleet.log(vm)]
         decided = {line["request"] for line in logs if line.get("event") in (210, 211)}
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,17 +1,16 @@
-"""Loopback proxy that harms the TCP connections between processes under test.
+"""TCP proxy on loopback that injects network faults between processes under test.
 
-It listens for named links, ``NAME=HOST:PORT>HOST:PORT``, and passes bytes on. A JSON
-map ``{NAME: {...}}`` sent to ``POST /switch`` sets the faults of a link:
+It forwards each named link, ``NAME=HOST:PORT>HOST:PORT``. A JSON object
+``{NAME: {...}}`` sent to ``POST /switch`` sets the faults of a link:
 
-- ``delay_s``: seconds by which each piece of data is held up;
-- ``cut``: ``up`` (towards the server), ``down`` or ``both``: bytes in that direction
-  are held back for as long as it is set, on connections of before and after;
+- ``delay_s``: seconds by which each chunk of data is delayed;
+- ``cut``: ``up`` (towards the server), ``down`` or ``both``: stalls data in that
+  direction on existing and new connections until it is unset;
 - ``refuse``: whether new connections are reset;
 - ``reset``: reset the connections that are open now;
-- ``silence``: the connections that are open now never carry another byte, while new
-  ones work.
+- ``silence``: stall the connections that are open now for good; new ones work.
 
-``GET /counts`` tells how many connections each link has carried.
+``GET /counts`` returns the number of connections that each link has forwarded.
 """
 
 import json
@@ -25,7 +24,7 @@
 from heathercleat.connection.http import HttpStream, Message, serve_requests
 
 CHUNK_BYTES = 1 << 16
-#: Seconds between two looks at a direction that is cut.
+#: Seconds between checks whether a stalled direction may send again.
 POLL_SECONDS = 0.02
 #: ``SO_LINGER`` with zero seconds: closing sends a reset.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -34,10 +33,10 @@
 
 
 class Link:
-    """A listening address, the address that it leads to, and the faults between.
+    """A listening address, the server behind it, and the injected faults.
 
     :param listen: ``(host, port)`` for clients.
-    :param server: ``(host, port)`` that connections lead to.
+    :param server: ``(host, port)`` to which connections are forwarded.
     """
 
     def __init__(self, name, listen, server):
@@ -53,9 +52,9 @@
     async def switch(
         self, delay_s=None, cut="", refuse=None, reset=False, silence=False
     ):
-        """Set faults; what is left out stays as it is.
+        """Set faults; an argument left out changes nothing.
 
-        :param cut: ``None`` ends a cut.
+        :param cut: ``None`` ends a stall.
         """
         if delay_s is not None:
             self._delay = delay_s
@@ -69,12 +68,12 @@
                 await carrier.reset()
 
     async def carry(self, sock, address):
-        """Carry one connection until either side ends it."""
+        """Forward one connection until either side closes it."""
         if self._refuse:
             await _reset(sock)
             return
         try:
-            # The server sees the link's own address, so that it can tell links apart.
+            # The source address identifies the link to the server.
             server = await open_connection(
                 *self._server, source_addr=(self.listen[0], 0)
             )
@@ -92,7 +91,7 @@
             self._carriers.discard(carrier)
 
     async def _pump(self, carrier, source, sink, direction):
-        """Pass bytes on in one direction until it ends."""
+        """Forward data in one direction until end of file."""
         try:
             while data := await source.recv(CHUNK_BYTES):
                 await sleep(self._delay)
@@ -100,12 +99,12 @@
                     await sleep(POLL_SECONDS)
                 await sink.sendall(data)
         except OSError:
-            # A connection that broke on one side is reset on the other.
+            # Propagate the failure of one side to the other.
             await carrier.reset()
 
 
 class Carrier:
-    """The two sockets of one connection."""
+    """The client and server sockets of one forwarded connection."""
 
     __slots__ = ("_sockets", "silent")
 
@@ -114,7 +113,7 @@
         self.silent = False
 
     async def reset(self):
-        """Make both sides see a reset."""
+        """Reset both sockets."""
         for sock in self._sockets:
             await _reset(sock)
 
@@ -122,15 +121,15 @@
 async def _reset(sock):
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        # Wakes up the task that waits for data, which then closes the socket.
+        # Wakes the task in recv(), which then closes the socket.
         await sock.shutdown(socket.SHUT_RD)
     except OSError:
-        # The other side has closed it already.
+        # The peer has already closed it.
         return
 
 
 class Control:
-    """The HTTP interface of the proxy.
+    """The HTTP control interface of the proxy.
 
     :param links: the :class:`Link` of each name.
     """
@@ -139,7 +138,7 @@
         self._links = links
 
     async def serve(self, sock, address):
-        """Answer requests on one connection."""
+        """Serve control requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
         await serve_requests(stream, self._answer, MAX_SWITCH_BYTES)
 
@@ -165,7 +164,7 @@
 
 
 async def serve_all(control, links):
-    """Serve the control address and every link."""
+    """Serve the control interface and every link."""
     named = {link.name: link for link in links}
     async with TaskGroup() as group:
         await group.spawn(tcp_server, *control, Control(named).serve)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,7 +1,7 @@
 """Starts a platform, targets and entry VMs as separate processes on loopback.
 
-Each entry VM has an IP number of its own (``127.10.D.V`` for VM ``V`` of failure domain
-``D``) and the same ports. Used by the demo, the tests and the benchmarks.
+Each entry VM has its own IP address (``127.10.D.V`` for VM ``V`` of failure domain
+``D``); the ports are the same for all.
 """
 
 import json
@@ -26,14 +26,14 @@
 START_SECONDS = 20.0
 STOP_SECONDS = 20.0
 RELOAD_SECONDS = 3.0
-#: Added to every subnet, so that two runs on one machine keep apart.
+#: Environment variable with an offset of all subnets, for parallel runs.
 SUBNET_VARIABLE = "FLEET_SUBNET_OFFSET"
 ROOT = Path(__file__).parent.parent
 MSGPACK = {"content-type": "application/msgpack"}
 
 
 class Processes:
-    """Processes started from here, with a log file each, killed at the end."""
+    """Child processes, each with a log file; :meth:`stop` kills all of them."""
 
     def __init__(self):
         self._folder = tempfile.TemporaryDirectory(prefix="heathercleat-")
@@ -41,11 +41,14 @@
 
     @property
     def folder(self):
-        """Return the folder of settings and logs."""
+        """Return the temporary directory of settings and logs."""
         return Path(self._folder.name)
 
     def start(self, name, command, **variables):
-        """Start a process whose output goes to ``NAME.log``."""
+        """Start a process that writes its output to ``NAME.log``.
+
+        :param variables: environment variables to add.
+        """
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
                 command,
@@ -58,12 +61,12 @@
         return process
 
     def log(self, name):
-        """Return the log lines of a process as objects."""
+        """Return the JSON log lines of a process, parsed."""
         lines = (self.folder / f"{name}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def stop(self):
-        """Kill every process that was started, and wait for it."""
+        """Kill all processes, wait for them and remove the directory."""
         for process in self._processes:
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -74,7 +77,7 @@
 
 
 class Deployment:
-    """Processes that are started at the begin of a block and killed at its end."""
+    """Context manager that starts processes and kills them on exit."""
 
     def __init__(self):
         self._processes = Processes()
@@ -92,16 +95,16 @@
 
     @property
     def folder(self):
-        """Return the folder of settings and logs."""
+        """Return the temporary directory of settings and logs."""
         return self._processes.folder
 
     def stop(self):
-        """Kill every process that was started, and wait for it."""
+        """Kill all processes and wait for them."""
         self._processes.stop()
 
 
 class Vm:
-    """One entry VM of the fleet."""
+    """An entry VM; ``settings`` is the path of its settings file."""
 
     def __init__(self, name, host, domain, settings):
         self.name = name
@@ -114,10 +117,11 @@
 class Fleet(Deployment):
     """The processes of one deployment.
 
-    :param text: the operators' text as a JSON object; targets get addresses here.
+    :param text: the configuration document; addresses are added to its targets.
     :param vms: ``{failure domain: number of entry VMs}``.
-    :param program: how to run the command line.
-    :param subnet: the second number of every IP, to keep fleets apart.
+    :param program: command that runs ``heathercleat``.
+    :param subnet: the second octet of every IP address; differs between fleets.
+    :param settings: entries that override those of each VM's settings file.
     """
 
     def __init__(self, text, vms, program=None, subnet=10, settings=None):
@@ -131,7 +135,7 @@
         self.vms = self._place_vms(vms)
 
     def start(self):
-        """Start everything and wait until each VM has a version in force."""
+        """Start all processes and wait until a version is in force on each VM."""
         self._spawn("platform", ["standins.platform", *map(str, self.platform)])
         specs = [
             f"{name}={host}:{port}:{slots}"
@@ -151,7 +155,7 @@
             wait_for(lambda: all(self.version(vm) == 1 for vm in self.vms.values()))
 
     def wait_ready(self):
-        """Wait until every slot of a domain with entry VMs is free at its home."""
+        """Wait until all slots are free in every failure domain with entry VMs."""
         domains = {vm.domain for vm in self.vms.values()}
         expected = sum(
             target["slots"]
@@ -162,7 +166,7 @@
         wait_for(lambda: self.free_slots() == expected)
 
     def free_slots(self):
-        """Return the free slots over all VMs that answer."""
+        """Return the total of free slots over all VMs that respond."""
         samples = (self.metrics(vm) or {} for vm in self.vms.values())
         return sum(
             value
@@ -172,7 +176,7 @@
         )
 
     def by_homes(self):
-        """Return the VMs, the one that is the home of most targets first."""
+        """Return the VMs sorted by the number of targets they own, largest first."""
 
         def targets(vm):
             status = self.status(vm)
@@ -186,7 +190,7 @@
         vm.process = self._processes.start(vm.name, command)
 
     def cut(self, domain, others):
-        """Cut the VMs of a failure domain off from others, and the others from it.
+        """Simulate a network partition between a failure domain and others.
 
         :param others: failure domains, or ``platform``.
         """
@@ -197,7 +201,7 @@
                 self._fence(vm, [domain])
 
     def mend(self):
-        """Undo every cut."""
+        """End all network partitions."""
         for vm in self.vms.values():
             self._fence(vm, [])
 
@@ -211,40 +215,39 @@
         path.write_text(json.dumps(settings, indent=1))
         reloads = self._reloads(vm)
         vm.process.send_signal(signal.SIGHUP)
-        # Without the wait, a VM that lacks processor time goes on for a while uncut.
-        # One that is paused or dead takes nothing.
+        # Wait until the partition is in effect. A paused or dead VM never reloads.
         with suppress(TimeoutError):
             wait_for(lambda: self._reloads(vm) > reloads, RELOAD_SECONDS)
 
     def _reloads(self, vm):
-        """Return how often a VM has taken its settings anew."""
+        """Return how many times a VM has reloaded its settings."""
         lines = self.log(vm)
         return sum(line.get("name") == "settings_reloaded" for line in lines)
 
     def list_vm(self, vm, leaving=False):
-        """Put a VM on the platform's list; ``leaving`` of ``None`` removes it."""
+        """Add a VM to the platform's list, or remove it if ``leaving`` is ``None``."""
         self.platform_call("POST", "/vm", [vm.name, vm.host, vm.domain, leaving])
 
     def switch_platform(self, **switches):
-        """Set faults of the platform."""
+        """Set faults of the platform; see :mod:`standins.platform`."""
         self.platform_call("POST", "/switch", switches)
 
     def switch_target(self, name, **switches):
-        """Set faults of a target."""
+        """Set faults of a target; see :mod:`standins.target`."""
         host, port, _ = self.targets[name]
         call(host, port, "POST", "/switch", msgpack.packb(switches), MSGPACK)
 
     def record(self, name):
-        """Return what a target ran."""
+        """Return the run record of a target."""
         host, port, _ = self.targets[name]
         return msgpack.unpackb(call(host, port, "GET", "/record")[2])
 
     def runs(self):
-        """Return ``[method, path, key, digest]`` of every run at any target."""
+        """Return ``[method, path, idempotency key, digest]`` of each run."""
         return [run for name in self.targets for run in self.record(name)["runs"]]
 
     def platform_call(self, method, path, body):
-        """Return the status of a call to the platform, or ``None``."""
+        """Return the HTTP status of a platform call; ``None`` if it failed."""
         try:
             packed = msgpack.packb(body)
             return call(*self.platform, method, path, packed, MSGPACK)[0]
@@ -252,7 +255,7 @@
             return None
 
     def status(self, vm):
-        """Return the status of a VM, or ``None``."""
+        """Return the status document of a VM; ``None`` if it does not respond."""
         path = "/v1/status"
         token = operator_token(KEY, "GET", path, b"", time.time())
         headers = {"authorization": token}
@@ -263,12 +266,12 @@
         return json.loads(body)
 
     def version(self, vm):
-        """Return the version in force at a VM, or ``None``."""
+        """Return the version in force on a VM; ``None`` if it does not respond."""
         metrics = self.metrics(vm)
         return None if metrics is None else int(metrics["heathercleat_version"])
 
     def metrics(self, vm):
-        """Return ``{sample: value}`` of a VM's metrics, or ``None``."""
+        """Return a VM's metrics by sample name; ``None`` if it does not respond."""
         try:
             _, _, body = call(vm.host, PORTS["operator"], "GET", "/metrics")
         except (OSError, HTTPException):
@@ -278,14 +281,17 @@
         return {name: float(value) for name, _, value in pairs}
 
     def apply(self, text, base, vm=None):
-        """Apply a text through a VM and return its version."""
+        """Apply a configuration through a VM and return its version."""
         path = self.folder / "text.jsonc"
         path.write_text(json.dumps(text, indent=1))
         result = self.run("apply", path, "--base", base, "--json", vm=vm)
         return json.loads(result.stdout)["version"]
 
     def run(self, *args, vm=None, check=True):
-        """Run a command of the command line against a VM."""
+        """Run a ``heathercleat`` command against a VM, by default the first.
+
+        :raises RuntimeError: when ``check`` is set and the command fails.
+        """
         vm = vm or next(iter(self.vms.values()))
         command = [*self._program, *map(str, args), "--settings", vm.settings]
         result = subprocess.run(command, capture_output=True, text=True, env=_env())
@@ -294,7 +300,7 @@
         return result
 
     def log(self, vm):
-        """Return the log lines of a VM as objects."""
+        """Return the JSON log lines of a VM, parsed."""
         return self._processes.log(vm.name)
 
     def _place_targets(self, text):
@@ -338,7 +344,10 @@
 
 
 def call(host, port, method, path, body=None, headers=None, timeout=10.0, source=None):
-    """Make one HTTP call and return ``(status, headers, body)``."""
+    """Make one HTTP request and return ``(status, headers, body)``.
+
+    :param source: local IP address to connect from.
+    """
     address = (source, 0) if source else None
     connection = HTTPConnection(host, port, timeout=timeout, source_address=address)
     try:
@@ -350,9 +359,9 @@
 
 
 def wait_for(condition, seconds=START_SECONDS, interval=0.05):
-    """Wait until ``condition()`` is true and return its value.
+    """Poll ``condition()`` until it is true and return its value.
 
-    :raises TimeoutError: when it is not true in time.
+    :raises TimeoutError: after ``seconds``.
     """
     deadline = time.monotonic() + seconds
     while not (value := condition()):
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""An open load of requests: arrivals at random instants, whatever the answers take."""
+"""Open-loop load generator: Poisson arrivals, independent of response times."""
 
 import json
 import threading
@@ -22,15 +22,16 @@
 MAX_ANSWER_BYTES = 1 << 20
 LOOKUP_SECONDS = 1.0
 MAX_IDLE = 64
-#: Seconds for which an entry VM that failed is tried last.
+#: Seconds for which an entry VM is a last choice after a failure.
 BAD_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class Result:
-    """One request: when it was sent, how long it took, and what came of it.
+    """The result of one request.
 
-    ``status`` is ``None`` when the connection broke; ``run`` is the word of the answer.
+    ``sent_at`` is in epoch seconds; ``status`` is ``None`` after a connection error;
+    ``run`` is the value of the ``heathercleat-run`` header.
     """
 
     sent_at: float
@@ -43,11 +44,12 @@
 
 
 class Load:
-    """Sends requests of one kind at a rate, from its own thread.
+    """Sends requests to one service at a mean rate, from its own thread.
 
-    :param hosts: IP numbers of entry VMs for look-ups.
-    :param rate: requests a second.
+    :param hosts: IP addresses of entry VMs for look-ups.
+    :param rate: requests per second.
     :param make: returns ``(method, path, body, headers)`` for a sequence number.
+    :param client: client address to pass to look-ups.
     """
 
     def __init__(
@@ -76,18 +78,18 @@
         self.stop()
 
     def stop(self):
-        """Send no more, and wait for what is under way."""
+        """Stop sending and wait for requests in flight."""
         self._stopping = True
         self._thread.join()
 
     def count(self, since=0.0):
-        """Return how many results there are by status, for requests sent later."""
+        """Return the number of results by status, for requests sent after ``since``."""
         return Counter(
             result.status for result in self.results if result.sent_at >= since
         )
 
     def latency(self, quantile, since=0.0, until=float("inf")):
-        """Return a quantile of the seconds that served requests took."""
+        """Return a quantile of the latency of successful requests, in seconds."""
         served = sorted(
             result.seconds
             for result in self.results
@@ -135,7 +137,7 @@
         )
 
     async def _try_places(self, method, path, body, headers):
-        """Send to a near entry VM, and after a failure of a GET to the others."""
+        """Send to the preferred entry VM; retry a failed GET at the others."""
         last = None
         for vm in await self._places():
             try:
@@ -148,7 +150,7 @@
         raise last
 
     async def _places(self):
-        """Return entry VMs in the order to try them; those that failed come last."""
+        """Return the entry VMs in order of preference, recently failed ones last."""
         lookup = self._lookup
         if lookup is None or lookup["expires_at"] < time.time():
             self._lookup = lookup = await self._look_up()
@@ -180,7 +182,7 @@
                     return json.loads(answer.body)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
-        raise EOFError("no entry VM answered a look-up")
+        raise EOFError("no entry VM responded to a look-up")
 
     async def _send(self, vm, method, path, body, headers):
         deadline = self._clock.now() + self._timeout
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -1,4 +1,4 @@
-"""Heartbeats of many VMs in one process, over a network that loses and cuts."""
+"""Simulates the gossip of many VMs in one process, with packet loss and partitions."""
 
 import random
 from collections import Counter
@@ -19,18 +19,18 @@
 
 #: The region of each failure domain.
 REGIONS = {"north-a": "north", "north-b": "north", "south-a": "south", "east-a": "east"}
-#: Seconds by which time passes.
+#: Seconds of simulated time per step.
 STEP = 0.01
 
 
 async def nothing_to_do():
-    """Stand for what a VM does after each heartbeat."""
+    """Do nothing; the hook that a VM runs after each gossip round."""
 
 
 class Network:
-    """Carries datagrams at once, but for those that are lost or cut.
+    """Delivers datagrams without delay, except for those lost or partitioned.
 
-    :param loss: share of datagrams that get lost.
+    :param loss: share of datagrams that are lost.
     :param regions: the region of each failure domain.
     """
 
@@ -47,7 +47,7 @@
         self._rng = random.Random(seed)
 
     def send(self, sender, ip, data):
-        """Carry a datagram, and count it."""
+        """Count a datagram and deliver it unless it is lost."""
         self.sent[sender.name] += 1
         self.bytes_sent += len(data)
         self.datagram = data
@@ -62,7 +62,7 @@
             receiver.take(data)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         end = self.clock.time + seconds
         while self.clock.time < end:
             self.clock.time += STEP
@@ -70,12 +70,16 @@
                 vm.step()
 
     def running(self):
-        """Return the VMs whose processes run."""
+        """Return the VMs whose simulated process is running."""
         return [vm for vm in self.vms.values() if vm.running]
 
 
 class SimulatedVm:
-    """The membership of one VM, with the network in the place of its socket."""
+    """The membership of one VM; :class:`Network` replaces its UDP socket.
+
+    :param strength: capacity of the VM relative to others.
+    :param alone: whether it starts without knowing the other VMs.
+    """
 
     def __init__(self, network, number, incarnation=1, strength=1.0, alone=False):
         self.network = network
@@ -118,39 +122,39 @@
 
     @property
     def known(self):
-        """Return the names of the VMs that this one takes as serving."""
+        """Return the names of the members that this VM considers serving."""
         return {each.vm for each in self.members.serving()}
 
     def new_owners(self):
-        """Return the names of the VMs that own targets with requests from here."""
+        """Return the new owners of targets that still run this VM's requests."""
         return set()
 
     def successors(self):
-        """Return the names of the VMs that took targets over from this one."""
+        """Return the names of the VMs that took over this VM's targets."""
         return set()
 
     def meet_all(self):
-        """Learn from the store which VMs there are."""
+        """Add all VMs to the membership, as after a read of the store."""
         for vm in self.network.vms.values():
             if vm is not self:
                 region = self.network.regions[vm.domain]
                 self.members.add_known(vm.name, vm.ip, vm.domain, region)
 
     async def sendto(self, data, address):
-        """Send a datagram, as a socket does."""
+        """Send a datagram; the method that gossip calls on its socket."""
         self.network.send(self, address[0], data)
 
     def take(self, data):
-        """Take a datagram."""
+        """Process a received datagram."""
         self.gossip.take(data)
 
     def step(self):
-        """Send the heartbeats that are due."""
+        """Run a gossip round if one is due."""
         if self.running and self.network.clock.time >= self.next_at:
             self.next_at = self.network.clock.time + drive(self.gossip.round())
 
     def compose(self, interval):
-        """Return a heartbeat without reports on targets."""
+        """Return a heartbeat without target reports."""
         own = self.members.own
         return Heartbeat(
             make_update(own),
@@ -170,16 +174,19 @@
 
 
 def first_object(data):
-    """Return what the heartbeat in a datagram was packed from."""
+    """Return the first msgpack object of a datagram."""
     unpacker = msgpack.Unpacker()
     unpacker.feed(data)
     return unpacker.unpack()
 
 
 def drive(coroutine):
-    """Return the value of a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends and return its result.
+
+    :raises AssertionError: when it suspends.
+    """
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,10 +1,10 @@
-"""Stand-in for the platform: table service, object store and lagging VM list.
+"""Fake platform: table service, object store and a VM list that may lag.
 
 ``POST /switch`` with a msgpack map sets faults: ``down`` (bool), ``slow_s`` (seconds
-before each answer), ``lose_replies`` (how many writes take effect without an answer),
-``stale_reads_s`` (reads answer from the past) and ``vm_lag_s``. ``POST /vm`` with
-``[name, host, failure_domain, leaving]`` changes the VM list; ``leaving`` of ``None``
-removes the VM.
+of delay per response), ``lose_replies`` (number of writes that take effect without a
+response), ``stale_reads_s`` (age of the data that reads return) and ``vm_lag_s`` (age
+of the VM list). ``POST /vm`` with ``[name, host, failure_domain, leaving]`` changes
+the VM list; ``leaving`` of ``None`` removes the VM.
 """
 
 import time
@@ -21,7 +21,7 @@
 
 
 class PlatformStandin:
-    """All state of the platform, in memory."""
+    """The state of the platform, in memory."""
 
     def __init__(self):
         self._rows = {}
@@ -39,7 +39,7 @@
         self._counts = {"reads": 0, "writes": 0}
 
     async def serve(self, sock, address):
-        """Answer requests on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
 
         async def handle(message):
@@ -101,7 +101,7 @@
         return Message(status=400)
 
     def _row(self, key):
-        """Return ``(value, version)`` as of the stale-read lag."""
+        """Return ``(value, version)`` of a row, or ``None``; reads may be stale."""
         horizon = time.time() - self._switches["stale_reads_s"]
         lagging = self._switches["stale_reads_s"]
         for at, value, version in reversed(self._rows.get(key, ())):
@@ -145,7 +145,7 @@
 
 
 def main():
-    """Run the stand-in on one address."""
+    """Run the fake platform on one address."""
     parser = ArgumentParser(description=main.__doc__)
     parser.add_argument("host")
     parser.add_argument("port", type=int)
--- a/standins/simulated_clients.py
+++ b/standins/simulated_clients.py
@@ -1,18 +1,21 @@
-"""Clients of a simulated fleet: look-ups, kept answers, kept connections."""
+"""Clients of a simulated fleet, with cached look-ups and persistent connections."""
 
 import random
 from collections import Counter
 
-#: Seconds between two looks of a client at its answer and its connection.
+#: Seconds between a client's checks of its cached look-up and its connection.
 LOOK_SECONDS = 0.1
-#: VMs that a look-up tries, nearest first.
+#: Number of VMs that a look-up tries, nearest first.
 TRIES = 3
-#: Part of the clients that keep an answer for three times as long as it says.
+#: Share of the clients that cache look-ups for three times their TTL.
 LATE_SHARE = 1 / 3
 
 
 class SimulatedClient:
-    """A client that keeps one connection and looks up where to open the next one."""
+    """A client with one persistent connection.
+
+    :param patience: factor by which it exceeds the TTL of a look-up.
+    """
 
     __slots__ = ("domain", "patience", "answer", "answer_until", "vm", "failed")
 
@@ -25,15 +28,15 @@
         self.failed = set()
 
     def usable(self):
-        """Return the addresses of the answer that have not failed."""
+        """Return the addresses that have not failed; all of them if all have."""
         return [each for each in self.answer if each not in self.failed] or self.answer
 
 
 class SimulatedClients:
-    """As many clients in each failure domain, which look up and connect.
+    """The clients of all failure domains.
 
-    :param fleet: the :class:`StopFleet` whose VMs they use.
-    :param each: clients of a failure domain.
+    :param fleet: the :class:`StopFleet` to which they connect.
+    :param each: number of clients per failure domain.
     """
 
     def __init__(self, fleet, each, seed=1):
@@ -49,7 +52,7 @@
         return SimulatedClient(domain, 3.0 if late else 1.0, first)
 
     def look(self):
-        """Renew the answers that are too old and the connections that are gone."""
+        """Refresh expired look-ups and reopen closed connections."""
         now = self._fleet.clock.time
         for client in self._clients:
             if now >= client.answer_until:
@@ -61,13 +64,13 @@
                 client.vm = self._random.choice(client.usable())
 
     def run(self, seconds):
-        """Let time pass for the fleet and its clients."""
+        """Advance the simulated time of the fleet and its clients."""
         for _ in range(round(seconds / LOOK_SECONDS)):
             self._fleet.run(LOOK_SECONDS)
             self.look()
 
     def drawn(self):
-        """Return the new connections that each IP number would get, one a client."""
+        """Return the expected share of new connections by IP, one per client."""
         loads = Counter()
         alike = Counter(tuple(client.usable()) for client in self._clients)
         for addresses, count in alike.items():
@@ -76,13 +79,13 @@
         return loads
 
     def kept(self):
-        """Return the kept connections of each IP number."""
+        """Return the number of open connections by IP address."""
         return Counter(client.vm for client in self._clients if client.vm is not None)
 
     def over_share(self, loads):
-        """Return how many times its fair share each serving VM gets.
+        """Return each serving VM's load relative to its fair share.
 
-        The share is that of the clients of its region over its serving VMs.
+        The fair share is the number of clients in its region per serving VM there.
         """
         regions = self._fleet.regions
         clients = Counter(regions[each.domain] for each in self._clients)
@@ -109,7 +112,7 @@
         client.answer_until = now + 1.0
 
     def _nearest(self, failure_domain, region):
-        """Return the VMs that a look-up tries."""
+        """Return the VMs that a look-up tries, those of the failure domain first."""
         vms = list(self._fleet.vms.values())
         here = [vm for vm in vms if vm.domain == failure_domain]
         picked = self._random.sample(here, min(TRIES, len(here)))
--- a/standins/skewed.py
+++ b/standins/skewed.py
@@ -1,12 +1,11 @@
-"""Runs ``heathercleat`` with a time of day that is off by some seconds.
+"""Runs ``heathercleat`` with a skewed wall clock.
 
-``HEATHERCLEAT_CLOCK_SKEW`` holds the seconds, which may be negative. A process that is
-started again with another value sees the step that a clock makes on a real VM; clocks
-that never go back are not touched.
+``HEATHERCLEAT_CLOCK_SKEW`` is the skew in seconds and may be negative; monotonic clocks
+are not affected.
 
-With ``HEATHERCLEAT_SUSPENDS`` a process that is stopped and continued sees what a VM
-sees that was suspended: the steady clock does not count that time, as the clock since
-the boot and the time of day do.
+With ``HEATHERCLEAT_SUSPENDS``, stopping and continuing the process has the effect on
+its clocks that the suspension of a VM has: the monotonic clock does not count the time,
+while the boot-time clock and the wall clock do.
 """
 
 import os
@@ -15,22 +14,22 @@
 
 SKEW_VARIABLE = "HEATHERCLEAT_CLOCK_SKEW"
 SUSPENDS_VARIABLE = "HEATHERCLEAT_SUSPENDS"
-#: Seconds between two readings of the steady clock from which the process did not run:
-#: it looks after a quarter of a second at the latest.
+#: Seconds between two readings of the monotonic clock above which the process counts as
+#: stopped; it reads the clock several times a second.
 LONGEST_STEP = 0.4
 
 
 def skew_clock(seconds):
-    """Shift the time of day that this process reads."""
+    """Shift the wall clock of this process."""
     real, real_ns = time.time, time.time_ns
     time.time = lambda: real() + seconds
     time.time_ns = lambda: real_ns() + int(seconds * 1e9)
 
 
 class HeldClock:
-    """A steady clock that does not count the time in which the process was stopped.
+    """A monotonic clock that excludes the time in which the process was stopped.
 
-    :param real: returns the seconds of the clock in whose place it stands.
+    :param real: returns the seconds of the real monotonic clock.
     """
 
     def __init__(self, real):
@@ -39,7 +38,7 @@
         self._held = 0.0
 
     def monotonic(self):
-        """Return the seconds of the steady clock."""
+        """Return the seconds, like :func:`time.monotonic`."""
         now = self._real()
         step, self._read_at = now - self._read_at, now
         if step > LONGEST_STEP:
@@ -52,7 +51,7 @@
     skew_clock(float(os.environ.get(SKEW_VARIABLE, 0.0)))
     if os.environ.get(SUSPENDS_VARIABLE):
         time.monotonic = HeldClock(time.monotonic).monotonic
-    # Imported late: modules take the functions of the clock by name.
+    # Imported late since modules import the clock functions by name.
     from heathercleat.cli import main as run
 
     sys.exit(run())
--- a/standins/slotted_target.py
+++ b/standins/slotted_target.py
@@ -1,18 +1,18 @@
-"""Stand-in for a target on the platform: slots, incarnation, faults and a run record.
-
-``POST /switch`` with a JSON map sets: ``work_s`` (seconds that a request takes), ``id``
-(its incarnation), ``shed`` (share of requests refused), ``status`` (of its answers),
-``cut`` (close in the middle of the answer), ``stray`` (an answer to another request
-goes first), ``unsigned`` (no signature), ``encoded`` (an encoding header), ``lose``
-(run the request and reset), ``learning_x`` (times longer that it takes for an object
-that it does not remember) and ``remembers`` (how many it does). ``GET /record`` tells
-the runs, the most requests at once, and as ``spans`` the request id, the begin and the
-planned end of each run, in seconds of ``time.monotonic()``.
-
-``fatal`` (paths) are requests under which the target ends: all its connections break
-and new ones are refused. It is back ``down_s`` seconds later as another incarnation,
-and announces that one at ``store`` (host and port) with ``entry``. ``end`` makes it end
-at once, by no request's fault.
+"""Fake target on the platform, with slots, injected faults and a run record.
+
+``POST /switch`` with a JSON object sets: ``work_s`` (seconds per request), ``id``
+(instance id), ``shed`` (share of requests refused), ``status`` (of responses), ``cut``
+(close in the middle of the response), ``stray`` (send a response to another request
+first), ``unsigned`` (omit the signature), ``encoded`` (add a content encoding),
+``lose`` (run the request, then reset the connection), ``learning_x`` (factor of the
+work for an object that is not cached) and ``remembers`` (number of objects cached).
+``GET /record`` returns the runs, the highest number of requests in flight and, as
+``spans``, the request id, start and planned end of each run in seconds of
+``time.monotonic()``.
+
+``fatal`` lists paths whose requests crash the target: all its connections are reset and
+new ones refused. After ``down_s`` seconds it starts as a new incarnation and announces
+that at ``store`` (host and port) with ``entry``. ``end`` crashes it at once.
 """
 
 import json
@@ -46,12 +46,12 @@
 from heathercleat.process.clock import SystemClock
 
 MAX_BODY_BYTES = 16 << 20
-#: Seconds in which the store has to take an entry.
+#: Timeout of a write to the store.
 STORE_TIMEOUT = 5.0
 
 
 class SlottedTarget:
-    """One target with a number of slots."""
+    """One target with a fixed number of slots."""
 
     def __init__(self, instance, slots):
         self._slots = slots
@@ -80,11 +80,11 @@
         self._remembered = OrderedDict()
         self._instances = (f"{instance}.{start}" for start in count(2))
         self._ended = Signal()
-        #: ``[instant, path]`` of every request under which it ended.
+        #: ``[instant, path]`` of every request that crashed it.
         self._ends = []
 
     async def live(self, host, port):
-        """Serve at an address, and again after each end."""
+        """Serve at an address, with a restart after each crash."""
         while True:
             server = await spawn(tcp_server, host, port, self.serve)
             await self._ended.wait()
@@ -94,7 +94,7 @@
             await self._start_again()
 
     async def _start_again(self):
-        """Become another incarnation that remembers nothing."""
+        """Start a new incarnation with an empty object cache."""
         self._running = 0
         self._remembered.clear()
         former, self._switches["id"] = self._switches["id"], next(self._instances)
@@ -111,7 +111,7 @@
         await stream.close()
 
     async def serve(self, sock, address):
-        """Answer requests on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
         try:
             while await self._serve_one(stream):
@@ -179,7 +179,7 @@
         await self._answer(stream, echo, body)
 
     def _work(self, item):
-        """Return the seconds that a request for an object takes, and remember it."""
+        """Return the seconds that a request for an object takes, and cache it."""
         known = item in self._remembered
         self._remembered[item] = None
         self._remembered.move_to_end(item)
@@ -224,7 +224,7 @@
 
 
 def _raw(status, headers, body):
-    """Return the bytes of an answer."""
+    """Return the bytes of a response."""
     lines = [b"HTTP/1.1 %d X" % status]
     lines += [name + b": " + value for name, value in headers]
     lines.append(b"content-length: %d" % len(body))
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,20 +1,19 @@
-"""Randomized fault soak: real processes, faults from outside, promises checked.
+"""Randomized soak test with fault injection, over separate processes.
 
-One seed starts a store, targets and VMs, sends requests all the while and injects
-faults in series and overlapping: VMs killed, paused or suspended, stopped and started
-again; a store that is busy, silent, slow, refuses a VM, loses replies or its history;
-targets that lose, cut, refuse or slow their answers; evacuations and new
-configurations; connections between clients, VMs, targets and the store that a proxy
-delays, resets, refuses, cuts one way or silences; VMs that start with another time of
-day. It checks, from what clients and targets see:
+Each seed starts a store, targets and VMs, sends requests and injects overlapping
+faults: VMs killed, paused or suspended, restarted, or started with a skewed wall clock;
+a store that is unavailable, slow, refuses a VM, or loses replies or its change history;
+targets that lose, truncate, refuse or delay responses; evacuations and new
+configurations; and network faults of :mod:`standins.fault_proxy`. It checks, from what
+clients and targets observe:
 
 - a request that is not idempotent runs at most once;
-- a refusal with 503 is true: the request has not run and does not run later;
-- a success is signed, whole, and the answer to its own request;
-- a target that leaves just after the last fault gets no requests once the VMs are bound
-  by its drain and that is over, and is used again when it starts again under its id;
+- a request refused with 503 has not run and does not run later;
+- a successful response is signed, complete and belongs to its request;
+- a target removed after the last fault gets no requests once its drain is over, and
+  gets requests again when it restarts under the same id;
 - after the last fault, requests are served again;
-- a planned stop ends no request that a target works on; see
+- a planned stop aborts no request that is running at a target; see
   :mod:`standins.soak_stops`.
 """
 
@@ -49,23 +48,22 @@
 WAIT_MS = 1200
 FAULT_GAP = (0.1, 0.6)
 FAULT_SECONDS = (0.2, 1.5)
-#: Seconds by which the time of day of a started VM may be off.
+#: Seconds of wall clock skew that a restarted VM may have.
 CLOCK_SKEWS = (-3600.0, -2.0, 2.0, 3600.0)
-#: Seconds by which a proxy delays data, from little to longer than a request waits.
+#: Shortest and longest delay in seconds on a link; the latter exceeds the deadline.
 LINK_DELAYS = (0.005, 1.5)
 RECOVERY_SECONDS = 12.0
-#: Seconds after the last fault from which every VM is bound by the drain of a target,
-#: and that drain, as on the shortest deployment; a run begins to be told of 0.3 s later
-#: at the latest on a busy machine (an estimate).
+#: Seconds after the last fault until every VM applies the drain of a target, the length
+#: of that drain, and the delay until a run is recorded.
 STABLE_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
 REACH_SECONDS = 0.3
-#: Seconds after which a request that was given up can no longer begin to run.
+#: Seconds after which an abandoned request can no longer start to run.
 SETTLE_SECONDS = 1.0
 
 
 class Sent:
-    """A request of the soak and how it ended; ``status`` is ``None`` for no answer."""
+    """A request and its response; ``status`` is ``None`` when there was none."""
 
     __slots__ = ("id", "safe", "body", "status", "headers", "answer")
 
@@ -97,7 +95,7 @@
             thread.start()
 
     def stop(self):
-        """Stop sending and wait for the last answers."""
+        """Stop sending and wait for the last responses."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -127,9 +125,10 @@
 
 
 class Faults:
-    """Injects faults, each undone after a while; some overlap.
+    """Injects random faults and undoes each one later; they may overlap.
 
-    :param rng: decides what happens when.
+    :param rng: source of all random choices.
+    :param config_versions: iterator over numbers for new configurations.
     """
 
     def __init__(self, fleet, rng, config_versions):
@@ -140,7 +139,7 @@
         self.log = []
 
     def run(self, seconds):
-        """Inject faults for a while, then undo all of them."""
+        """Inject faults for ``seconds``, then undo all of them."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             kind = self._rng.choice(self._kinds())
@@ -190,12 +189,12 @@
 
     def _stop(self):
         vm = self._vm()
-        # By the time of the restart another fault may have started a new process.
+        # Another fault may have started a new process by the time of the restart.
         stopped = vm.process
         stopped.send_signal(signal.SIGTERM)
 
         def restart():
-            # Another fault may have paused it meanwhile.
+            # Another fault may have paused it.
             stopped.send_signal(signal.SIGCONT)
             stopped.wait(STOP_SECONDS)
             self._start(vm)
@@ -203,7 +202,7 @@
         return restart
 
     def _start(self, vm):
-        # Another fault may have started it already.
+        # Another fault may have already restarted it.
         if vm.process.poll() is not None:
             skew = self._rng.choice((0.0, 0.0, *CLOCK_SKEWS))
             self._fleet.start_vm(vm, clock_skew=skew)
@@ -286,10 +285,9 @@
 
 
 def check_leaving(fleet, seed):
-    """Yield a line if requests reach a target whose drain is over.
+    """Yield a line if requests reach a removed target, or none after its restart.
 
-    Clients send all the while. The target announces that it leaves, or its entry just
-    vanishes; afterwards it starts again under its id.
+    Clients keep sending. The target either announces its drain or its entry is removed.
     """
     rng = random.Random(f"{seed}-leaving")
     target = rng.choice(list(TARGETS))
@@ -304,18 +302,18 @@
     time.sleep(DRAIN_SECONDS)
     late = [run[0] for run in fleet.record(target)["runs"][count:]]
     if late:
-        yield f"{target} left and got requests: {late}"
+        yield f"{target} got requests after its drain: {late}"
     fleet.announce(target, sequence=1, born=1)
     try:
         wait_for(lambda: len(fleet.record(target)["runs"]) > count, RECOVERY_SECONDS)
     except TimeoutError as error:
-        yield f"{target} started again and gets no requests: {error!r}"
+        yield f"{target} gets no requests after its restart: {error!r}"
 
 
 def check(sent, runs):
-    """Yield a line for each broken promise.
+    """Yield a line for each violation.
 
-    :param sent: every :class:`Sent`.
+    :param sent: every :class:`SentRequest`.
     :param runs: ``[request id, path, milliseconds, digest]`` of every run.
     """
     counts = Counter(run[0] for run in runs)
@@ -330,23 +328,23 @@
 
 def _check_success(request):
     if request.headers.get("response-signature") != "signed":
-        yield f"{request.id}: a success without the target's signature"
+        yield f"{request.id}: successful response without the target's signature"
     if request.headers.get("request-id") != request.id:
-        yield f"{request.id}: the answer to another request"
+        yield f"{request.id}: response to another request"
     if request.answer != sha256(request.body).hexdigest().encode():
-        yield f"{request.id}: not the whole answer"
+        yield f"{request.id}: incomplete response"
 
 
 def run_seed(seed, seconds, config, vms_each=1, with_stops=True):
-    """Run one seed and return the broken promises, and how requests ended.
+    """Run one seed; return the violations and the number of requests by outcome.
 
     :param vms_each: number of VMs in each failure domain.
-    :param with_stops: have planned stops follow the faults.
+    :param with_stops: whether planned stops follow the faults.
     """
     rng = random.Random(seed)
     vms = dict.fromkeys(DOMAINS, vms_each)
     config["hosts"][0]["paths"].extend(long_routes())
-    # A paused VM sees a suspension with one seed of two.
+    # With odd seeds, a paused process behaves like a suspended VM.
     suspends = seed % 2 == 1
     with SteeringFleet(
         config,
@@ -359,7 +357,7 @@
     ) as fleet:
         faults = Faults(fleet, rng, iter(range(100, 10_000)))
         clients = Clients(fleet, seed)
-        # Its own numbers: what a seed draws for the faults stays the same.
+        # A separate generator keeps the random choices of the faults independent.
         stops = PlannedStops(fleet, DOMAINS, seed, random.Random(f"{seed}-stops"))
         clients.start()
         stops.start_clients()
@@ -384,7 +382,7 @@
 
 
 def _check_recovery(fleet, seed):
-    """Yield a line for each VM that does not serve again."""
+    """Yield a line for each VM that does not recover."""
     for vm in fleet.vms.values():
         if vm.process.poll() is not None:
             fleet.start_vm(vm)
@@ -398,18 +396,18 @@
                 RECOVERY_SECONDS,
             )
         except (TimeoutError, OSError, HTTPException) as error:
-            yield f"{vm.name} does not serve again: {error!r}"
+            yield f"{vm.name} does not recover: {error!r}"
 
 
 def main():
-    """Run seeds and report each broken promise."""
+    """Run seeds and report each violation."""
     from tests.platform_samples import config
 
     parser = ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--vms", type=int, default=1, help="VMs in a failure domain")
-    parser.add_argument("--seconds", type=float, default=8.0, help="length of a seed")
+    parser.add_argument("--seconds", type=float, default=8.0, help="seconds per seed")
     args = parser.parse_args()
     failed = []
     for seed in range(args.first, args.first + args.seeds):
--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -1,10 +1,9 @@
-"""Planned stops of the soak: signals in series that overlap, and what they must not do.
+"""Planned stops of the soak test, as overlapping sequences of signals.
 
-Clients keep connections, some sending ahead on them, until the process is gone. VMs
-are told to stop, told again, told to read their settings while they stop, killed while
-they stop, stopped as they start, and all told to stop within a second. Each is started
-again as it ends. No request that a VM passed on to a target may end without the
-target's answer, but for those that :class:`Outcome` excuses.
+Clients use persistent connections, some with pipelining. VMs get SIGTERM once or twice,
+SIGHUP or SIGKILL during a shutdown, SIGTERM during a start, or all of them SIGTERM
+within a second. Each VM restarts after its exit. A request that runs at a target must
+get the target's response, except in the cases that :class:`Outcome` lists.
 """
 
 import signal
@@ -19,42 +18,42 @@
 from standins.stops.tally import Outcome, Tally, collect_runs
 
 STEPS = 3
-#: Shares of seeds that end with a stop of the fleet, and with a kill in a stop.
+#: Shares of seeds with a stop of the whole fleet, and with a kill during a shutdown.
 FLEET_SHARE = 0.5
 KILL_SHARE = 0.5
 STEP_GAP = (1.0, 3.5)
 #: Seconds between the first signal to a VM and another one.
 SIGNAL_GAP = (0.05, 3.0)
-#: Seconds from the start of a process to its stop.
+#: Seconds from the start of a process to its SIGTERM.
 START_GAP = (0.0, 0.6)
-#: Seconds within which a whole fleet is told to stop.
+#: Seconds within which the whole fleet gets SIGTERM.
 FLEET_SECONDS = 1.0
 POLL_SECONDS = 0.01
-#: Seconds of work for an object that a target knows, and times longer for others.
+#: Seconds of work for an object that a target has cached, and the factor for others.
 WORK_SECONDS = 0.1
 LEARNING_FACTOR = 20.0
 #: Seconds of load before the first signal.
 LOAD_SECONDS = 2.0
 LAST_ANSWERS_SECONDS = 20.0
-#: Statuses that blame the client; every request of the soak is proper.
+#: Client errors; every request of the soak test is valid.
 CLIENT_ERRORS = range(400, 500)
 
 
 def long_routes():
-    """Return routes whose requests may outlast the first seconds of a stop."""
+    """Return routes whose requests may outlast the start of a shutdown."""
     return configuration()["hosts"][0]["paths"]
 
 
 def keeping_clients(fleet, domains, seed, stopper):
-    """Return clients as many as the targets' slots bear, most of them sending ahead."""
+    """Return clients for the targets' number of slots, most of them with pipelining."""
     size = Size(domains, vms=0, targets=0, ahead=6, kept=2, single=1.0, objects=6)
     return Clients(fleet, size, seed, stopper)
 
 
 class Signals:
-    """Sends signals to VMs, each drawn.
+    """Sends a random sequence of signals to VMs.
 
-    :param stopper: starts VMs again as they end.
+    :param stopper: the :class:`Stopper`, which restarts VMs.
     """
 
     def __init__(self, fleet, stopper, rng):
@@ -66,9 +65,9 @@
         self.log = []
 
     def run(self):
-        """Send a series of signals and wait until every VM serves again.
+        """Send the signals and wait until every VM is ready again.
 
-        :raises TimeoutError: when one does not.
+        :raises TimeoutError: when a VM does not become ready.
         """
         steps = list(self._draw())
         for (step, vm), following in zip(steps, [*steps[1:], steps[0]], strict=True):
@@ -81,7 +80,7 @@
         self._stopper.wait()
 
     def _draw(self):
-        """Yield steps, each with a VM."""
+        """Yield pairs of a step and a VM."""
         kinds = (
             self._stop,
             self._stop_twice,
@@ -96,7 +95,7 @@
             vm = self._draw_other(vm)
             yield self._stop_fleet, vm
         if self._rng.random() < KILL_SHARE:
-            # The last one: it excuses what becomes of requests near it.
+            # Comes last, since requests lost near a kill do not count.
             yield self._kill_in_stop, self._draw_other(vm)
 
     def _draw_other(self, last):
@@ -132,7 +131,7 @@
         self._start(stop_again)
 
     def _stop_fleet(self, vm):
-        """Tell a VM to stop, and all others within a second."""
+        """Stop a VM, then all others within a second."""
         vms = [each for each in self._fleet.vms.values() if each is not vm]
         self._rng.shuffle(vms)
         for each in [vm, *vms]:
@@ -158,10 +157,10 @@
 
 
 class PlannedStops:
-    """The clients of a seed that keep connections, and its planned stops.
+    """The planned stops of a seed, and the clients with persistent connections.
 
     :param domains: ``{failure domain: region}``.
-    :param rng: decides what is sent when.
+    :param rng: source of the random signals.
     """
 
     def __init__(self, fleet, domains, seed, rng):
@@ -174,7 +173,7 @@
 
     @property
     def log(self):
-        """Return a line for each signal."""
+        """Return one line per signal."""
         return self._signals.log
 
     def start_clients(self):
@@ -182,7 +181,7 @@
         self._thread.start()
 
     def run(self):
-        """Send the signals; yield a line for each VM that does not come back."""
+        """Send the signals; yield a line if a VM does not become ready again."""
         for target in self._fleet.targets:
             self._fleet.switch_target(
                 target, work_s=WORK_SECONDS, learning_x=LEARNING_FACTOR
@@ -195,18 +194,18 @@
             yield str(error)
 
     def stop_clients(self):
-        """Stop sending and wait for the last answers."""
+        """Stop sending and wait for the last responses."""
         self._clients.stop()
         self._thread.join(LAST_ANSWERS_SECONDS)
 
     def check(self, spans):
-        """Yield a line for each broken promise.
+        """Yield a line for each violation.
 
-        :param spans: ``[attempt id, begin, planned end]`` of every run.
+        :param spans: ``[attempt id, start, planned end]`` of every run.
         """
         ended = self._ended()
         if missing := len(self._clients.attempts) - len(ended):
-            yield f"{missing} requests are under way long after their deadline"
+            yield f"{missing} requests in flight long after their deadline"
         yield from check_attempts(ended, collect_runs(spans))
         tally = self._tally(spans)
         if tally is None:
@@ -221,13 +220,13 @@
             )
 
     def ends(self, spans):
-        """Return the number of requests near the stops by how they ended."""
+        """Return the number of requests near the planned stops by outcome."""
         tally = self._tally(spans)
         counts = tally.counts() if tally else {}
         return {f"stops: {each.value}": count for each, count in counts.items()}
 
     def _tally(self, spans):
-        """Return the :class:`Tally` of the planned stops; ``None`` without any."""
+        """Return the :class:`Tally` of the planned stops; ``None`` without stops."""
         stops = [each for each in self._stopper.stops if each.ready_at is not None]
         if not stops:
             return None
@@ -240,9 +239,9 @@
 
 
 def check_attempts(attempts, runs):
-    """Yield a line for each promise broken that holds at any time.
+    """Yield a line for each violation of rules that do not depend on stops.
 
-    :param attempts: ended ones.
+    :param attempts: every ended :class:`Attempt`.
     :param runs: ``{attempt id: Run}``.
     """
     for attempt in attempts:
@@ -250,10 +249,10 @@
         if attempt.kind.once and count > 1:
             yield f"{attempt.id}: ran {count} times"
         if attempt.signed and attempt.answer_to != attempt.id:
-            yield f"{attempt.id}: the answer to another request"
+            yield f"{attempt.id}: response to another request"
         if attempt.signed or attempt.status is None:
             continue
         if attempt.status in PROMISES and count:
             yield f"{attempt.id}: refused as not run, but ran"
         if attempt.status not in PROMISES and attempt.status in CLIENT_ERRORS:
-            yield f"{attempt.id} at {attempt.vm}: denied with {attempt.status}"
+            yield f"{attempt.id} at {attempt.vm}: client error {attempt.status}"
--- a/standins/steering_fleet.py
+++ b/standins/steering_fleet.py
@@ -28,7 +28,7 @@
 class SteeringVm:
     """One VM of the fleet.
 
-    :param number: tells it from the others, from 1 on.
+    :param number: unique within the fleet, from 1.
     """
 
     def __init__(self, name, host, domain, region, number):
@@ -59,16 +59,16 @@
 class SteeringFleet(Deployment):
     """The processes of one deployment.
 
-    :param config: the operators' document.
+    :param config: the configuration document.
     :param domains: ``{failure domain: region}``.
     :param vms: ``{failure domain: number of VMs}``.
     :param targets: ``{id: (service, failure domain, slots)}``.
-    :param subnet: the second number of every IP, to keep fleets apart.
-    :param bounds: texts as in the settings file.
-    :param proxied: put a proxy that can harm connections between clients, VMs, targets
-        and the store; see :mod:`standins.fault_proxy`.
-    :param suspends: have a VM that is stopped and continued see what a suspended one
-        sees; see :mod:`standins.skewed`.
+    :param subnet: the second octet of every IP address; differs between fleets.
+    :param bounds: the ``bounds`` entries of the settings file.
+    :param proxied: whether connections between clients, VMs, targets and the store go
+        through :mod:`standins.fault_proxy`.
+    :param suspends: whether a stopped and continued process behaves like a suspended
+        VM; see :mod:`standins.skewed`.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self.vms = {vm.name: vm for vm in self._place_vms(vms)}
 
     def start(self):
-        """Start everything and wait until each VM is ready."""
+        """Start all processes and wait until each VM is ready."""
         self.start_store()
         self.start_targets()
         if self._proxied:
@@ -107,13 +107,12 @@
         self.wait_ready()
 
     def start_store(self):
-        """Start the store, empty.
+        """Start an empty store.
 
-        :raises RuntimeError: when another fleet has the same addresses: each would
-            work with the other's configuration.
+        :raises RuntimeError: when a store, of another fleet, uses the address already.
         """
         if self._store_answers():
-            raise RuntimeError(f"a store answers at {self.store[0]} already")
+            raise RuntimeError(f"{self.store[0]} is in use; set FLEET_SUBNET_OFFSET")
         self._spawn("store", "standins.table_store", *map(str, self.store))
         wait_for(self._store_answers)
 
@@ -128,13 +127,13 @@
             wait_for(lambda each=target_id: self._answers(each))
 
     def start_proxy(self):
-        """Start the proxy, with all links in order."""
+        """Start the proxy, without faults."""
         control = f"{self._proxy_host}:{PROXY_PORT}"
         self._spawn("proxy", "standins.fault_proxy", control, *self._links())
         wait_for(self._proxy_answers)
 
     def wait_ready(self):
-        """Wait until every VM is ready and knows all others."""
+        """Wait until every VM is ready and names all VMs in look-ups."""
         count = len(self.vms)
         for vm in self.vms.values():
             wait_for(lambda vm=vm: self.is_ready(vm))
@@ -143,7 +142,7 @@
     def start_vm(self, vm, clock_skew=0.0):
         """Start the process of a VM.
 
-        :param clock_skew: seconds by which its time of day is off.
+        :param clock_skew: skew of its wall clock in seconds.
         """
         command = [sys.executable, "-m", "standins.skewed", "steer"]
         command += ["--metrics-port", str(METRICS_PORT)]
@@ -155,7 +154,7 @@
         vm.process = self._processes.start(vm.name, command, **variables)
 
     def restart_vm(self, vm):
-        """Start a VM whose process was told to end, once it has."""
+        """Wait for the process of a stopped VM to exit, then start the VM."""
         vm.process.wait(STOP_SECONDS)
         self.start_vm(vm)
 
@@ -164,38 +163,47 @@
         vm.process.send_signal(signum)
 
     def log(self, vm):
-        """Return the log lines of a VM as objects."""
+        """Return the JSON log lines of a VM, parsed."""
         return self._processes.log(vm.name)
 
     def put(self, table, key, document):
-        """Write a row as operators and targets do."""
+        """Write a row of an operator or target; a ``document`` of ``None`` removes it.
+
+        The store refuses writes to these tables by VMs.
+        """
         body = json.dumps([table, key, document])
         assert call(*self.store, "POST", "/put", body)[0] == 200
 
     def announce(self, target_id, **changes):
-        """Write the entry of a target."""
+        """Write the entry of a target, with some fields changed."""
         self.put("servers", target_id, {**self._entry(target_id), **changes})
 
     def switch_store(self, **switches):
-        """Set faults of the store."""
+        """Set faults of the store; see :mod:`standins.table_store`."""
         call(*self.store, "POST", "/switch", json.dumps(switches))
 
     def switch_link(self, link, **faults):
-        """Set faults of a link; see :func:`store_link` and its like for names."""
+        """Set faults of a link; see :mod:`standins.fault_proxy`.
+
+        :param link: a name from e.g. :func:`store_link`.
+        """
         body = json.dumps({link: faults})
         call(self._proxy_host, PROXY_PORT, "POST", "/switch", body)
 
     def store_counts(self):
-        """Return the number of calls to the store by path."""
+        """Return the number of requests to the store by path."""
         return json.loads(call(*self.store, "GET", "/counts")[2])
 
     def switch_target(self, target_id, **switches):
-        """Set faults of a target."""
+        """Set faults of a target; see :mod:`standins.slotted_target`."""
         host = self.target_host(target_id)
         call(host, TARGET_PORT, "POST", "/switch", json.dumps(switches))
 
     def set_fatal(self, paths, down_s):
-        """Have every target end under requests for some paths, and come back later."""
+        """Make requests for some paths crash any target.
+
+        :param down_s: seconds until a crashed target restarts.
+        """
         for each in self.targets:
             self.switch_target(
                 each,
@@ -206,17 +214,17 @@
             )
 
     def end_target(self, target_id):
-        """End a target by no request's fault; it comes back as after a fatal one."""
+        """Crash a target without a request; it restarts as after a fatal request."""
         try:
             self.switch_target(target_id, end=True)
         except (OSError, HTTPException):
-            # It is down already.
+            # The target is already down.
             return
 
     def ends(self):
-        """Return ``[instant, path]`` of each request under which a target ended.
+        """Return ``[instant, path]`` of each request that crashed a target.
 
-        Waits for the targets that are down; instants are of ``time.monotonic()``.
+        Waits for crashed targets to restart; instants are of ``time.monotonic()``.
         """
         for each in self.targets:
             wait_for(lambda each=each: self._answers(each))
@@ -224,7 +232,7 @@
         return sorted(ends)
 
     def record(self, target_id):
-        """Return what a target ran."""
+        """Return the run record of a target."""
         host = self.target_host(target_id)
         return json.loads(call(host, TARGET_PORT, "GET", "/record")[2])
 
@@ -233,20 +241,20 @@
         return [run for each in self.targets for run in self.record(each)["runs"]]
 
     def spans(self):
-        """Return ``[request id, begin, planned end]`` of every run."""
+        """Return ``[request id, start, planned end]`` of every run."""
         return [span for each in self.targets for span in self.record(each)["spans"]]
 
     def target_host(self, target_id):
-        """Return the IP number of a target."""
+        """Return the IP address of a target."""
         number = list(self.targets).index(target_id)
         return f"127.{self._subnet}.100.{1 + number}"
 
     def is_ready(self, vm):
-        """Return whether a VM says that it takes clients."""
+        """Return whether the readiness check of a VM succeeds."""
         return self._get(vm, "/v1/ready") == 200
 
     def resolve(self, vm, region, domain):
-        """Return the addresses that a VM names for a client."""
+        """Return the addresses that a VM returns for a client's look-up."""
         path = f"/v1/resolve?name=a.example&region={region}&zone={domain}"
         try:
             status, _, body = call(vm.host, READY_PORT, "GET", path)
@@ -255,11 +263,15 @@
         return json.loads(body)["addresses"] if status == 200 else []
 
     def metrics(self, vm):
-        """Return the text of a VM's metrics."""
+        """Return a VM's metrics in the text format."""
         return call(vm.host, METRICS_PORT, "GET", "/metrics")[2].decode()
 
     def send(self, vm, method, path, request_id, body=None, wait_ms=1000, **headers):
-        """Send a request through a VM and return ``(status, headers, body)``."""
+        """Send a request through a VM and return ``(status, headers, body)``.
+
+        :param wait_ms: the deadline, in milliseconds from now.
+        :param headers: further headers, with ``_`` for ``-``.
+        """
         sent = {
             "Host": "a.example",
             "Request-Id": request_id,
@@ -273,7 +285,7 @@
         return f"127.{self._subnet}.201.1"
 
     def store_host(self, vm):
-        """Return where a VM finds the store; its calls come from there as well."""
+        """Return the address of the store for a VM, which is also its source there."""
         return f"127.{self._subnet}.202.{vm.number}" if self._proxied else self.store[0]
 
     def _target_place(self, target_id):
@@ -297,7 +309,7 @@
         }
 
     def _links(self):
-        """Yield the links of the proxy as its command line takes them."""
+        """Yield the links as command line arguments of the proxy."""
         store_host, store_port = self.store
         for vm in self.vms.values():
             listen = f"{self.store_host(vm)}:{STORE_PORT}"
@@ -365,7 +377,7 @@
             "platform": {"address": f"{self.store_host(vm)}:{self.store[1]}"},
         }
         path = self.folder / f"{vm.name}.yaml"
-        # JSON is YAML as well.
+        # JSON is valid YAML.
         path.write_text(json.dumps(settings, indent=1))
         return str(path)
 
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -1,7 +1,7 @@
-"""Planned stops of simulated VMs: what they cost, and whom look-ups name meanwhile.
+"""Simulation of planned stops, which counts messages, store calls and rankings.
 
-Everything that decides is the real code: heartbeats, membership, owners, look-ups and
-the calls to the store. Sockets, processes and the store are simulated.
+Gossip, membership, owners and look-ups run the production code; sockets, processes and
+the store are simulated.
 """
 
 from itertools import count
@@ -19,28 +19,27 @@
 from heathercleat.steering.process.store.protocol import StoreRow
 from standins.membership_simulation import STEP, Network, SimulatedVm, drive
 
-#: Regions, and failure domains of each, by the number of VMs.
+#: Number of regions, and of failure domains in each, by the number of VMs.
 LAYOUTS = {9: (1, 3), 30: (1, 3), 72: (3, 2), 195: (3, 5), 300: (3, 4)}
 SERVICES = ("s1", "s2")
 TARGETS_OF_SERVICE = 4
-#: Seconds from the start of a process to its first row and to serving.
+#: Seconds from the start of a process to its registration, and to serving.
 REGISTER_SECONDS, SERVE_SECONDS = 0.05, 0.1
-#: Seconds from the signal to the end of a VM without requests under way, and from there
-#: to the start of its next process.
+#: Seconds from SIGTERM to the exit of an idle VM, and from there to its restart.
 STOP_SECONDS = KEEP_ALIVE_SECONDS + QUIET_SECONDS
 RESTART_SECONDS = 0.3
-#: Seconds between two stops in turn.
+#: Seconds between successive stops of a rolling restart.
 TURN_SECONDS = 1.3
-#: Seconds in which a fleet that starts has settled.
+#: Seconds within which the membership of a new fleet converges.
 SETTLE_SECONDS = 8.0
 FRONT_PORT = 8381
 LONGEST_TTL = 5.0
-#: Rows that one reading call to the store returns.
+#: Rows per page of a read from the store.
 PAGE_ROWS = 500
 
 
 def regions_of(size):
-    """Return the region of each failure domain of a fleet of so many VMs."""
+    """Return the region of each failure domain for a fleet size in :data:`LAYOUTS`."""
     regions, domains = LAYOUTS[size]
     return {
         f"r{region}-{domain}": f"r{region}"
@@ -50,14 +49,14 @@
 
 
 class Costs:
-    """What was spent so far, or between two moments.
-
-    :param messages: datagrams that all VMs sent.
-    :param bytes: their length.
-    :param news: pieces of news in them.
-    :param writes: calls to the store that change a row.
-    :param reads: calls to the store that read rows.
-    :param rankings: targets whose owner a VM worked out anew, summed over all VMs.
+    """Counters of the whole fleet, in total or over an interval.
+
+    :param messages: datagrams sent.
+    :param bytes: total length of the datagrams.
+    :param news: membership updates in the datagrams.
+    :param writes: store calls that change a row.
+    :param reads: store calls that read rows.
+    :param rankings: targets whose owner a VM recomputed, summed over all VMs.
     """
 
     __slots__ = ("messages", "bytes", "news", "writes", "reads", "rankings")
@@ -67,12 +66,12 @@
             setattr(self, name, value)
 
     def minus(self, other):
-        """Return the difference to earlier costs."""
+        """Return the costs since ``other``."""
         return Costs(*(getattr(self, n) - getattr(other, n) for n in self.__slots__))
 
 
 class CountedRows:
-    """The members' table in memory, which counts the calls to it."""
+    """The members table, in memory, with counters of calls."""
 
     def __init__(self):
         self.rows = {}
@@ -80,7 +79,7 @@
         self.writes = 0
 
     def write(self, vm, value):
-        """Put or remove the row of a VM."""
+        """Write the row of a VM, or remove it if ``value`` is ``None``."""
         self.writes += 1
         self.rows.pop(vm, None)
         if value is not None:
@@ -94,7 +93,7 @@
 
 
 class CountedOwners(Owners):
-    """Owners that count the targets which are ranked."""
+    """Owners with a counter of recomputed targets."""
 
     def __init__(self, registry, members):
         super().__init__(registry, members)
@@ -109,11 +108,11 @@
 
 
 class StoppableVm(SimulatedVm):
-    """A VM that registers, owns targets, answers look-ups and can be stopped."""
+    """A simulated VM that registers, owns targets, serves look-ups and can stop."""
 
     def __init__(self, fleet, number, incarnation):
         super().__init__(fleet, number, incarnation, alone=True)
-        # The base takes a VM that is there for one that serves.
+        # The base class marks the VM as serving.
         self.members.own.stage = Stage.STARTING
         self.next_at = fleet.clock.time
         self.started_at = fleet.clock.time
@@ -127,27 +126,27 @@
 
     @property
     def serving(self):
-        """Return whether the VM takes clients."""
+        """Return whether the VM accepts clients."""
         return self.running and self.members.own.serving
 
     @property
     def leaving(self):
-        """Return whether the VM was told to stop and still runs."""
+        """Return whether the VM is shutting down."""
         return self.running and self.stopped_at is not None
 
     def take(self, data):
-        """Take a datagram, and greet a VM that was not live before."""
+        """Process a datagram; reply at once to a VM that was not live before."""
         newcomer = self.gossip.take(data)
         if newcomer is not None:
             drive(self.gossip._send_all([newcomer]))
 
     def compose(self, interval):
-        """Return a heartbeat, for which the owners are looked at."""
+        """Return a heartbeat; refresh the owners as the production code does."""
         self.owners.owned()
         return super().compose(interval)
 
     def register(self):
-        """Write the own row and learn of the others."""
+        """Write the row of this VM and add the VMs of all other rows."""
         region = self.members.own.region
         rows = self.network.rows
         rows.write(self.name, encode_member(self.ip, self.domain, region))
@@ -158,11 +157,11 @@
                 )
 
     def serve(self):
-        """Take clients."""
+        """Start to accept clients."""
         self.members.set_serving(True)
 
     def stop(self):
-        """Do what the node does at the stop signal."""
+        """Begin the shutdown, as on SIGTERM."""
         self.stopped_at = self.network.clock.time
         self.members.leave()
         drive(self.gossip.leave())
@@ -173,14 +172,14 @@
         self.running = False
 
     def lookup(self, region, failure_domain):
-        """Return the :class:`Lookup` of a client that asks here."""
+        """Return the :class:`Lookup` for a client in a failure domain."""
         return self.directory.lookup(region, failure_domain)
 
 
 class StopFleet(Network):
-    """A fleet whose VMs start, stop and start again.
+    """A fleet whose VMs start, stop and restart.
 
-    :param size: the number of VMs, one of :data:`LAYOUTS`.
+    :param size: the number of VMs, a key of :data:`LAYOUTS`.
     """
 
     def __init__(self, size, loss=0.0, seed=1):
@@ -195,7 +194,7 @@
 
     @property
     def costs(self):
-        """Return the :class:`Costs` so far."""
+        """Return the total :class:`Costs`."""
         rankings = sum(vm.owners.rankings for vm in self.vms.values())
         return Costs(
             sum(self.sent.values()),
@@ -207,7 +206,7 @@
         )
 
     def start(self, number):
-        """Start a process of a VM, or its next one."""
+        """Start or restart the process of a VM."""
         incarnation = int(self.clock.time * 1e9)
         before = self._by_number(number)
         if before is not None:
@@ -217,18 +216,18 @@
         self.after(SERVE_SECONDS, vm.serve)
 
     def stop(self, vm, lasts=STOP_SECONDS):
-        """Tell a VM to stop; it ends and starts again."""
+        """Stop a VM; it exits after some seconds and restarts."""
         vm.stop()
         self.after(lasts, vm.end)
         self.after(lasts + RESTART_SECONDS, lambda: self.start(vm.number))
 
     def after(self, seconds, act):
-        """Act in so many seconds."""
+        """Call ``act()`` in ``seconds`` of simulated time."""
         self._due.append(Due(self.clock.time + seconds, next(self._numbers), act))
         self._due.sort(key=attrgetter("at", "number"))
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         for _ in range(round(seconds / STEP)):
             self.clock.time += STEP
             while self._due and self._due[0].at <= self.clock.time:
@@ -237,11 +236,11 @@
                 vm.step()
 
     def serving(self):
-        """Return the VMs that take clients."""
+        """Return the VMs that accept clients."""
         return [vm for vm in self.vms.values() if vm.serving]
 
     def spent(self, seconds):
-        """Return the :class:`Costs` of the next seconds."""
+        """Advance the simulated time and return the :class:`Costs` of it."""
         before = self.costs
         self.run(seconds)
         return self.costs.minus(before)
@@ -251,7 +250,7 @@
 
 
 class Due:
-    """What happens at an instant."""
+    """A scheduled call; ``number`` orders calls of the same instant."""
 
     __slots__ = ("at", "number", "act")
 
@@ -262,21 +261,21 @@
 
 
 def settled(size, loss=0.0, seed=1):
-    """Return a fleet that started together and has settled."""
+    """Return a fleet whose VMs started together and whose membership has converged."""
     fleet = StopFleet(size, loss, seed)
     fleet.run(SETTLE_SECONDS)
     return fleet
 
 
 def stop_in_turn(fleet, stops):
-    """Stop so many VMs one after the other, without a wait for the first."""
+    """Stop VMs at a fixed interval, without a wait for restarts."""
     for vm in fleet.serving()[:stops]:
         fleet.stop(vm)
         fleet.run(TURN_SECONDS)
 
 
 def stop_domain(fleet):
-    """Stop all VMs of one failure domain at once; return them."""
+    """Stop all VMs of the first failure domain at once; return them."""
     domain = next(iter(fleet.regions))
     stopped = [vm for vm in fleet.serving() if vm.domain == domain]
     for vm in stopped:
@@ -293,7 +292,7 @@
 
 
 def _targets(regions):
-    """Yield the targets of all failure domains."""
+    """Yield the :class:`TargetEntry` of each target."""
     for domain in regions:
         for service in SERVICES:
             for number in range(TARGETS_OF_SERVICE):
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -1,11 +1,11 @@
-"""Stand-in for the platform's store: rows, changes, conditions and faults, in memory.
-
-``POST /switch`` with a JSON map sets faults: ``down`` (``busy``, ``silent``, ``reset``
-or null), ``slow_s`` (seconds before each answer), ``lose_replies`` (how many writes
-take effect without an answer), ``refused`` (IP numbers that get 503) and ``history``
-(how many changes are kept). ``POST /put`` with ``[table, key, document]`` writes a row
-as operators and targets do; a document of null removes it. ``GET /counts`` tells the
-calls.
+"""Fake table store of the platform: rows, change feed and transactions, in memory.
+
+``POST /switch`` with a JSON object sets faults: ``down`` (``busy``, ``silent``,
+``reset`` or null), ``slow_s`` (seconds of delay per response), ``lose_replies`` (number
+of writes that take effect without a response), ``refused`` (IP addresses that get 503)
+and ``history`` (number of changes kept). ``POST /put`` with ``[table, key, document]``
+writes a row as operators and targets do; a document of null removes it. ``GET /counts``
+returns the number of requests by path.
 """
 
 import json
@@ -32,7 +32,7 @@
 
 
 class TableStoreStandin:
-    """All rows, and the changes in their order."""
+    """The rows, and the changes in order of version."""
 
     def __init__(self):
         self._rows = {}
@@ -49,7 +49,7 @@
         }
 
     async def serve(self, sock, address):
-        """Answer calls on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
 
         async def handle(message):
@@ -76,7 +76,7 @@
         return await self._answer(stream, url.path, query, message)
 
     async def _fail(self, stream, caller):
-        """Return the answer of a store in trouble, or ``None`` when it is well."""
+        """Return the response of an injected fault; ``None`` without one."""
         await sleep(self._switches["slow_s"])
         down = self._switches["down"]
         if down == "silent":
@@ -173,7 +173,7 @@
 
 
 def main():
-    """Run the stand-in on one address."""
+    """Run the fake store on one address."""
     parser = ArgumentParser(description=main.__doc__)
     parser.add_argument("host")
     parser.add_argument("port", type=int)
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,13 +1,13 @@
-"""Stand-in for a target: slots, health and load endpoints, faults, and a run record.
-
-``POST /switch`` with a msgpack map sets: ``service_s`` (time a request takes),
-``health`` (``ready``, ``draining`` or ``starting``), ``lie`` (health says ready
-whatever else), ``fail`` (answer 500), ``shed`` (answer 503), ``cut`` (close in the
-middle of the answer), ``cold_s`` (extra time of the first ``cold_requests``),
-``cancel_s`` (time until a cancelled request leaves its slot) and ``lost`` (requests are
-cut, those under way too; only ``/switch`` and ``/record`` are answered).
-``GET /record`` answers with the runs, the highest number in flight and the slot-seconds
-over the limit.
+"""Fake target with slots, health and load endpoints, injected faults and a run record.
+
+``POST /switch`` with a msgpack map sets: ``service_s`` (seconds per request),
+``health`` (``ready``, ``draining`` or ``starting``), ``lie`` (always report ready),
+``fail`` (respond with 500), ``shed`` (respond with 503), ``cut`` (close in the middle
+of the response), ``cold_s`` (extra seconds of the first ``cold_requests``),
+``cancel_s`` (seconds until a cancelled request releases its slot) and ``lost`` (abort
+every request, also those in flight; only ``/switch`` and ``/record`` work).
+``GET /record`` returns the runs, the highest number of requests in flight and the
+slot-seconds over the limit.
 """
 
 import time
@@ -32,10 +32,10 @@
 
 
 class TargetStandin:
-    """One target with a number of slots.
+    """One target with a fixed number of slots.
 
-    :param name: its name in answers.
-    :param slots: how many requests it carries at once.
+    :param name: its name in responses.
+    :param slots: the limit of concurrent requests; more are run but recorded.
     """
 
     def __init__(self, name, slots):
@@ -65,7 +65,7 @@
         }
 
     async def serve(self, sock, address):
-        """Answer requests on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
         self._connections += 1
         self._peak_connections = max(self._peak_connections, self._connections)
@@ -149,7 +149,7 @@
             self._runs.append([event.method.decode(), path, key, digest])
 
     async def _work(self, stream):
-        """Work for the service time; return whether the caller cancelled."""
+        """Sleep for the service time; return whether the caller disconnected."""
         seconds = self._switches["service_s"]
         if self._switches["cold_requests"]:
             self._switches["cold_requests"] -= 1
