--- a/standins/steering_fleet.py
+++ b/standins/steering_fleet.py
@@ -112,7 +112,9 @@
         :raises RuntimeError: when a store, of another fleet, uses the address already.
         """
         if self._store_answers():
-            raise RuntimeError(f"{self.store[0]} is in use; set FLEET_SUBNET_OFFSET")
+            raise RuntimeError(
+                f"a store is running at {self.store[0]}; set FLEET_SUBNET_OFFSET"
+            )
         self._spawn("store", "standins.table_store", *map(str, self.store))
         wait_for(self._store_answers)
 
