--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -14,7 +14,7 @@
     exchange,
     with_deadline,
 )
-from standins.load import MAX_ANSWER_BYTES, Load
+from standins.load import MAX_RESPONSE_BYTES, Load
 
 POLL_SECONDS = 0.2
 BALANCERS = 12
@@ -32,7 +32,7 @@
         self._views = [dict.fromkeys(targets, 0) for _ in range(BALANCERS)]
         self._polling = False
 
-    async def _try_places(self, method, path, body, headers):
+    async def _send_to_any(self, method, path, body, headers):
         if not self._polling:
             self._polling = True
             for view in self._views:
@@ -57,10 +57,10 @@
         try:
             stream = await connect(host, port, deadline, self._clock)
             try:
-                asking = exchange(stream, Message(path="/load"), MAX_ANSWER_BYTES)
-                answer = await with_deadline(deadline, self._clock, asking)
+                asking = exchange(stream, Message(path="/load"), MAX_RESPONSE_BYTES)
+                response = await with_deadline(deadline, self._clock, asking)
             finally:
                 await stream.close()
         except (TimeoutError, *CONNECTION_ERRORS):
             return known
-        return msgpack.unpackb(answer.body)["in_flight"]
+        return msgpack.unpackb(response.body)["in_flight"]
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -241,7 +241,7 @@
         slots = 2 * SLOTS
         wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
         time.sleep(1.0)
-        home, _ = fleet.by_homes()
+        home, _ = fleet.vms_by_target_count()
         home.process.kill()
         started = time.monotonic()
         wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -5,7 +5,7 @@
 from bench.report import Row
 from heathercleat.steering.process.directory import LOOKUP_TTL, MAX_OVER_SHARE
 from standins.simulated_clients import SimulatedClients
-from standins.stop_simulation import STOP_SECONDS, settled
+from standins.stop_simulation import STOP_SECONDS, converged_fleet
 from tests.test_fleet_stops import Bill, in_turn
 
 #: VMs of the fleets that are compared.
@@ -44,13 +44,13 @@
 
 
 def _news_of_a_stop(size):
-    bill = Bill(settled(size), in_turn(STOPS))
-    return bill.spent.news / bill.stops / size
+    bill = Bill(converged_fleet(size), in_turn(STOPS))
+    return bill.spent.updates / bill.stops / size
 
 
 def _most_over_share():
     """Return the most that one VM is named for over its even share of the clients."""
-    fleet = settled(LARGE, loss=0.1)
+    fleet = converged_fleet(LARGE, loss=0.1)
     clients = SimulatedClients(fleet, CLIENTS)
     clients.run(3 * LOOKUP_TTL)
     domain = next(iter(fleet.regions))
@@ -60,5 +60,7 @@
     most = 0.0
     for _ in stopped:
         clients.run(RETURN_SECONDS)
-        most = max(most, *clients.over_share(clients.drawn()).values())
+        most = max(
+            most, *clients.relative_load(clients.expected_connections()).values()
+        )
     return most
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -7,7 +7,7 @@
 
 from standins.fleet import PORTS, call
 
-ATTEMPTS = 4
+MAX_ROUNDS = 4
 
 
 class Caller:
@@ -29,16 +29,16 @@
         cached = self._lookups.get(service)
         if cached is not None and cached["expires_at"] > time.time():
             return cached
-        known = cached["vms"] if cached else []
-        hosts = [vm["address"] for vm in known] + self._hosts
+        cached_vms = cached["vms"] if cached else []
+        hosts = [vm["address"] for vm in cached_vms] + self._hosts
         for host in hosts:
             try:
-                answer = self._ask(host, service)
+                response = self._request_lookup(host, service)
             except (OSError, HTTPException):
                 continue
-            if answer is not None:
-                self._lookups[service] = answer
-                return answer
+            if response is not None:
+                self._lookups[service] = response
+                return response
         raise ConnectionError(f"no entry VM responded to a look-up for {service}")
 
     def send(self, service, method, path, body=None, headers=None):
@@ -46,17 +46,17 @@
 
         :raises ConnectionError: when every entry VM failed in each round.
         """
-        last = None
-        for _ in range(ATTEMPTS):
+        last_error = None
+        for _ in range(MAX_ROUNDS):
             for vm in self.look_up(service)["vms"]:
                 try:
                     return self._call(vm, service, method, path, body, headers)
                 except (OSError, HTTPException) as error:
-                    last = error
+                    last_error = error
             self._lookups.pop(service, None)
-        raise ConnectionError(f"no entry VM served {service}: {last!r}")
+        raise ConnectionError(f"no entry VM served {service}: {last_error!r}")
 
-    def run_once(self, service, method, path, body, key):
+    def send_at_most_once(self, service, method, path, body, key):
         """Send a non-idempotent request with a ticket and an Idempotency-Key.
 
         Retries carry the same ticket and key.
@@ -69,20 +69,20 @@
             "idempotency-key": key,
             "content-type": "application/octet-stream",
         }
-        places = [lookup["ticket_vm"], *lookup["vms"]]
-        last = None
-        for place in places:
+        entry_vms = [lookup["ticket_vm"], *lookup["vms"]]
+        last_error = None
+        for entry_vm in entry_vms:
             try:
-                return self._call(place, service, method, path, body, headers)
+                return self._call(entry_vm, service, method, path, body, headers)
             except (OSError, HTTPException) as error:
-                last = error
-        raise ConnectionError(f"no entry VM served {service}: {last!r}")
+                last_error = error
+        raise ConnectionError(f"no entry VM served {service}: {last_error!r}")
 
-    def forget(self):
+    def clear_lookups(self):
         """Clear the look-up cache."""
         self._lookups.clear()
 
-    def _ask(self, host, service):
+    def _request_lookup(self, host, service):
         path = f"/lookup?service={quote(service)}"
         status, _, body = call(host, PORTS["caller"], "GET", path, timeout=2.0)
         return json.loads(body) if status == 200 else None
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -14,7 +14,7 @@
 UPLOAD_BYTES = 8 * 1024 * 1024
 IN_FORCE_SECONDS = 5.0
 DRAIN_SECONDS = 5.0
-LOG_SECONDS = 0.3
+LOG_FLUSH_SECONDS = 0.3
 DOMAINS = ("north-a", "north-b", "south-a", "south-b")
 
 
@@ -91,24 +91,25 @@
     def show_each_kind(self):
         """Serve one request of each kind; at-most-once requests are sent twice."""
         status, _, body = self._caller.send("style-lookup", "GET", "/style/whom")
-        self._note("style look-up", status == 200, body.split()[0].decode())
+        self._record_step("style look-up", status == 200, body.split()[0].decode())
         for service, path, what in (
             ("rule-editing", "/rules/7", "rule edit"),
             ("intake", "/corrections", "correction"),
             ("incident-registry", "/incidents", "incident declaration"),
             ("carrier-intake", "/enrolments", "enrolment"),
         ):
-            self._show_once(service, path, what)
+            self._show_at_most_once(service, path, what)
 
-    def _show_once(self, service, path, what):
+    def _show_at_most_once(self, service, path, what):
         key = f"demo {what}"
         answers = [
-            self._caller.run_once(service, "POST", path, b"{}", key) for _ in range(2)
+            self._caller.send_at_most_once(service, "POST", path, b"{}", key)
+            for _ in range(2)
         ]
         runs = sum(1 for run in self._fleet.runs() if run[2] == key)
         same = answers[0][2] == answers[1][2]
         passed = runs == 1 and same and all(answer[0] == 200 for answer in answers)
-        self._note(what, passed, f"sent twice, ran {runs} time(s)")
+        self._record_step(what, passed, f"sent twice, ran {runs} time(s)")
 
     def show_upload(self):
         """Upload several megabytes and compare the digest with the target's."""
@@ -116,7 +117,7 @@
         status, _, body = self._caller.send("intake", "PUT", "/uploads/photo", data)
         digest = body.decode().split()[-1]
         passed = status == 200 and digest == sha256(data).hexdigest()
-        self._note("upload", passed, f"{UPLOAD_BYTES} bytes, digest as sent")
+        self._record_step("upload", passed, f"{UPLOAD_BYTES} bytes, digest as sent")
 
     def show_new_text(self):
         """Apply a new configuration and wait until it is in force on every entry VM."""
@@ -129,8 +130,10 @@
             lambda: all(self._fleet.version(vm) == version for vm in vms),
             IN_FORCE_SECONDS,
         )
-        took = time.monotonic() - started
-        self._note("new text in force", True, f"on {len(vms)} VMs after {took:.2f} s")
+        elapsed = time.monotonic() - started
+        self._record_step(
+            "new text in force", True, f"on {len(vms)} VMs after {elapsed:.2f} s"
+        )
 
     def show_drain(self):
         """Drain a target under load: no request fails, and new requests stop."""
@@ -150,13 +153,15 @@
         for thread in threads:
             thread.join()
         record = self._fleet.record(target)
-        late = len(record["runs"]) - before
-        bad = [status for status in results if status != 200]
-        passed = not bad and not late and not record["in_flight"]
-        detail = f"{len(results)} served, {len(bad)} failed, {late} runs after 2 s"
-        if bad:
-            detail += f" ({dict(Counter(bad))}, pauses of VMs: {self._pauses()})"
-        self._note("target drained", passed, detail)
+        late_runs = len(record["runs"]) - before
+        failures = [status for status in results if status != 200]
+        passed = not failures and not late_runs and not record["in_flight"]
+        detail = (
+            f"{len(results)} served, {len(failures)} failed, {late_runs} runs after 2 s"
+        )
+        if failures:
+            detail += f" ({dict(Counter(failures))}, pauses of VMs: {self._pauses()})"
+        self._record_step("target drained", passed, detail)
         self._fleet.run("drain", "cancel", "demo")
 
     def _pauses(self):
@@ -180,24 +185,26 @@
         self._fleet.vms[first].process.kill()
         started = time.monotonic()
         status, headers, _ = self._caller.send("style-lookup", "GET", "/after")
-        took = time.monotonic() - started
+        elapsed = time.monotonic() - started
         passed = status == 200
         target = headers.get("heathercleat-target")
-        self._note("entry VM killed", passed, f"served by {target} after {took:.3f} s")
+        self._record_step(
+            "entry VM killed", passed, f"served by {target} after {elapsed:.3f} s"
+        )
 
     def show_log_lines(self):
         """Check that each completed request has a routing decision in a VM's log."""
         # Log lines are written in batches.
-        time.sleep(LOG_SECONDS)
+        time.sleep(LOG_FLUSH_SECONDS)
         logs = [line for vm in self._fleet.vms.values() for line in self._fleet.log(vm)]
         decided = {line["request"] for line in logs if line.get("event") in (210, 211)}
         done = {line["request"] for line in logs if line.get("event") == 220}
         missing = len(done - decided)
         repeats = sum(1 for line in logs if line.get("event") == 601)
         passed = missing <= repeats
-        self._note("decisions logged", passed, f"{len(decided)} routing lines")
+        self._record_step("decisions logged", passed, f"{len(decided)} routing lines")
 
-    def _note(self, what, passed, detail):
+    def _record_step(self, what, passed, detail):
         self._rows.append((what, passed, detail))
         print(f"{'ok  ' if passed else 'FAIL'}  {what:22}  {detail}", flush=True)
 
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -28,7 +28,7 @@
 POLL_SECONDS = 0.02
 #: ``SO_LINGER`` with zero seconds: closing sends a reset.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-MAX_SWITCH_BYTES = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 UP, DOWN, BOTH = "up", "down", "both"
 
 
@@ -47,9 +47,9 @@
         self._delay = 0.0
         self._cut = None
         self._refuse = False
-        self._carriers = set()
+        self._connections = set()
 
-    async def switch(
+    async def set_faults(
         self, delay_s=None, cut="", refuse=None, reset=False, silence=False
     ):
         """Set faults; an argument left out changes nothing.
@@ -62,12 +62,12 @@
             self._cut = cut
         if refuse is not None:
             self._refuse = refuse
-        for carrier in list(self._carriers):
-            carrier.silent = carrier.silent or silence
+        for proxied in list(self._connections):
+            proxied.is_stalled = proxied.is_stalled or silence
             if reset:
-                await carrier.reset()
+                await proxied.reset()
 
-    async def carry(self, sock, address):
+    async def forward(self, sock, address):
         """Forward one connection until either side closes it."""
         if self._refuse:
             await _reset(sock)
@@ -81,36 +81,36 @@
             await _reset(sock)
             return
         self.count += 1
-        carrier = Carrier(sock, server)
-        self._carriers.add(carrier)
+        proxied = ProxiedConnection(sock, server)
+        self._connections.add(proxied)
         try:
             async with server, TaskGroup(wait=any) as group:
-                await group.spawn(self._pump, carrier, sock, server, UP)
-                await group.spawn(self._pump, carrier, server, sock, DOWN)
+                await group.spawn(self._forward_data, proxied, sock, server, UP)
+                await group.spawn(self._forward_data, proxied, server, sock, DOWN)
         finally:
-            self._carriers.discard(carrier)
+            self._connections.discard(proxied)
 
-    async def _pump(self, carrier, source, sink, direction):
+    async def _forward_data(self, proxied, source, destination, direction):
         """Forward data in one direction until end of file."""
         try:
             while data := await source.recv(CHUNK_BYTES):
                 await sleep(self._delay)
-                while carrier.silent or self._cut in (direction, BOTH):
+                while proxied.is_stalled or self._cut in (direction, BOTH):
                     await sleep(POLL_SECONDS)
-                await sink.sendall(data)
+                await destination.sendall(data)
         except OSError:
             # Propagate the failure of one side to the other.
-            await carrier.reset()
+            await proxied.reset()
 
 
-class Carrier:
+class ProxiedConnection:
     """The client and server sockets of one forwarded connection."""
 
-    __slots__ = ("_sockets", "silent")
+    __slots__ = ("_sockets", "is_stalled")
 
     def __init__(self, *sockets):
         self._sockets = sockets
-        self.silent = False
+        self.is_stalled = False
 
     async def reset(self):
         """Reset both sockets."""
@@ -140,24 +140,24 @@
     async def serve(self, sock, address):
         """Serve control requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
-        await serve_requests(stream, self._answer, MAX_SWITCH_BYTES)
+        await serve_requests(stream, self._handle, MAX_BODY_BYTES)
 
-    async def _answer(self, message):
+    async def _handle(self, message):
         if message.path == "/switch":
             for name, faults in json.loads(message.body).items():
-                await self._links[name].switch(**faults)
+                await self._links[name].set_faults(**faults)
         counts = {name: link.count for name, link in self._links.items()}
         return Message(body=json.dumps(counts).encode())
 
 
 def parse_link(spec):
     """Return the :class:`Link` of ``NAME=HOST:PORT>HOST:PORT``."""
-    name, _, places = spec.partition("=")
-    listen, _, server = places.partition(">")
-    return Link(name, parse_place(listen), parse_place(server))
+    name, _, addresses = spec.partition("=")
+    listen, _, server = addresses.partition(">")
+    return Link(name, parse_address(listen), parse_address(server))
 
 
-def parse_place(text):
+def parse_address(text):
     """Return ``(host, port)`` of ``HOST:PORT``."""
     host, _, port = text.rpartition(":")
     return host, int(port)
@@ -165,17 +165,17 @@
 
 async def serve_all(control, links):
     """Serve the control interface and every link."""
-    named = {link.name: link for link in links}
+    links_by_name = {link.name: link for link in links}
     async with TaskGroup() as group:
-        await group.spawn(tcp_server, *control, Control(named).serve)
+        await group.spawn(tcp_server, *control, Control(links_by_name).serve)
         for link in links:
-            await group.spawn(tcp_server, *link.listen, link.carry)
+            await group.spawn(tcp_server, *link.listen, link.forward)
 
 
 def main():
     """Run the proxy until killed."""
     parser = ArgumentParser(description=main.__doc__)
-    parser.add_argument("control", type=parse_place, metavar="HOST:PORT")
+    parser.add_argument("control", type=parse_address, metavar="HOST:PORT")
     parser.add_argument("links", nargs="+", type=parse_link, metavar="LINK")
     args = parser.parse_args()
     run(serve_all, args.control, args.links)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -131,8 +131,8 @@
         self._settings = settings or {}
         self.platform = (f"127.{subnet}.200.1", PLATFORM[1])
         self.text = text
-        self.targets = self._place_targets(text)
-        self.vms = self._place_vms(vms)
+        self.targets = self._assign_target_addresses(text)
+        self.vms = self._create_vms(vms)
 
     def start(self):
         """Start all processes and wait until a version is in force on each VM."""
@@ -145,7 +145,7 @@
             self._spawn("targets", ["standins.target", *specs])
         wait_for(lambda: self.platform_call("POST", "/switch", {}) is not None)
         for vm in self.vms.values():
-            self.list_vm(vm)
+            self.update_vm_list(vm)
         for vm in self.vms.values():
             self.start_vm(vm)
         for vm in self.vms.values():
@@ -175,7 +175,7 @@
             if name.startswith("heathercleat_free_slots")
         )
 
-    def by_homes(self):
+    def vms_by_target_count(self):
         """Return the VMs sorted by the number of targets they own, largest first."""
 
         def targets(vm):
@@ -189,7 +189,7 @@
         command = [*self._program, "serve", "--settings", vm.settings]
         vm.process = self._processes.start(vm.name, command)
 
-    def cut(self, domain, others):
+    def partition_off(self, domain, others):
         """Simulate a network partition between a failure domain and others.
 
         :param others: failure domains, or ``platform``.
@@ -200,14 +200,14 @@
             elif vm.domain in others:
                 self._fence(vm, [domain])
 
-    def mend(self):
+    def heal(self):
         """End all network partitions."""
         for vm in self.vms.values():
             self._fence(vm, [])
 
-    def _fence(self, vm, places):
-        hosts = [other.host for other in self.vms.values() if other.domain in places]
-        if "platform" in places:
+    def _fence(self, vm, peers):
+        hosts = [other.host for other in self.vms.values() if other.domain in peers]
+        if "platform" in peers:
             hosts.append(self.platform[0])
         path = Path(vm.settings)
         settings = json.loads(path.read_text())
@@ -224,7 +224,7 @@
         lines = self.log(vm)
         return sum(line.get("name") == "settings_reloaded" for line in lines)
 
-    def list_vm(self, vm, leaving=False):
+    def update_vm_list(self, vm, leaving=False):
         """Add a VM to the platform's list, or remove it if ``leaving`` is ``None``."""
         self.platform_call("POST", "/vm", [vm.name, vm.host, vm.domain, leaving])
 
@@ -303,7 +303,7 @@
         """Return the JSON log lines of a VM, parsed."""
         return self._processes.log(vm.name)
 
-    def _place_targets(self, text):
+    def _assign_target_addresses(self, text):
         targets = {}
         services = text["services"].values() if text else ()
         for service in services:
@@ -314,7 +314,7 @@
                 targets[name] = (host, TARGET_PORT, target["slots"])
         return targets
 
-    def _place_vms(self, counts):
+    def _create_vms(self, counts):
         vms = {}
         for index, (domain, count) in enumerate(counts.items(), start=1):
             for number in range(1, count + 1):
@@ -352,8 +352,8 @@
     connection = HTTPConnection(host, port, timeout=timeout, source_address=address)
     try:
         connection.request(method, path, body, headers or {})
-        answer = connection.getresponse()
-        return answer.status, dict(answer.getheaders()), answer.read()
+        response = connection.getresponse()
+        return response.status, dict(response.getheaders()), response.read()
     finally:
         connection.close()
 
--- a/standins/lab/keeping.py
+++ b/standins/lab/keeping.py
@@ -5,7 +5,7 @@
 from standins.lab.load import Result
 from standins.stops.clients import Clients
 from standins.stops.deployment import Size
-from standins.stops.records import PROMISES
+from standins.stops.records import NOT_RUN_STATUSES
 from standins.stops.tally import timed_out
 
 
@@ -60,5 +60,5 @@
 
 def _failed(attempt):
     """Return whether an attempt ended early, without an answer or a refusal."""
-    answered = attempt.signed or attempt.status in PROMISES
+    answered = attempt.signed or attempt.status in NOT_RUN_STATUSES
     return not answered and not timed_out(attempt)
--- a/standins/lab/load.py
+++ b/standins/lab/load.py
@@ -15,7 +15,7 @@
 from heathercleat.process.clock import SystemClock
 from standins.steering_fleet import FRONT_PORT, READY_PORT
 
-MAX_ANSWER_BYTES = 1 << 20
+MAX_RESPONSE_BYTES = 1 << 20
 #: Seconds for which a client keeps a look-up, and that it waits for one.
 LOOKUP_SECONDS = 1.0
 #: Seconds after which a client without advice comes back.
@@ -132,18 +132,18 @@
         message = Message(path=f"/one/two/{item}", headers=headers)
         try:
             host = rng.choice(await self._look_up(domain))
-            answer = await self._ask(host, FRONT_PORT, message, deadline)
+            response = await self._ask(host, FRONT_PORT, message, deadline)
         except (TimeoutError, *CONNECTION_ERRORS):
             self._known.pop(domain, None)
             return None, USUAL_RETURN
-        wait = float(answer.headers.get("retry-after", USUAL_RETURN))
-        return answer.status, wait
+        wait = float(response.headers.get("retry-after", USUAL_RETURN))
+        return response.status, wait
 
     async def _ask(self, host, port, message, deadline):
         """Return the answer to a message on a connection of its own."""
         stream = await connect(host, port, deadline, self._clock)
         try:
-            asking = exchange(stream, message, MAX_ANSWER_BYTES)
+            asking = exchange(stream, message, MAX_RESPONSE_BYTES)
             return await with_deadline(deadline, self._clock, asking)
         finally:
             await stream.close()
@@ -159,11 +159,11 @@
             deadline = self._clock.now() + LOOKUP_SECONDS
             try:
                 message = Message(path=path)
-                answer = await self._ask(vm.host, READY_PORT, message, deadline)
+                response = await self._ask(vm.host, READY_PORT, message, deadline)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
-            if answer.status == 200:
-                addresses = json.loads(answer.body)["addresses"]
+            if response.status == 200:
+                addresses = json.loads(response.body)["addresses"]
                 hosts = [address.rpartition(":")[0] for address in addresses]
                 self._known[domain] = hosts, self._clock.now() + LOOKUP_SECONDS
                 return hosts
--- a/standins/load.py
+++ b/standins/load.py
@@ -19,11 +19,11 @@
 from heathercleat.process.clock import SystemClock
 from standins.fleet import PORTS
 
-MAX_ANSWER_BYTES = 1 << 20
+MAX_RESPONSE_BYTES = 1 << 20
 LOOKUP_SECONDS = 1.0
-MAX_IDLE = 64
+MAX_IDLE_CONNECTIONS = 64
 #: Seconds for which an entry VM is a last choice after a failure.
-BAD_SECONDS = 2.0
+FAILED_VM_SECONDS = 2.0
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
         self._clock = SystemClock()
         self._lookup = None
         self._idle = {}
-        self._bad_until = {}
+        self._avoid_until = {}
         self._stopping = False
         self._thread = threading.Thread(target=run, args=(self._run,), daemon=True)
         self.results = []
@@ -102,10 +102,10 @@
     async def _run(self):
         number = 0
         async with TaskGroup() as group:
-            at = self._clock.now()
+            next_at = self._clock.now()
             while not self._stopping:
-                at += self._random.expovariate(self.rate)
-                await sleep(max(0.0, at - self._clock.now()))
+                next_at += self._random.expovariate(self.rate)
+                await sleep(max(0.0, next_at - self._clock.now()))
                 await group.spawn(self._request, number, daemon=False)
                 number += 1
         for streams in self._idle.values():
@@ -115,13 +115,13 @@
     async def _request(self, number):
         method, path, body, headers = self._make(number)
         started, sent_at = self._clock.now(), time.time()
-        status, run_word, target, code = None, None, None, 0
+        status, run_status, target, code = None, None, None, 0
         try:
-            answer = await self._try_places(method, path, body, headers)
-            status = answer.status
-            run_word = answer.headers.get("heathercleat-run")
-            target = answer.headers.get("heathercleat-target")
-            code = int(answer.headers.get("heathercleat-code", 0))
+            response = await self._send_to_any(method, path, body, headers)
+            status = response.status
+            run_status = response.headers.get("heathercleat-run")
+            target = response.headers.get("heathercleat-target")
+            code = int(response.headers.get("heathercleat-code", 0))
         except (TimeoutError, *CONNECTION_ERRORS):
             self._lookup = None
         self.results.append(
@@ -129,27 +129,27 @@
                 sent_at,
                 self._clock.now() - started,
                 status,
-                run_word,
+                run_status,
                 target,
                 headers.get("idempotency-key"),
                 code,
             )
         )
 
-    async def _try_places(self, method, path, body, headers):
+    async def _send_to_any(self, method, path, body, headers):
         """Send to the preferred entry VM; retry a failed GET at the others."""
-        last = None
-        for vm in await self._places():
+        last_error = None
+        for vm in await self._rank_vms():
             try:
                 return await self._send(vm, method, path, body, headers)
             except (TimeoutError, *CONNECTION_ERRORS) as error:
-                last = error
-                self._bad_until[vm["vm"]] = self._clock.now() + BAD_SECONDS
+                last_error = error
+                self._avoid_until[vm["vm"]] = self._clock.now() + FAILED_VM_SECONDS
                 if method != "GET":
                     break
-        raise last
+        raise last_error
 
-    async def _places(self):
+    async def _rank_vms(self):
         """Return the entry VMs in order of preference, recently failed ones last."""
         lookup = self._lookup
         if lookup is None or lookup["expires_at"] < time.time():
@@ -158,9 +158,9 @@
         now = self._clock.now()
 
         def rank(vm):
-            bad = self._bad_until.get(vm["vm"], 0.0) > now
-            chance = self._random.random() ** (1 / (vm["weight"] or 0.01))
-            return bad, vm["failure_domain"] != first, -chance
+            is_avoided = self._avoid_until.get(vm["vm"], 0.0) > now
+            random_rank = self._random.random() ** (1 / (vm["weight"] or 0.01))
+            return is_avoided, vm["failure_domain"] != first, -random_rank
 
         return sorted(lookup["vms"], key=rank)
 
@@ -174,20 +174,20 @@
                 port = PORTS["caller"]
                 stream = await connect(host, port, deadline, self._clock)
                 try:
-                    asking = exchange(stream, Message(path=query), MAX_ANSWER_BYTES)
-                    answer = await with_deadline(deadline, self._clock, asking)
+                    asking = exchange(stream, Message(path=query), MAX_RESPONSE_BYTES)
+                    response = await with_deadline(deadline, self._clock, asking)
                 finally:
                     await stream.close()
-                if answer.status == 200:
-                    return json.loads(answer.body)
+                if response.status == 200:
+                    return json.loads(response.body)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
         raise EOFError("no entry VM responded to a look-up")
 
     async def _send(self, vm, method, path, body, headers):
         deadline = self._clock.now() + self._timeout
-        place = vm["address"], vm["port"]
-        idle = self._idle.setdefault(place, [])
+        address = vm["address"], vm["port"]
+        idle = self._idle.setdefault(address, [])
         stream = None
         while idle and stream is None:
             stream = idle.pop()
@@ -195,7 +195,7 @@
                 await stream.close()
                 stream = None
         if stream is None:
-            stream = await connect(*place, deadline, self._clock)
+            stream = await connect(*address, deadline, self._clock)
         message = Message(
             method=method,
             path=f"/s/{self._service}{path}",
@@ -204,10 +204,10 @@
         )
         reusable = False
         try:
-            exchanging = exchange(stream, message, MAX_ANSWER_BYTES)
-            answer = await with_deadline(deadline, self._clock, exchanging)
-            reusable = stream.next_cycle() and len(idle) < MAX_IDLE
-            return answer
+            exchanging = exchange(stream, message, MAX_RESPONSE_BYTES)
+            response = await with_deadline(deadline, self._clock, exchanging)
+            reusable = stream.next_cycle() and len(idle) < MAX_IDLE_CONNECTIONS
+            return response
         finally:
             if reusable:
                 idle.append(stream)
--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -23,7 +23,7 @@
 STEP = 0.01
 
 
-async def nothing_to_do():
+async def do_nothing():
     """Do nothing; the hook that a VM runs after each gossip round."""
 
 
@@ -41,8 +41,8 @@
         self.loss = loss
         self.sent = Counter()
         self.bytes_sent = 0
-        self.told = Counter()
-        self.suspects_told = 0
+        self.updates_sent = Counter()
+        self.suspect_updates_sent = 0
         self.is_cut = lambda sender, receiver: False
         self._rng = random.Random(seed)
 
@@ -51,10 +51,10 @@
         self.sent[sender.name] += 1
         self.bytes_sent += len(data)
         self.datagram = data
-        beat = Heartbeat.of(first_object(data))
-        self.suspects_told += len(beat.suspects)
-        for news in beat.told():
-            self.told[news.vm] += 1
+        message = Heartbeat.of(unpack_first(data))
+        self.suspect_updates_sent += len(message.suspects)
+        for update in message.told():
+            self.updates_sent[update.vm] += 1
         receiver = self.vms.get(ip)
         if receiver is None or not receiver.running or self.is_cut(sender, receiver):
             return
@@ -98,30 +98,30 @@
         journal = Journal(self.name, self.domain)
         self.members = Members(settings, journal, network.clock, incarnation)
         self.members.own.strength = strength
-        self.rooms = CapacityReports(network.clock)
-        self.held = HeldSlots(self.members, self.rooms, network.clock)
+        self.capacity_reports = CapacityReports(network.clock)
+        self.held = HeldSlots(self.members, self.capacity_reports, network.clock)
         self.suspects = Suspects(journal, network.clock)
         self.gossip = Gossip(
             settings,
             self.members,
-            self.rooms,
+            self.capacity_reports,
             self.held,
             lambda: self.new_owners(),
             lambda: self.successors(),
             self.suspects,
             self.compose,
-            nothing_to_do,
+            do_nothing,
             journal,
             network.clock,
         )
         self.gossip._sock = self
         network.vms[self.ip] = self
         if not alone:
-            self.meet_all()
+            self.add_all_members()
         self.members.set_serving(True)
 
     @property
-    def known(self):
+    def serving_names(self):
         """Return the names of the members that this VM considers serving."""
         return {each.vm for each in self.members.serving()}
 
@@ -133,7 +133,7 @@
         """Return the names of the VMs that took over this VM's targets."""
         return set()
 
-    def meet_all(self):
+    def add_all_members(self):
         """Add all VMs to the membership, as after a read of the store."""
         for vm in self.network.vms.values():
             if vm is not self:
@@ -151,7 +151,9 @@
     def step(self):
         """Run a gossip round if one is due."""
         if self.running and self.network.clock.time >= self.next_at:
-            self.next_at = self.network.clock.time + drive(self.gossip.round())
+            self.next_at = self.network.clock.time + run_nonblocking(
+                self.gossip.round()
+            )
 
     def compose(self, interval):
         """Return a heartbeat without target reports."""
@@ -173,14 +175,14 @@
         )
 
 
-def first_object(data):
+def unpack_first(data):
     """Return the first msgpack object of a datagram."""
     unpacker = msgpack.Unpacker()
     unpacker.feed(data)
     return unpacker.unpack()
 
 
-def drive(coroutine):
+def run_nonblocking(coroutine):
     """Run a coroutine that never suspends and return its result.
 
     :raises AssertionError: when it suspends.
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -57,11 +57,11 @@
             await sleep(self._switches["slow_s"])
         if self._switches["down"]:
             return Message(status=503)
-        answer = self._answer(url.path, query, message)
+        response = self._respond(url.path, query, message)
         if message.method != "GET" and self._switches["lose_replies"]:
             self._switches["lose_replies"] -= 1
             stream.abort()
-        return answer
+        return response
 
     def _control(self, path, message):
         if path == "/switch":
@@ -80,7 +80,7 @@
             return Message()
         return None
 
-    def _answer(self, path, query, message):
+    def _respond(self, path, query, message):
         self._counts["reads" if message.method == "GET" else "writes"] += 1
         if path == "/table/transaction":
             return self._transact(msgpack.unpackb(message.body))
@@ -102,10 +102,10 @@
 
     def _row(self, key):
         """Return ``(value, version)`` of a row, or ``None``; reads may be stale."""
-        horizon = time.time() - self._switches["stale_reads_s"]
+        newest_visible = time.time() - self._switches["stale_reads_s"]
         lagging = self._switches["stale_reads_s"]
         for at, value, version in reversed(self._rows.get(key, ())):
-            if at <= horizon or not lagging:
+            if at <= newest_visible or not lagging:
                 return value, version
         return None
 
@@ -137,8 +137,8 @@
         return Message(body=self._objects[key])
 
     def _list_vms(self, since):
-        horizon = time.time() - self._switches["vm_lag_s"]
-        seen = [entry for entry in self._vm_history if entry[0] <= horizon]
+        newest_visible = time.time() - self._switches["vm_lag_s"]
+        seen = [entry for entry in self._vm_history if entry[0] <= newest_visible]
         _, serial, entries = seen[-1]
         body = [serial, None if serial == since else entries]
         return Message(body=msgpack.packb(body))
--- a/standins/simulated_clients.py
+++ b/standins/simulated_clients.py
@@ -4,11 +4,11 @@
 from collections import Counter
 
 #: Seconds between a client's checks of its cached look-up and its connection.
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 #: Number of VMs that a look-up tries, nearest first.
-TRIES = 3
+MAX_LOOKUP_VMS = 3
 #: Share of the clients that cache look-ups for three times their TTL.
-LATE_SHARE = 1 / 3
+SLOW_REFRESH_SHARE = 1 / 3
 
 
 class SimulatedClient:
@@ -17,19 +17,21 @@
     :param patience: factor by which it exceeds the TTL of a look-up.
     """
 
-    __slots__ = ("domain", "patience", "answer", "answer_until", "vm", "failed")
+    __slots__ = ("domain", "ttl_factor", "addresses", "expires_at", "vm", "failed")
 
-    def __init__(self, domain, patience, first_look_at):
+    def __init__(self, domain, ttl_factor, first_check_at):
         self.domain = domain
-        self.patience = patience
-        self.answer = ()
-        self.answer_until = first_look_at
+        self.ttl_factor = ttl_factor
+        self.addresses = ()
+        self.expires_at = first_check_at
         self.vm = None
         self.failed = set()
 
     def usable(self):
         """Return the addresses that have not failed; all of them if all have."""
-        return [each for each in self.answer if each not in self.failed] or self.answer
+        return [
+            each for each in self.addresses if each not in self.failed
+        ] or self.addresses
 
 
 class SimulatedClients:
@@ -47,42 +49,42 @@
         ]
 
     def _new(self, domain):
-        late = self._random.random() < LATE_SHARE
+        is_slow = self._random.random() < SLOW_REFRESH_SHARE
         first = self._fleet.clock.time + self._random.uniform(0.0, 2.0)
-        return SimulatedClient(domain, 3.0 if late else 1.0, first)
+        return SimulatedClient(domain, 3.0 if is_slow else 1.0, first)
 
-    def look(self):
+    def refresh(self):
         """Refresh expired look-ups and reopen closed connections."""
         now = self._fleet.clock.time
         for client in self._clients:
-            if now >= client.answer_until:
+            if now >= client.expires_at:
                 self._look_up(client, now)
             if client.vm is not None and not self._is_open(client):
                 client.failed.add(client.vm)
                 client.vm = None
-            if client.vm is None and client.answer:
+            if client.vm is None and client.addresses:
                 client.vm = self._random.choice(client.usable())
 
     def run(self, seconds):
         """Advance the simulated time of the fleet and its clients."""
-        for _ in range(round(seconds / LOOK_SECONDS)):
-            self._fleet.run(LOOK_SECONDS)
-            self.look()
+        for _ in range(round(seconds / CHECK_SECONDS)):
+            self._fleet.run(CHECK_SECONDS)
+            self.refresh()
 
-    def drawn(self):
+    def expected_connections(self):
         """Return the expected share of new connections by IP, one per client."""
         loads = Counter()
-        alike = Counter(tuple(client.usable()) for client in self._clients)
-        for addresses, count in alike.items():
+        address_sets = Counter(tuple(client.usable()) for client in self._clients)
+        for addresses, count in address_sets.items():
             for each in addresses:
                 loads[each] += count / len(addresses)
         return loads
 
-    def kept(self):
+    def open_connections(self):
         """Return the number of open connections by IP address."""
         return Counter(client.vm for client in self._clients if client.vm is not None)
 
-    def over_share(self, loads):
+    def relative_load(self, loads):
         """Return each serving VM's load relative to its fair share.
 
         The fair share is the number of clients in its region per serving VM there.
@@ -103,22 +105,24 @@
                 continue
             answer = vm.lookup(region, client.domain)
             if answer.addresses:
-                client.answer = tuple(sorted(map(_ip, answer.addresses)))
-                client.answer_until = now + client.patience * answer.ttl
+                client.addresses = tuple(sorted(map(_ip, answer.addresses)))
+                client.expires_at = now + client.ttl_factor * answer.ttl
                 client.failed.clear()
-                if client.vm not in client.answer:
+                if client.vm not in client.addresses:
                     client.vm = None
                 return
-        client.answer_until = now + 1.0
+        client.expires_at = now + 1.0
 
     def _nearest(self, failure_domain, region):
         """Return the VMs that a look-up tries, those of the failure domain first."""
         vms = list(self._fleet.vms.values())
         here = [vm for vm in vms if vm.domain == failure_domain]
-        picked = self._random.sample(here, min(TRIES, len(here)))
-        if len(picked) < TRIES:
+        picked = self._random.sample(here, min(MAX_LOOKUP_VMS, len(here)))
+        if len(picked) < MAX_LOOKUP_VMS:
             rest = [vm for vm in vms if self._fleet.regions[vm.domain] == region]
-            picked += self._random.sample(rest, min(TRIES - len(picked), len(rest)))
+            picked += self._random.sample(
+                rest, min(MAX_LOOKUP_VMS - len(picked), len(rest))
+            )
         return picked
 
     def _is_open(self, client):
--- a/standins/skewed.py
+++ b/standins/skewed.py
@@ -16,7 +16,7 @@
 SUSPENDS_VARIABLE = "HEATHERCLEAT_SUSPENDS"
 #: Seconds between two readings of the monotonic clock above which the process counts as
 #: stopped; it reads the clock several times a second.
-LONGEST_STEP = 0.4
+MAX_STEP_SECONDS = 0.4
 
 
 def skew_clock(seconds):
@@ -26,7 +26,7 @@
     time.time_ns = lambda: real_ns() + int(seconds * 1e9)
 
 
-class HeldClock:
+class SuspendAwareClock:
     """A monotonic clock that excludes the time in which the process was stopped.
 
     :param real: returns the seconds of the real monotonic clock.
@@ -35,22 +35,22 @@
     def __init__(self, real):
         self._real = real
         self._read_at = real()
-        self._held = 0.0
+        self._stopped_seconds = 0.0
 
     def monotonic(self):
         """Return the seconds, like :func:`time.monotonic`."""
         now = self._real()
         step, self._read_at = now - self._read_at, now
-        if step > LONGEST_STEP:
-            self._held += step
-        return now - self._held
+        if step > MAX_STEP_SECONDS:
+            self._stopped_seconds += step
+        return now - self._stopped_seconds
 
 
 def main():
     """Shift the clocks, then run the command line."""
     skew_clock(float(os.environ.get(SKEW_VARIABLE, 0.0)))
     if os.environ.get(SUSPENDS_VARIABLE):
-        time.monotonic = HeldClock(time.monotonic).monotonic
+        time.monotonic = SuspendAwareClock(time.monotonic).monotonic
     # Imported late since modules import the clock functions by name.
     from heathercleat.cli import main as run
 
--- a/standins/slotted_target.py
+++ b/standins/slotted_target.py
@@ -47,7 +47,7 @@
 
 MAX_BODY_BYTES = 16 << 20
 #: Timeout of a write to the store.
-STORE_TIMEOUT = 5.0
+STORE_TIMEOUT_SECONDS = 5.0
 
 
 class SlottedTarget:
@@ -56,7 +56,7 @@
     def __init__(self, instance, slots):
         self._slots = slots
         self._running = 0
-        self._most = 0
+        self._peak = 0
         self._runs = []
         self._spans = []
         self._shed = 0
@@ -77,33 +77,33 @@
             "store": None,
             "entry": None,
         }
-        self._remembered = OrderedDict()
+        self._cached_objects = OrderedDict()
         self._instances = (f"{instance}.{start}" for start in count(2))
-        self._ended = Signal()
+        self._crash_signal = Signal()
         #: ``[instant, path]`` of every request that crashed it.
-        self._ends = []
+        self._crashes = []
 
-    async def live(self, host, port):
+    async def serve_forever(self, host, port):
         """Serve at an address, with a restart after each crash."""
         while True:
             server = await spawn(tcp_server, host, port, self.serve)
-            await self._ended.wait()
-            self._ended.clear()
+            await self._crash_signal.wait()
+            self._crash_signal.clear()
             await server.cancel()
             await sleep(self._switches["down_s"])
-            await self._start_again()
+            await self._restart()
 
-    async def _start_again(self):
+    async def _restart(self):
         """Start a new incarnation with an empty object cache."""
         self._running = 0
-        self._remembered.clear()
-        former, self._switches["id"] = self._switches["id"], next(self._instances)
-        await self._announce(former, None)
+        self._cached_objects.clear()
+        previous, self._switches["id"] = self._switches["id"], next(self._instances)
+        await self._announce(previous, None)
         await self._announce(self._switches["id"], self._switches["entry"])
 
     async def _announce(self, instance, entry):
         clock = SystemClock()
-        deadline = clock.now() + STORE_TIMEOUT
+        deadline = clock.now() + STORE_TIMEOUT_SECONDS
         stream = await connect(*self._switches["store"], deadline, clock)
         body = json.dumps([TARGET_TABLE, instance, entry]).encode()
         message = Message(method="POST", path="/put", body=body)
@@ -126,18 +126,18 @@
         body = await read_body(stream, MAX_BODY_BYTES)
         if head.target == b"/switch":
             changes = json.loads(body)
-            ends = changes.pop("end", False)
+            must_crash = changes.pop("end", False)
             self._switches.update(changes)
             await self._send(stream, 200, [], b"")
-            if ends:
-                await self._ended.set()
+            if must_crash:
+                await self._crash_signal.set()
         elif head.target == b"/record":
             record = {
                 "runs": self._runs,
                 "spans": self._spans,
-                "most": self._most,
+                "most": self._peak,
                 "shed": self._shed,
-                "ends": self._ends,
+                "ends": self._crashes,
             }
             await self._send(stream, 200, [], json.dumps(record).encode())
         else:
@@ -146,17 +146,17 @@
 
     async def _serve_request(self, stream, head, body):
         headers = dict(head.headers)
-        echo = [(REQUEST_ID, headers.get(REQUEST_ID, b""))]
+        id_header = [(REQUEST_ID, headers.get(REQUEST_ID, b""))]
         instance = self._switches["id"].encode()
         if headers.get(EXPECTED_INSTANCE, instance) != instance:
-            await self._send(stream, 421, echo, b"")
+            await self._send(stream, 421, id_header, b"")
             return
         if self._must_shed():
             self._shed += 1
-            await self._send(stream, 503, [*echo, (NOT_EXECUTED, b"1")], b"")
+            await self._send(stream, 503, [*id_header, (NOT_EXECUTED, b"1")], b"")
             return
         self._running += 1
-        self._most = max(self._most, self._running)
+        self._peak = max(self._peak, self._running)
         self._runs.append(
             [
                 headers[REQUEST_ID].decode(),
@@ -167,8 +167,8 @@
         )
         path = head.target.decode()
         if path in self._switches["fatal"]:
-            self._ends.append([time.monotonic(), path])
-            await self._ended.set()
+            self._crashes.append([time.monotonic(), path])
+            await self._crash_signal.set()
         work = self._work(headers.get(b"cookie"))
         now = time.monotonic()
         self._spans.append([headers[REQUEST_ID].decode(), now, now + work])
@@ -176,17 +176,17 @@
             await sleep(work)
         finally:
             self._running -= 1
-        await self._answer(stream, echo, body)
+        await self._respond(stream, id_header, body)
 
-    def _work(self, item):
+    def _work(self, object_key):
         """Return the seconds that a request for an object takes, and cache it."""
-        known = item in self._remembered
-        self._remembered[item] = None
-        self._remembered.move_to_end(item)
-        while len(self._remembered) > self._switches["remembers"]:
-            self._remembered.popitem(last=False)
+        is_cached = object_key in self._cached_objects
+        self._cached_objects[object_key] = None
+        self._cached_objects.move_to_end(object_key)
+        while len(self._cached_objects) > self._switches["remembers"]:
+            self._cached_objects.popitem(last=False)
         return self._switches["work_s"] * (
-            1.0 if known else self._switches["learning_x"]
+            1.0 if is_cached else self._switches["learning_x"]
         )
 
     def _must_shed(self):
@@ -194,9 +194,9 @@
         total = len(self._runs) + self._shed + 1
         return self._running >= self._slots or self._shed < share * total
 
-    async def _answer(self, stream, echo, body):
+    async def _respond(self, stream, id_header, body):
         load = f"{self._running},0,{self._slots}".encode()
-        headers = [*echo, (TARGET_LOAD, load)]
+        headers = [*id_header, (TARGET_LOAD, load)]
         if not self._switches["unsigned"]:
             headers.append((RESPONSE_SIGNATURE, b"signed"))
         if self._switches["encoded"]:
@@ -207,13 +207,13 @@
         if self._switches["stray"]:
             stray = [(REQUEST_ID, b"another"), (RESPONSE_SIGNATURE, b"signed")]
             await stream.socket.sendall(_raw(200, stray, b"stray"))
-        text = sha256(body).hexdigest().encode()
+        digest = sha256(body).hexdigest().encode()
         if self._switches["cut"]:
-            data = _raw(200, headers, text)
+            data = _raw(200, headers, digest)
             await stream.socket.sendall(data[:-10])
             stream.abort()
             return
-        await self._send(stream, self._switches["status"], headers, text)
+        await self._send(stream, self._switches["status"], headers, digest)
 
     async def _send(self, stream, status, headers, body):
         headers = [*headers, (b"content-length", str(len(body)).encode())]
@@ -235,10 +235,10 @@
     """Serve targets given as ``id=host:port:slots``."""
     async with TaskGroup() as group:
         for spec in specs:
-            instance, _, place = spec.partition("=")
-            host, port, slots = place.split(":")
+            instance, _, endpoint = spec.partition("=")
+            host, port, slots = endpoint.split(":")
             target = SlottedTarget(instance, int(slots))
-            await group.spawn(target.live, host, int(port))
+            await group.spawn(target.serve_forever, host, int(port))
 
 
 def main():
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -46,23 +46,23 @@
 SUBNET = 33
 CLIENTS = 6
 WAIT_MS = 1200
-FAULT_GAP = (0.1, 0.6)
-FAULT_SECONDS = (0.2, 1.5)
+FAULT_GAP_SECONDS = (0.1, 0.6)
+FAULT_DURATION_SECONDS = (0.2, 1.5)
 #: Seconds of wall clock skew that a restarted VM may have.
-CLOCK_SKEWS = (-3600.0, -2.0, 2.0, 3600.0)
+CLOCK_SKEW_SECONDS = (-3600.0, -2.0, 2.0, 3600.0)
 #: Shortest and longest delay in seconds on a link; the latter exceeds the deadline.
-LINK_DELAYS = (0.005, 1.5)
+LINK_DELAY_SECONDS = (0.005, 1.5)
 RECOVERY_SECONDS = 12.0
 #: Seconds after the last fault until every VM applies the drain of a target, the length
 #: of that drain, and the delay until a run is recorded.
-STABLE_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
-REACH_SECONDS = 0.3
+RUN_RECORD_SECONDS = 0.3
 #: Seconds after which an abandoned request can no longer start to run.
-SETTLE_SECONDS = 1.0
+ABANDONED_SECONDS = 1.0
 
 
-class Sent:
+class SentRequest:
     """A request and its response; ``status`` is ``None`` when there was none."""
 
     __slots__ = ("id", "safe", "body", "status", "headers", "answer")
@@ -108,7 +108,7 @@
             count += 1
             safe = rng.random() < 0.5
             body = b"" if safe else rng.randbytes(rng.randrange(1, 20_000))
-            request = Sent(f"{self._seed}-{number}-{count}", safe, body)
+            request = SentRequest(f"{self._seed}-{number}-{count}", safe, body)
             self.sent.append(request)
             self._send(rng.choice(vms), request)
             time.sleep(rng.uniform(0.0, 0.03))
@@ -124,7 +124,7 @@
         request.status, request.headers, request.answer = answer
 
 
-class Faults:
+class FaultInjector:
     """Injects random faults and undoes each one later; they may overlap.
 
     :param rng: source of all random choices.
@@ -146,9 +146,9 @@
             undo = kind()
             self.log.append(f"{time.monotonic():.2f} {kind.__name__}")
             if undo is not None:
-                until = time.monotonic() + self._rng.uniform(*FAULT_SECONDS)
+                until = time.monotonic() + self._rng.uniform(*FAULT_DURATION_SECONDS)
                 self._undo.append((until, undo))
-            time.sleep(self._rng.uniform(*FAULT_GAP))
+            time.sleep(self._rng.uniform(*FAULT_GAP_SECONDS))
             self._undo_due(time.monotonic())
         self._undo_due(float("inf"))
 
@@ -204,7 +204,7 @@
     def _start(self, vm):
         # Another fault may have already restarted it.
         if vm.process.poll() is not None:
-            skew = self._rng.choice((0.0, 0.0, *CLOCK_SKEWS))
+            skew = self._rng.choice((0.0, 0.0, *CLOCK_SKEW_SECONDS))
             self._fleet.start_vm(vm, clock_skew=skew)
 
     def _pause(self):
@@ -255,7 +255,7 @@
 
     def _delay_link(self):
         link = self._link()
-        self._fleet.switch_link(link, delay_s=self._rng.uniform(*LINK_DELAYS))
+        self._fleet.switch_link(link, delay_s=self._rng.uniform(*LINK_DELAY_SECONDS))
         return lambda: self._fleet.switch_link(link, delay_s=0.0)
 
     def _cut_link(self):
@@ -284,20 +284,20 @@
         self._fleet.put("op", "config", self._fleet.config)
 
 
-def check_leaving(fleet, seed):
+def check_target_removal(fleet, seed):
     """Yield a line if requests reach a removed target, or none after its restart.
 
     Clients keep sending. The target either announces its drain or its entry is removed.
     """
     rng = random.Random(f"{seed}-leaving")
     target = rng.choice(list(TARGETS))
-    leaves_after = rng.uniform(0.0, STABLE_SECONDS)
-    time.sleep(leaves_after)
+    removal_delay = rng.uniform(0.0, PROPAGATION_SECONDS)
+    time.sleep(removal_delay)
     if rng.random() < 0.5:
         fleet.announce(target, state="draining", sequence=9)
     else:
         fleet.put("servers", target, None)
-    time.sleep(STABLE_SECONDS - leaves_after + DRAIN_SECONDS + REACH_SECONDS)
+    time.sleep(PROPAGATION_SECONDS - removal_delay + DRAIN_SECONDS + RUN_RECORD_SECONDS)
     count = len(fleet.record(target)["runs"])
     time.sleep(DRAIN_SECONDS)
     late = [run[0] for run in fleet.record(target)["runs"][count:]]
@@ -355,7 +355,7 @@
         proxied=True,
         suspends=suspends,
     ) as fleet:
-        faults = Faults(fleet, rng, iter(range(100, 10_000)))
+        faults = FaultInjector(fleet, rng, iter(range(100, 10_000)))
         clients = Clients(fleet, seed)
         # A separate generator keeps the random choices of the faults independent.
         stops = PlannedStops(fleet, DOMAINS, seed, random.Random(f"{seed}-stops"))
@@ -363,22 +363,22 @@
         stops.start_clients()
         try:
             faults.run(seconds)
-            broken = list(check_leaving(fleet, seed))
+            violations = list(check_target_removal(fleet, seed))
         finally:
             clients.stop()
         if with_stops:
-            broken.extend(stops.run())
-        broken.extend(_check_recovery(fleet, seed))
+            violations.extend(stops.run())
+        violations.extend(_check_recovery(fleet, seed))
         stops.stop_clients()
-        time.sleep(SETTLE_SECONDS)
-        broken.extend(check(clients.sent, fleet.runs()))
+        time.sleep(ABANDONED_SECONDS)
+        violations.extend(check(clients.sent, fleet.runs()))
         spans = fleet.spans()
-        broken.extend(stops.check(spans))
+        violations.extend(stops.check(spans))
         ends = Counter(request.status for request in clients.sent)
         ends.update(stops.ends(spans))
-    if broken:
-        broken.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
-    return broken, ends
+    if violations:
+        violations.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
+    return violations, ends
 
 
 def _check_recovery(fleet, seed):
@@ -411,11 +411,11 @@
     args = parser.parse_args()
     failed = []
     for seed in range(args.first, args.first + args.seeds):
-        broken, ends = run_seed(seed, args.seconds, config(), args.vms)
-        print(f"seed {seed}: {dict(ends)}, {len(broken)} lines on broken promises")
-        for line in broken:
+        violations, ends = run_seed(seed, args.seconds, config(), args.vms)
+        print(f"seed {seed}: {dict(ends)}, {len(violations)} lines on broken promises")
+        for line in violations:
             print(f"  {line}")
-        if broken:
+        if violations:
             failed.append(seed)
     print(f"{args.seeds} seeds, failed: {failed or 'none'}")
     sys.exit(1 if failed else 0)
--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -14,27 +14,27 @@
 from standins.stops.clients import Clients
 from standins.stops.deployment import GRACE_SECONDS, Size, configuration
 from standins.stops.plan import Stopper
-from standins.stops.records import PROMISES
+from standins.stops.records import NOT_RUN_STATUSES
 from standins.stops.tally import Outcome, Tally, collect_runs
 
 STEPS = 3
 #: Shares of seeds with a stop of the whole fleet, and with a kill during a shutdown.
-FLEET_SHARE = 0.5
+FLEET_STOP_SHARE = 0.5
 KILL_SHARE = 0.5
-STEP_GAP = (1.0, 3.5)
+STEP_GAP_SECONDS = (1.0, 3.5)
 #: Seconds between the first signal to a VM and another one.
-SIGNAL_GAP = (0.05, 3.0)
+SIGNAL_GAP_SECONDS = (0.05, 3.0)
 #: Seconds from the start of a process to its SIGTERM.
-START_GAP = (0.0, 0.6)
+START_GAP_SECONDS = (0.0, 0.6)
 #: Seconds within which the whole fleet gets SIGTERM.
-FLEET_SECONDS = 1.0
+FLEET_STOP_SECONDS = 1.0
 POLL_SECONDS = 0.01
 #: Seconds of work for an object that a target has cached, and the factor for others.
 WORK_SECONDS = 0.1
-LEARNING_FACTOR = 20.0
+UNCACHED_FACTOR = 20.0
 #: Seconds of load before the first signal.
 LOAD_SECONDS = 2.0
-LAST_ANSWERS_SECONDS = 20.0
+LAST_RESPONSES_SECONDS = 20.0
 #: Client errors; every request of the soak test is valid.
 CLIENT_ERRORS = range(400, 500)
 
@@ -44,13 +44,13 @@
     return configuration()["hosts"][0]["paths"]
 
 
-def keeping_clients(fleet, domains, seed, stopper):
+def persistent_clients(fleet, domains, seed, stopper):
     """Return clients for the targets' number of slots, most of them with pipelining."""
     size = Size(domains, vms=0, targets=0, ahead=6, kept=2, single=1.0, objects=6)
     return Clients(fleet, size, seed, stopper)
 
 
-class Signals:
+class SignalSequence:
     """Sends a random sequence of signals to VMs.
 
     :param stopper: the :class:`Stopper`, which restarts VMs.
@@ -60,7 +60,7 @@
         self._fleet = fleet
         self._stopper = stopper
         self._rng = rng
-        self._sending = []
+        self._threads = []
         self.kills = []
         self.log = []
 
@@ -69,17 +69,17 @@
 
         :raises TimeoutError: when a VM does not become ready.
         """
-        steps = list(self._draw())
+        steps = list(self._choose_steps())
         for (step, vm), following in zip(steps, [*steps[1:], steps[0]], strict=True):
             self.log.append(f"{time.monotonic():.2f} {step.__name__} {vm.name}")
             step(vm)
             self._stopper.expect(following[1])
-            time.sleep(self._rng.uniform(*STEP_GAP))
-        for thread in self._sending:
+            time.sleep(self._rng.uniform(*STEP_GAP_SECONDS))
+        for thread in self._threads:
             thread.join()
         self._stopper.wait()
 
-    def _draw(self):
+    def _choose_steps(self):
         """Yield pairs of a step and a VM."""
         kinds = (
             self._stop,
@@ -89,16 +89,16 @@
         )
         vm = None
         for _ in range(STEPS):
-            vm = self._draw_other(vm)
+            vm = self._choose_other(vm)
             yield self._rng.choice(kinds), vm
-        if self._rng.random() < FLEET_SHARE:
-            vm = self._draw_other(vm)
+        if self._rng.random() < FLEET_STOP_SHARE:
+            vm = self._choose_other(vm)
             yield self._stop_fleet, vm
         if self._rng.random() < KILL_SHARE:
             # Comes last, since requests lost near a kill do not count.
-            yield self._kill_in_stop, self._draw_other(vm)
+            yield self._kill_in_stop, self._choose_other(vm)
 
-    def _draw_other(self, last):
+    def _choose_other(self, last):
         others = [vm for vm in self._fleet.vms.values() if vm is not last]
         return self._rng.choice(others)
 
@@ -119,7 +119,7 @@
 
     def _stop_after_start(self, vm):
         self._stop(vm)
-        gap = self._rng.uniform(*START_GAP)
+        gap = self._rng.uniform(*START_GAP_SECONDS)
         process = vm.process
 
         def stop_again():
@@ -136,10 +136,12 @@
         self._rng.shuffle(vms)
         for each in [vm, *vms]:
             self._stop(each)
-            time.sleep(self._rng.uniform(0.0, FLEET_SECONDS / len(self._fleet.vms)))
+            time.sleep(
+                self._rng.uniform(0.0, FLEET_STOP_SECONDS / len(self._fleet.vms))
+            )
 
     def _send_later(self, process, signum):
-        gap = self._rng.uniform(*SIGNAL_GAP)
+        gap = self._rng.uniform(*SIGNAL_GAP_SECONDS)
 
         def send():
             time.sleep(gap)
@@ -150,9 +152,9 @@
 
         self._start(send)
 
-    def _start(self, act):
-        thread = threading.Thread(target=act, daemon=True)
-        self._sending.append(thread)
+    def _start(self, action):
+        thread = threading.Thread(target=action, daemon=True)
+        self._threads.append(thread)
         thread.start()
 
 
@@ -166,10 +168,10 @@
     def __init__(self, fleet, domains, seed, rng):
         self._fleet = fleet
         self._stopper = Stopper(fleet)
-        self._signals = Signals(fleet, self._stopper, rng)
-        self._clients = keeping_clients(fleet, domains, seed, self._stopper)
+        self._signals = SignalSequence(fleet, self._stopper, rng)
+        self._clients = persistent_clients(fleet, domains, seed, self._stopper)
         self._thread = threading.Thread(target=self._clients.run, daemon=True)
-        self._began_at = 0.0
+        self._started_at = 0.0
 
     @property
     def log(self):
@@ -184,10 +186,10 @@
         """Send the signals; yield a line if a VM does not become ready again."""
         for target in self._fleet.targets:
             self._fleet.switch_target(
-                target, work_s=WORK_SECONDS, learning_x=LEARNING_FACTOR
+                target, work_s=WORK_SECONDS, learning_x=UNCACHED_FACTOR
             )
         time.sleep(LOAD_SECONDS)
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         try:
             self._signals.run()
         except TimeoutError as error:
@@ -196,14 +198,14 @@
     def stop_clients(self):
         """Stop sending and wait for the last responses."""
         self._clients.stop()
-        self._thread.join(LAST_ANSWERS_SECONDS)
+        self._thread.join(LAST_RESPONSES_SECONDS)
 
     def check(self, spans):
         """Yield a line for each violation.
 
         :param spans: ``[attempt id, start, planned end]`` of every run.
         """
-        ended = self._ended()
+        ended = self._ended_attempts()
         if missing := len(self._clients.attempts) - len(ended):
             yield f"{missing} requests in flight long after their deadline"
         yield from check_attempts(ended, collect_runs(spans))
@@ -230,11 +232,13 @@
         stops = [each for each in self._stopper.stops if each.ready_at is not None]
         if not stops:
             return None
-        planned = [each for each in self._ended() if each.sent_at >= self._began_at]
+        planned = [
+            each for each in self._ended_attempts() if each.sent_at >= self._started_at
+        ]
         runs, kills = collect_runs(spans), self._signals.kills
         return Tally(planned, runs, stops, kills, GRACE_SECONDS)
 
-    def _ended(self):
+    def _ended_attempts(self):
         return [each for each in self._clients.attempts if each.ended_at is not None]
 
 
@@ -252,7 +256,7 @@
             yield f"{attempt.id}: response to another request"
         if attempt.signed or attempt.status is None:
             continue
-        if attempt.status in PROMISES and count:
+        if attempt.status in NOT_RUN_STATUSES and count:
             yield f"{attempt.id}: refused as not run, but ran"
-        if attempt.status not in PROMISES and attempt.status in CLIENT_ERRORS:
+        if attempt.status not in NOT_RUN_STATUSES and attempt.status in CLIENT_ERRORS:
             yield f"{attempt.id} at {attempt.vm}: client error {attempt.status}"
--- a/standins/steering_fleet.py
+++ b/standins/steering_fleet.py
@@ -21,7 +21,7 @@
 FRONT_PORT = 8381
 READY_PORT = 8388
 METRICS_PORT = 9464
-INNER_PORTS = [7200, 7215]
+INTERNAL_PORTS = [7200, 7215]
 PROXY_PORT = 7900
 
 
@@ -91,7 +91,7 @@
         self.config = config
         self.store = (f"127.{subnet}.200.1", STORE_PORT)
         self.targets = targets
-        self.vms = {vm.name: vm for vm in self._place_vms(vms)}
+        self.vms = {vm.name: vm for vm in self._create_vms(vms)}
 
     def start(self):
         """Start all processes and wait until each VM is ready."""
@@ -201,7 +201,7 @@
         host = self.target_host(target_id)
         call(host, TARGET_PORT, "POST", "/switch", json.dumps(switches))
 
-    def set_fatal(self, paths, down_s):
+    def set_fatal_paths(self, paths, down_s):
         """Make requests for some paths crash any target.
 
         :param down_s: seconds until a crashed target restarts.
@@ -215,7 +215,7 @@
                 entry=self._entry(each),
             )
 
-    def end_target(self, target_id):
+    def crash_target(self, target_id):
         """Crash a target without a request; it restarts as after a fatal request."""
         try:
             self.switch_target(target_id, end=True)
@@ -223,15 +223,17 @@
             # The target is already down.
             return
 
-    def ends(self):
+    def crashes(self):
         """Return ``[instant, path]`` of each request that crashed a target.
 
         Waits for crashed targets to restart; instants are of ``time.monotonic()``.
         """
         for each in self.targets:
             wait_for(lambda each=each: self._answers(each))
-        ends = (end for each in self.targets for end in self.record(each)["ends"])
-        return sorted(ends)
+        crashes = (
+            crash for each in self.targets for crash in self.record(each)["ends"]
+        )
+        return sorted(crashes)
 
     def record(self, target_id):
         """Return the run record of a target."""
@@ -290,7 +292,7 @@
         """Return the address of the store for a VM, which is also its source there."""
         return f"127.{self._subnet}.202.{vm.number}" if self._proxied else self.store[0]
 
-    def _target_place(self, target_id):
+    def _announced_host(self, target_id):
         host = self.target_host(target_id)
         return host.replace(".100.", ".203.") if self._proxied else host
 
@@ -301,7 +303,7 @@
         service, domain, slots = self.targets[target_id]
         return {
             "service": service,
-            "address": f"{self._target_place(target_id)}:{TARGET_PORT}",
+            "address": f"{self._announced_host(target_id)}:{TARGET_PORT}",
             "zone": domain,
             "version": "v1",
             "slots": slots,
@@ -319,7 +321,7 @@
             listen = f"{self._front_host(vm)}:{FRONT_PORT}"
             yield f"{front_link(vm)}={listen}>{vm.host}:{FRONT_PORT}"
         for target_id in self.targets:
-            listen = f"{self._target_place(target_id)}:{TARGET_PORT}"
+            listen = f"{self._announced_host(target_id)}:{TARGET_PORT}"
             server = f"{self.target_host(target_id)}:{TARGET_PORT}"
             yield f"{target_link(target_id)}={listen}>{server}"
 
@@ -347,7 +349,7 @@
         except (OSError, HTTPException):
             return False
 
-    def _place_vms(self, counts):
+    def _create_vms(self, counts):
         numbers = itertools.count(1)
         for index, (domain, count) in enumerate(counts.items(), start=1):
             for number in range(1, count + 1):
@@ -371,7 +373,7 @@
                 "ready": f"{host}:{READY_PORT}",
                 "directory": f"{host}:{READY_PORT}",
             },
-            "internalPorts": INNER_PORTS,
+            "internalPorts": INTERNAL_PORTS,
             "seeds": [],
             "limits": {"cpuShare": 1.0, "memoryMb": 300, "linkMbps": 1000.0},
             "heartbeat": "1500ms",
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -17,7 +17,7 @@
 from heathercleat.steering.process.shutdown import KEEP_ALIVE_SECONDS
 from heathercleat.steering.process.store.member_rows import decode_member, encode_member
 from heathercleat.steering.process.store.protocol import StoreRow
-from standins.membership_simulation import STEP, Network, SimulatedVm, drive
+from standins.membership_simulation import STEP, Network, SimulatedVm, run_nonblocking
 
 #: Number of regions, and of failure domains in each, by the number of VMs.
 LAYOUTS = {9: (1, 3), 30: (1, 3), 72: (3, 2), 195: (3, 5), 300: (3, 4)}
@@ -29,11 +29,11 @@
 STOP_SECONDS = KEEP_ALIVE_SECONDS + QUIET_SECONDS
 RESTART_SECONDS = 0.3
 #: Seconds between successive stops of a rolling restart.
-TURN_SECONDS = 1.3
+STOP_INTERVAL_SECONDS = 1.3
 #: Seconds within which the membership of a new fleet converges.
 SETTLE_SECONDS = 8.0
 FRONT_PORT = 8381
-LONGEST_TTL = 5.0
+MAX_TTL_SECONDS = 5.0
 #: Rows per page of a read from the store.
 PAGE_ROWS = 500
 
@@ -53,13 +53,13 @@
 
     :param messages: datagrams sent.
     :param bytes: total length of the datagrams.
-    :param news: membership updates in the datagrams.
+    :param updates: membership updates in the datagrams.
     :param writes: store calls that change a row.
     :param reads: store calls that read rows.
     :param rankings: targets whose owner a VM recomputed, summed over all VMs.
     """
 
-    __slots__ = ("messages", "bytes", "news", "writes", "reads", "rankings")
+    __slots__ = ("messages", "bytes", "updates", "writes", "reads", "rankings")
 
     def __init__(self, *fields):
         for name, value in zip(self.__slots__, fields, strict=True):
@@ -70,7 +70,7 @@
         return Costs(*(getattr(self, n) - getattr(other, n) for n in self.__slots__))
 
 
-class CountedRows:
+class CountingRows:
     """The members table, in memory, with counters of calls."""
 
     def __init__(self):
@@ -92,7 +92,7 @@
             yield decode_member(StoreRow(vm, value, 0))
 
 
-class CountedOwners(Owners):
+class CountingOwners(Owners):
     """Owners with a counter of recomputed targets."""
 
     def __init__(self, registry, members):
@@ -119,9 +119,9 @@
         self.stopped_at = None
         registry = TargetRegistry(Journal(self.name, self.domain), fleet.clock)
         registry.replace(fleet.targets)
-        self.owners = CountedOwners(registry, self.members)
+        self.owners = CountingOwners(registry, self.members)
         self.directory = Directory(
-            self.members, fleet.regions, FRONT_PORT, LONGEST_TTL, fleet.clock
+            self.members, fleet.regions, FRONT_PORT, MAX_TTL_SECONDS, fleet.clock
         )
 
     @property
@@ -138,7 +138,7 @@
         """Process a datagram; reply at once to a VM that was not live before."""
         newcomer = self.gossip.take(data)
         if newcomer is not None:
-            drive(self.gossip._send_all([newcomer]))
+            run_nonblocking(self.gossip._send_all([newcomer]))
 
     def compose(self, interval):
         """Return a heartbeat; refresh the owners as the production code does."""
@@ -164,7 +164,7 @@
         """Begin the shutdown, as on SIGTERM."""
         self.stopped_at = self.network.clock.time
         self.members.leave()
-        drive(self.gossip.leave())
+        run_nonblocking(self.gossip.leave())
         self.network.rows.write(self.name, None)
 
     def end(self):
@@ -184,11 +184,11 @@
 
     def __init__(self, size, loss=0.0, seed=1):
         super().__init__(loss, seed, regions_of(size))
-        self.rows = CountedRows()
+        self.rows = CountingRows()
         self.targets = list(_targets(self.regions))
-        self._due = []
+        self._scheduled = []
         self._numbers = count()
-        self._rankings_before = 0
+        self._past_rankings = 0
         for number in range(size):
             self.start(number)
 
@@ -199,10 +199,10 @@
         return Costs(
             sum(self.sent.values()),
             self.bytes_sent,
-            sum(self.told.values()),
+            sum(self.updates_sent.values()),
             self.rows.writes,
             self.rows.reads,
-            rankings + self._rankings_before,
+            rankings + self._past_rankings,
         )
 
     def start(self, number):
@@ -210,28 +210,30 @@
         incarnation = int(self.clock.time * 1e9)
         before = self._by_number(number)
         if before is not None:
-            self._rankings_before += before.owners.rankings
+            self._past_rankings += before.owners.rankings
         vm = StoppableVm(self, number, incarnation)
-        self.after(REGISTER_SECONDS, vm.register)
-        self.after(SERVE_SECONDS, vm.serve)
+        self.schedule(REGISTER_SECONDS, vm.register)
+        self.schedule(SERVE_SECONDS, vm.serve)
 
-    def stop(self, vm, lasts=STOP_SECONDS):
+    def stop(self, vm, exit_after=STOP_SECONDS):
         """Stop a VM; it exits after some seconds and restarts."""
         vm.stop()
-        self.after(lasts, vm.end)
-        self.after(lasts + RESTART_SECONDS, lambda: self.start(vm.number))
+        self.schedule(exit_after, vm.end)
+        self.schedule(exit_after + RESTART_SECONDS, lambda: self.start(vm.number))
 
-    def after(self, seconds, act):
-        """Call ``act()`` in ``seconds`` of simulated time."""
-        self._due.append(Due(self.clock.time + seconds, next(self._numbers), act))
-        self._due.sort(key=attrgetter("at", "number"))
+    def schedule(self, seconds, action):
+        """Call ``action()`` in ``seconds`` of simulated time."""
+        self._scheduled.append(
+            ScheduledCall(self.clock.time + seconds, next(self._numbers), action)
+        )
+        self._scheduled.sort(key=attrgetter("at", "number"))
 
     def run(self, seconds):
         """Advance the simulated time."""
         for _ in range(round(seconds / STEP)):
             self.clock.time += STEP
-            while self._due and self._due[0].at <= self.clock.time:
-                self._due.pop(0).act()
+            while self._scheduled and self._scheduled[0].at <= self.clock.time:
+                self._scheduled.pop(0).action()
             for vm in list(self.vms.values()):
                 vm.step()
 
@@ -239,7 +241,7 @@
         """Return the VMs that accept clients."""
         return [vm for vm in self.vms.values() if vm.serving]
 
-    def spent(self, seconds):
+    def run_and_count(self, seconds):
         """Advance the simulated time and return the :class:`Costs` of it."""
         before = self.costs
         self.run(seconds)
@@ -249,29 +251,29 @@
         return next((vm for vm in self.vms.values() if vm.number == number), None)
 
 
-class Due:
+class ScheduledCall:
     """A scheduled call; ``number`` orders calls of the same instant."""
 
-    __slots__ = ("at", "number", "act")
+    __slots__ = ("at", "number", "action")
 
-    def __init__(self, at, number, act):
+    def __init__(self, at, number, action):
         self.at = at
         self.number = number
-        self.act = act
+        self.action = action
 
 
-def settled(size, loss=0.0, seed=1):
+def converged_fleet(size, loss=0.0, seed=1):
     """Return a fleet whose VMs started together and whose membership has converged."""
     fleet = StopFleet(size, loss, seed)
     fleet.run(SETTLE_SECONDS)
     return fleet
 
 
-def stop_in_turn(fleet, stops):
+def stop_one_by_one(fleet, vm_count):
     """Stop VMs at a fixed interval, without a wait for restarts."""
-    for vm in fleet.serving()[:stops]:
+    for vm in fleet.serving()[:vm_count]:
         fleet.stop(vm)
-        fleet.run(TURN_SECONDS)
+        fleet.run(STOP_INTERVAL_SECONDS)
 
 
 def stop_domain(fleet):
--- a/standins/stops/__main__.py
+++ b/standins/stops/__main__.py
@@ -29,7 +29,7 @@
 WARM_UP_SECONDS = 6.0
 SETTLE_SECONDS = 2.0
 #: Seconds after which no request is under way, with those that came back.
-LAST_ANSWERS_SECONDS = 20.0
+LAST_RESPONSES_SECONDS = 20.0
 #: Seconds that a run takes at most.
 LONGEST_SECONDS = 600
 DESCRIPTION = """Stop VMs as planned under load, and count what became of requests.
@@ -94,7 +94,7 @@
             time.sleep(SETTLE_SECONDS)
         finally:
             clients.stop()
-            thread.join(LAST_ANSWERS_SECONDS)
+            thread.join(LAST_RESPONSES_SECONDS)
         beside.wait()
         lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
         refusals = count_refusals(line for line in lines if line["at"] >= began_at)
--- a/standins/stops/ahead.py
+++ b/standins/stops/ahead.py
@@ -3,7 +3,7 @@
 from curio import TaskGroup, sleep, spawn
 
 from heathercleat.connection.http import CONNECTION_ERRORS
-from standins.stops.records import PROMISES, SAFE
+from standins.stops.records import NOT_RUN_STATUSES, SAFE
 
 AHEAD = "ahead"
 #: Requests without an answer at most, on one connection.
@@ -93,7 +93,7 @@
                 break
             if attempt is None:
                 continue
-            self._refused = attempt.status in PROMISES
+            self._refused = attempt.status in NOT_RUN_STATUSES
             await self._come_back(attempt, group)
             if not connection.is_open:
                 break
--- a/standins/stops/clients.py
+++ b/standins/stops/clients.py
@@ -11,8 +11,8 @@
 from standins.stops.deployment import AIM_SECONDS, WAIT_SECONDS
 from standins.stops.directory import Directory
 from standins.stops.records import (
+    NOT_RUN_STATUSES,
     ONCE,
-    PROMISES,
     SAFE,
     UPLOAD,
     Attempt,
@@ -245,7 +245,7 @@
         return not kind.once
     if attempt.status in FINAL or attempt.status < 300:
         return False
-    return not kind.once or attempt.status in PROMISES
+    return not kind.once or attempt.status in NOT_RUN_STATUSES
 
 
 def _draw_kind(rng):
--- a/standins/stops/directory.py
+++ b/standins/stops/directory.py
@@ -15,8 +15,8 @@
 MOST_ASKED = 3
 ASK_SECONDS = 1.0
 #: Seconds for which a client keeps an answer at most.
-LONGEST_TTL = 5.0
-MAX_ANSWER_BYTES = 1 << 16
+MAX_TTL_SECONDS = 5.0
+MAX_RESPONSE_BYTES = 1 << 16
 MILLISECONDS = 1000
 
 
@@ -53,18 +53,18 @@
         self._until = self._clock.now() + ASK_SECONDS
         for vm in self._nearest[:MOST_ASKED]:
             try:
-                answer = await self._ask(vm)
+                response = await self._ask(vm)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
-            if answer.status == 200:
-                self._take(json.loads(answer.body))
+            if response.status == 200:
+                self._take(json.loads(response.body))
                 return
 
     async def _ask(self, vm):
         deadline = self._clock.now() + ASK_SECONDS
         stream = await connect(vm.host, READY_PORT, deadline, self._clock)
         try:
-            asking = exchange(stream, Message(path=self._path), MAX_ANSWER_BYTES)
+            asking = exchange(stream, Message(path=self._path), MAX_RESPONSE_BYTES)
             return await with_deadline(deadline, self._clock, asking)
         finally:
             await stream.close()
@@ -73,4 +73,4 @@
         hosts = [address.rpartition(":")[0] for address in found["addresses"]]
         self._known = [self._vms[host] for host in hosts]
         ttl = int(found["ttl"].removesuffix("ms")) / MILLISECONDS
-        self._until = self._clock.now() + min(ttl, LONGEST_TTL)
+        self._until = self._clock.now() + min(ttl, MAX_TTL_SECONDS)
--- a/standins/stops/plan.py
+++ b/standins/stops/plan.py
@@ -149,10 +149,10 @@
 
 def stop_one(vms, stopper, beside, rng):
     """Stop the first of some VMs."""
-    stop_in_turn(vms[:1], stopper, beside, rng)
+    stop_one_by_one(vms[:1], stopper, beside, rng)
 
 
-def stop_in_turn(vms, stopper, beside, rng):
+def stop_one_by_one(vms, stopper, beside, rng):
     """Stop VMs, the next one when the one before serves again."""
     for vm, following in zip(vms, [*vms[1:], vms[0]], strict=True):
         stopper.stop(vm)
@@ -165,7 +165,7 @@
 def begin_rolling_restart(vms, stopper):
     """Stop VMs in turn, beside the caller; return the thread that does."""
     restarting = threading.Thread(
-        target=stop_in_turn,
+        target=stop_one_by_one,
         args=(vms, stopper, lambda stopping: None, None),
         daemon=True,
     )
@@ -186,4 +186,4 @@
     stopper.wait()
 
 
-PLANS = {"one": stop_one, "turn": stop_in_turn, "together": stop_together}
+PLANS = {"one": stop_one, "turn": stop_one_by_one, "together": stop_together}
--- a/standins/stops/records.py
+++ b/standins/stops/records.py
@@ -4,7 +4,7 @@
 """
 
 #: Statuses that promise that a request has not run.
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Request:
--- a/standins/stops/tally.py
+++ b/standins/stops/tally.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from enum import Enum
 
-from standins.stops.records import PROMISES
+from standins.stops.records import NOT_RUN_STATUSES
 
 #: Seconds after its last byte within which a request may cross a close.
 LOSS_SLACK = 0.2
@@ -148,7 +148,7 @@
             return Outcome.NOT_CONNECTED
         if attempt.signed:
             return _of_target(attempt)
-        if attempt.status in PROMISES:
+        if attempt.status in NOT_RUN_STATUSES:
             return Outcome.REFUSED_BUT_RAN if self.ran(attempt) else Outcome.REFUSED
         if timed_out(attempt):
             return Outcome.TIMED_OUT
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -27,7 +27,7 @@
 
 MAX_BODY_BYTES = 1 << 20
 POLL_SECONDS = 0.01
-FOREVER = 3600.0
+SILENT_SECONDS = 3600.0
 _READ_ONLY = (OPERATOR_TABLE, TARGET_TABLE)
 
 
@@ -57,11 +57,11 @@
 
         await serve_requests(stream, handle, MAX_BODY_BYTES)
 
-    async def _handle(self, stream, caller, message):
+    async def _handle(self, stream, client_ip, message):
         url = urlsplit(message.path)
         if url.path == "/switch":
             self._switches.update(json.loads(message.body))
-            self._forget_history()
+            self._trim_history()
             return Message()
         if url.path == "/put":
             self._put(*json.loads(message.body))
@@ -69,35 +69,35 @@
         if url.path == "/counts":
             return _json(self._counts)
         self._counts[url.path] = self._counts.get(url.path, 0) + 1
-        failure = await self._fail(stream, caller)
+        failure = await self._injected_response(stream, client_ip)
         if failure is not None:
             return failure
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        return await self._answer(stream, url.path, query, message)
+        return await self._respond(stream, url.path, query, message)
 
-    async def _fail(self, stream, caller):
+    async def _injected_response(self, stream, client_ip):
         """Return the response of an injected fault; ``None`` without one."""
         await sleep(self._switches["slow_s"])
         down = self._switches["down"]
         if down == "silent":
-            await sleep(FOREVER)
+            await sleep(SILENT_SECONDS)
         if down == "reset":
             stream.abort()
-        if down is not None or caller in self._switches["refused"]:
+        if down is not None or client_ip in self._switches["refused"]:
             return Message(status=503)
         return None
 
-    async def _answer(self, stream, path, query, message):
+    async def _respond(self, stream, path, query, message):
         if path == READ_PATH:
             return self._read(query)
         if path == FEED_PATH:
             return await self._feed(query)
         if path == TRANSACT_PATH:
-            answer = self._transact(json.loads(message.body))
-            if answer.status == 200 and self._switches["lose_replies"]:
+            response = self._transact(json.loads(message.body))
+            if response.status == 200 and self._switches["lose_replies"]:
                 self._switches["lose_replies"] -= 1
                 stream.abort()
-            return answer
+            return response
         return Message(status=404)
 
     def _read(self, query):
@@ -157,9 +157,9 @@
             row["value"] = value
             self._rows[table, key] = row
         self._changes.append(row)
-        self._forget_history()
+        self._trim_history()
 
-    def _forget_history(self):
+    def _trim_history(self):
         while len(self._changes) > self._switches["history"]:
             self._dropped_until = self._changes.pop(0)["ver"]
 
--- a/standins/target.py
+++ b/standins/target.py
@@ -94,7 +94,7 @@
         return stream.next_cycle()
 
     async def _serve_request(self, stream, event, headers):
-        self._change(+1)
+        self._add_in_flight(+1)
         self._streams.add(stream)
         lingering = True
         try:
@@ -105,22 +105,22 @@
                 await send_response(stream, refusal)
                 return
             self._record(event, headers, digest)
-            gone = await self._work(stream)
-            if gone:
+            has_disconnected = await self._work(stream)
+            if has_disconnected:
                 stream.abort()
                 return
             lingering = False
-            await self._answer(stream, event, body, digest)
+            await self._respond(stream, event, body, digest)
         finally:
             self._streams.discard(stream)
             if lingering and self._switches["cancel_s"]:
-                await spawn(self._leave_later, daemon=True)
+                await spawn(self._release_later, daemon=True)
             else:
-                self._change(-1)
+                self._add_in_flight(-1)
 
-    async def _leave_later(self):
+    async def _release_later(self):
         await sleep(self._switches["cancel_s"])
-        self._change(-1)
+        self._add_in_flight(-1)
 
     async def _read(self, stream):
         digest, size = sha256(), 0
@@ -159,7 +159,7 @@
             await group.spawn(stream.wait_closed)
         return group.completed is not work
 
-    async def _answer(self, stream, event, size, digest):
+    async def _respond(self, stream, event, size, digest):
         if self._switches["fail"]:
             await send_response(stream, Message(status=500, body=b"failed"))
             return
@@ -176,12 +176,12 @@
         if path == "/switch":
             self._switches.update(msgpack.unpackb(body))
             if self._switches["lost"]:
-                self._cut_all()
+                self._abort_all()
             return Message()
         if path == "/health":
             state = "ready" if self._switches["lie"] else self._switches["health"]
             return Message(body=msgpack.packb({"state": state}))
-        self._change(0)
+        self._add_in_flight(0)
         if path == "/load":
             return Message(
                 body=msgpack.packb({"in_flight": self._in_flight, "slots": self._slots})
@@ -196,11 +196,11 @@
         }
         return Message(body=msgpack.packb(record))
 
-    def _cut_all(self):
+    def _abort_all(self):
         for stream in self._streams:
             stream.abort()
 
-    def _change(self, step):
+    def _add_in_flight(self, step):
         now = time.monotonic()
         over = max(0, self._in_flight - self._slots)
         self._over_slot_seconds += over * (now - self._last_change)
--- a/tests/test_configuration_failures.py
+++ b/tests/test_configuration_failures.py
@@ -101,7 +101,7 @@
 
 
 def test_domain_cut_off_from_the_platform_follows_through_peers(fleet):
-    fleet.cut("south-a", ["platform"])
+    fleet.partition_off("south-a", ["platform"])
     time.sleep(0.5)
     fleet.apply(changed(fleet, 9), 1)
     wait_for(lambda: all_at(fleet, 2), 2 * IN_FORCE_SECONDS)
@@ -110,12 +110,12 @@
 def test_domain_cut_off_from_everything_keeps_serving_and_catches_up(fleet):
     fleet.wait_ready()
     vm = fleet.vms["south-a-1"]
-    fleet.cut("south-a", ["platform", "north-a", "north-b"])
+    fleet.partition_off("south-a", ["platform", "north-a", "north-b"])
     time.sleep(0.5)
     fleet.apply(changed(fleet, 9), 1)
     status, headers, _ = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
     assert status == 200
     assert headers["heathercleat-target"] == "style-south-a"
     assert fleet.version(vm) == 1
-    fleet.mend()
+    fleet.heal()
     wait_for(lambda: all_at(fleet, 2), IN_FORCE_SECONDS)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -472,7 +472,7 @@
     is_known,
 ):
     paths = [f"/one/two/fatal-{number}" for number in range(ATTEMPTS)]
-    fleet.set_fatal(paths, DOWN_SECONDS)
+    fleet.set_fatal_paths(paths, DOWN_SECONDS)
     vms = list(fleet.vms.values())
     with Others(fleet, named=True) as others:
         time.sleep(WARM_UP_SECONDS)
@@ -481,5 +481,5 @@
             vm, cookie = vms[number % len(vms)], f"Affinity-Key={name}"
             fleet.send(vm, "GET", path, f"q{number}", Cookie=cookie)
             time.sleep(ATTEMPT_GAP)
-    assert len(fleet.ends()) <= MOST_RUNS
+    assert len(fleet.crashes()) <= MOST_RUNS
     assert others.statuses.count(200) / len(others.statuses) >= SERVED_SHARE
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -189,13 +189,13 @@
 
 
 def test_idle_targets_of_a_killed_home_return_before_the_longest_timeout(fleet):
-    home, _ = fleet.by_homes()
+    home, _ = fleet.vms_by_target_count()
     home.process.kill()
     wait_for(lambda: fleet.free_slots() == 2 * SLOTS, seconds=8)
 
 
 def test_idle_targets_of_a_restarted_home_return_before_the_longest_timeout(fleet):
-    home, _ = fleet.by_homes()
+    home, _ = fleet.vms_by_target_count()
     home.process.kill()
     home.process.wait()
     fleet.start_vm(home)
@@ -204,7 +204,7 @@
 
 
 def test_long_requests_of_a_paused_home_are_waited_for(fleet):
-    home, other = fleet.by_homes()
+    home, other = fleet.vms_by_target_count()
     for name in fleet.targets:
         fleet.switch_target(name, service_s=WORK_SECONDS, cancel_s=0.1)
     hosts = [vm.host for vm in fleet.vms.values()]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -138,10 +138,10 @@
     ("method", "path"), [("GET", "/one/two/fatal"), ("POST", "/one/fatal")]
 )
 def test_request_that_ended_three_targets_is_not_sent_on(fleet, method, path):
-    fleet.set_fatal([path], DOWN_SECONDS)
+    fleet.set_fatal_paths([path], DOWN_SECONDS)
     with Others(fleet) as others:
         statuses = send_again_and_again(fleet, method, path)
-    ends = [instant for instant, _ in fleet.ends()]
+    ends = [instant for instant, _ in fleet.crashes()]
     later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
     served = others.statuses.count(200) / len(others.statuses)
     assert len(later) <= MOST_LATER
@@ -151,7 +151,7 @@
 
 
 def test_each_end_of_a_target_is_logged_with_the_request(fleet):
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_again_and_again(fleet, "POST", "/one/fatal", attempts=2)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     ended = [line for line in lines if line["name"] == "target_ended"]
@@ -163,9 +163,9 @@
 
 def test_quarantine_outlives_all_vms(fleet):
     """Its row is in the store; all VMs are killed and start again."""
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_again_and_again(fleet, "POST", "/one/fatal", attempts=12)
-    before = len(fleet.ends())
+    before = len(fleet.crashes())
     for vm in fleet.vms.values():
         fleet.stop_vm(vm, signal.SIGKILL)
     for vm in fleet.vms.values():
@@ -174,7 +174,7 @@
     time.sleep(STABLE_SECONDS)
     statuses = send_again_and_again(fleet, "POST", "/one/fatal", attempts=12)
     assert set(statuses) == {503}
-    assert len(fleet.ends()) == before
+    assert len(fleet.crashes()) == before
 
 
 @pytest.mark.parametrize(
@@ -185,14 +185,14 @@
 def test_wave_of_ends_by_no_requests_fault_quarantines_nothing(
     fleet, at_once, waves, gap
 ):
-    fleet.set_fatal([], DOWN_SECONDS)
+    fleet.set_fatal_paths([], DOWN_SECONDS)
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.2)
     rng = random.Random(at_once)
     with Others(fleet) as others:
         for _ in range(waves):
             for each in rng.sample(list(TARGETS), at_once):
-                fleet.end_target(each)
+                fleet.crash_target(each)
             time.sleep(gap)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     names = {line["name"] for line in lines}
@@ -211,10 +211,10 @@
 
 
 def test_operators_lift_a_quarantine_by_its_row(fleet):
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_again_and_again(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(2.0)
-    fleet.set_fatal([], DOWN_SECONDS)
+    fleet.set_fatal_paths([], DOWN_SECONDS)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     caught = next(line for line in lines if line["name"] == "request_quarantined")
     fleet.put(QUARANTINE_TABLE, caught["fingerprint"], None)
@@ -282,10 +282,10 @@
 def test_request_that_begins_to_end_targets_that_answered_it_is_caught(fleet):
     path = "/one/two/fatal"
     assert send_again_and_again(fleet, "GET", path, attempts=4) == [200] * 4
-    fleet.set_fatal([path], DOWN_SECONDS)
+    fleet.set_fatal_paths([path], DOWN_SECONDS)
     statuses = send_again_and_again(fleet, "GET", path, attempts=32)
     assert statuses[-8:] == [503] * 8
-    ends = [instant for instant, _ in fleet.ends()]
+    ends = [instant for instant, _ in fleet.crashes()]
     later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
     assert len(later) <= MOST_LATER
 
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -21,13 +21,13 @@
     RESTART_SECONDS,
     SERVICES,
     SETTLE_SECONDS,
+    STOP_INTERVAL_SECONDS,
     STOP_SECONDS,
     TARGETS_OF_SERVICE,
-    TURN_SECONDS,
-    settled,
+    converged_fleet,
     stop_all,
     stop_domain,
-    stop_in_turn,
+    stop_one_by_one,
 )
 from tests.platform_samples import SETTINGS
 
@@ -71,26 +71,26 @@
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
 def test_vms_that_leave_together_are_named_for_a_heartbeat_at_most(size, stop):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     stopped = stop(fleet)
     assert seconds_until_unnamed(fleet, stopped) <= HOPS[size] * INTERVAL + LOOK_SECONDS
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 def test_vm_that_leaves_does_not_name_those_that_leave_after_it(size):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     for vm in fleet.serving()[:4]:
         fleet.stop(vm)
         seconds = seconds_until_unnamed(fleet, [vm])
         assert seconds <= HOPS[size] * INTERVAL + LOOK_SECONDS
-        fleet.run(TURN_SECONDS - seconds)
+        fleet.run(STOP_INTERVAL_SECONDS - seconds)
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_lost_datagram_does_not_keep_a_vm_that_leaves_named(size, stop, seed):
-    fleet = settled(size, 0.1, seed)
+    fleet = converged_fleet(size, 0.1, seed)
     stopped = stop(fleet)
     bound = LEAVE_SECONDS + HOPS[size] * INTERVAL
     assert seconds_until_unnamed(fleet, stopped) <= bound
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
 def test_vm_that_starts_again_names_all_others_with_its_next_heartbeat(size):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     stopped = fleet.serving()[0]
     fleet.stop(stopped)
     fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + LOOK_SECONDS)
@@ -114,7 +114,7 @@
     """
 
     def __init__(self, fleet, act):
-        idle = fleet.spent(SETTLE_SECONDS)
+        idle = fleet.run_and_count(SETTLE_SECONDS)
         before, began = fleet.costs, fleet.clock.time
         started = {vm.name: vm.owners.rankings for vm in fleet.vms.values()}
         act(fleet)
@@ -138,7 +138,7 @@
 
 def in_turn(stops):
     """Return what stops so many VMs in turn."""
-    return lambda fleet: stop_in_turn(fleet, stops)
+    return lambda fleet: stop_one_by_one(fleet, stops)
 
 
 @pytest.mark.parametrize(
@@ -152,20 +152,20 @@
     ],
 )
 def test_stops_cost_each_vm_that_stays_the_same_in_every_fleet(size, act):
-    bill = Bill(settled(size), act)
+    bill = Bill(converged_fleet(size), act)
     assert bill.stops > 0
     assert bill.spent.writes == 2 * bill.stops
     assert bill.spent.reads == bill.stops
     # A VM that stays sends a round more at most, and each partner what is told.
     assert bill.messages <= bill.stops * size * PARTNERS
     told = PARTNERS * TOLD * (PIECES + MAX_REPAIRED_AT_ONCE)
-    assert bill.spent.news <= bill.stops * size * told
+    assert bill.spent.updates <= bill.stops * size * told
     ranked = CHANGES * len(SERVICES) * TARGETS_OF_SERVICE
     assert max(bill.rankings, default=0) <= bill.stops * ranked
 
 
 @pytest.mark.parametrize(("size", "readers"), [(SMALL, SMALL), (LARGE, READERS)])
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
     assert sum(each.reads_member_table() for each in tables) == readers
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -32,7 +32,12 @@
     MONITORED_IN_REGION,
     MONITORED_OUTSIDE_REGION,
 )
-from standins.membership_simulation import REGIONS, Network, SimulatedVm, drive
+from standins.membership_simulation import (
+    REGIONS,
+    Network,
+    SimulatedVm,
+    run_nonblocking,
+)
 from tests.steering_parts import Parts, beat, entry
 
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
@@ -344,7 +349,7 @@
     def leave(self):
         """Leave as the process does: all partners are told at once."""
         self.members.leave()
-        drive(self.gossip.leave())
+        run_nonblocking(self.gossip.leave())
 
     def stop(self):
         """End: the requests under way end with the process."""
@@ -353,7 +358,7 @@
 
     def work(self, rng):
         """End and begin requests, as many as there seem to be slots."""
-        drive(self.gossip.notify())
+        run_nonblocking(self.gossip.notify())
         now = self.network.clock.now()
         for use in [each for each in self.uses if each.deadline <= now]:
             self.uses.remove(use)
@@ -374,7 +379,7 @@
         receiver = self.vms.get(ip)
         member = receiver and receiver.members.live(sender.name)
         if member and not known:
-            drive(receiver.gossip._send_all([member]))
+            run_nonblocking(receiver.gossip._send_all([member]))
 
 
 class Fleet:
@@ -484,7 +489,7 @@
     fleet = Fleet(72, 24)
     vm = fleet.vms[0]
     vm.members.leave()
-    drive(vm.gossip.notify())
+    run_nonblocking(vm.gossip.notify())
     near = [each for each in fleet.vms[1:] if each.domain == vm.domain]
     assert len(near) > MONITORED_IN_REGION
     assert all(each.members.live(vm.name).stage == LEAVING for each in near)
@@ -502,7 +507,7 @@
     assert successor.held.count(target.entry.id, now) >= target.entry.slots
     # What is left is the successor's alone, not that of its failure domain.
     vm.gossip._notified_stage = LEAVING
-    drive(vm.gossip.notify())
+    run_nonblocking(vm.gossip.notify())
     assert successor.held.count(target.entry.id, now) == 0
 
 
@@ -512,7 +517,7 @@
     vm = fleet.vms[0]
     vm.leave()
     fleet.network.run(2 * REPORT_TTL_SECONDS)
-    owners = [each for each in fleet.vms[1:] if vm.rooms.is_known(each.name)]
+    owners = [each for each in fleet.vms[1:] if vm.capacity_reports.is_known(each.name)]
     assert len(owners) >= min(count - 1, MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -103,5 +103,5 @@
 
 def test_vm_announced_as_leaving_by_the_list_leaves_by_itself(fleet):
     vm = fleet.vms["north-a-1"]
-    fleet.list_vm(vm, leaving=True)
+    fleet.update_vm_list(vm, leaving=True)
     assert vm.process.wait(timeout=20) == 0
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -15,7 +15,7 @@
 )
 from heathercleat.steering.process.membership.member import Member, Stage
 from standins.simulated_clients import SimulatedClients
-from standins.stop_simulation import STOP_SECONDS, settled
+from standins.stop_simulation import STOP_SECONDS, converged_fleet
 from tests.fakes import ManualClock
 
 PORT = 8381
@@ -61,7 +61,7 @@
     return [each.partition(":")[0] for each in addresses]
 
 
-def over_share(counts):
+def relative_load(counts):
     """Return how many times its even share of the clients each VM is named for."""
     loads = Counter()
     for domain in counts:
@@ -89,7 +89,7 @@
 ):
     counts = {"a": here, **{f"b{number}": others for number in range(1, domains)}}
     # Some look-ups name others at random: 400 of them spread by a few percent.
-    assert max(over_share(counts).values()) <= MAX_OVER_SHARE * 1.1
+    assert max(relative_load(counts).values()) <= MAX_OVER_SHARE * 1.1
 
 
 def test_vms_of_the_own_failure_domain_are_named_to_all_its_clients():
@@ -129,10 +129,13 @@
 
 
 def test_clients_of_a_failure_domain_that_returns_are_spread():
-    fleet = settled(30, loss=0.1)
+    fleet = converged_fleet(30, loss=0.1)
     clients = SimulatedClients(fleet, 60)
     clients.run(KEPT_SECONDS)
     seconds = return_one_by_one(fleet)
     for _ in range(int(seconds / RETURN_SECONDS)):
         clients.run(RETURN_SECONDS)
-        assert max(clients.over_share(clients.drawn()).values()) <= MAX_OVER_SHARE
+        assert (
+            max(clients.relative_load(clients.expected_connections()).values())
+            <= MAX_OVER_SHARE
+        )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,8 +19,8 @@
 from standins.membership_simulation import (
     Network,
     SimulatedVm,
-    drive,
-    first_object,
+    run_nonblocking,
+    unpack_first,
 )
 from tests.steering_parts import Parts, beat
 
@@ -55,7 +55,7 @@
 def disagreeing(network):
     """Return the VMs that do not take exactly the running ones as serving."""
     expected = {vm.name for vm in network.running()}
-    return [vm.name for vm in network.running() if vm.known != expected]
+    return [vm.name for vm in network.running() if vm.serving_names != expected]
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
@@ -69,7 +69,7 @@
     vms = [SimulatedVm(network, number, alone=True) for number in range(SMALL)]
     network.run(0.3)
     for vm in vms:
-        vm.meet_all()
+        vm.add_all_members()
     network.run(0.3)
     assert disagreeing(network) == []
 
@@ -123,18 +123,18 @@
     network = start(count)
     vm = list(network.vms.values())[3]
     vm.members.set_serving(False)
-    drive(vm.gossip.send())
+    run_nonblocking(vm.gossip.send())
     network.run(1.0)
-    assert all(vm.name not in each.known for each in network.running())
+    assert all(vm.name not in each.serving_names for each in network.running())
 
 
 def test_vm_that_leaves_is_known_to_leave_where_no_requests_are_carried():
     network = start_mixed(SMALL, SMALL)
     vm = next(iter(network.vms.values()))
     vm.members.leave()
-    drive(vm.gossip.leave())
+    run_nonblocking(vm.gossip.leave())
     network.run(INTERVAL)
-    assert all(vm.name not in each.known for each in network.running())
+    assert all(vm.name not in each.serving_names for each in network.running())
 
 
 @pytest.mark.parametrize("count", [SMALL, LARGE])
@@ -149,7 +149,7 @@
         assert all(
             (each.domain == "south-a") == here
             for each in network.running()
-            if each.name in vm.known
+            if each.name in vm.serving_names
         )
     network.is_cut = lambda one, other: False
     network.run(2 * AGREE_SECONDS)
@@ -163,9 +163,9 @@
     pair = {vm.name, pick}
     network.is_cut = lambda one, other: {one.name, other.name} == pair
     network.run(AGREE_SECONDS)
-    assert pick not in vm.known
+    assert pick not in vm.serving_names
     rest = [each for each in network.running() if each.name not in pair]
-    assert all(pair <= each.known for each in rest)
+    assert all(pair <= each.serving_names for each in rest)
 
 
 def test_paused_vm_that_wakes_up_is_back():
@@ -198,7 +198,9 @@
 
 def test_vm_that_starts_in_a_large_fleet_is_not_silent_for_long():
     # Others take it for dead, and it takes itself for paused.
-    assert drive(start_alone(HUGE).gossip.round()) < min(SILENCE_SECONDS, PAUSE_SECONDS)
+    assert run_nonblocking(start_alone(HUGE).gossip.round()) < min(
+        SILENCE_SECONDS, PAUSE_SECONDS
+    )
 
 
 def test_greetings_of_a_vm_that_starts_do_not_grow_with_the_fleet():
@@ -216,11 +218,11 @@
     for number in range(1, MAX_MESH_SIZE + 2):
         other = SimulatedVm(network, number, alone=True)
         other.members.add_known(vm.name, vm.ip, vm.domain, "north")
-        drive(other.gossip.send())
+        run_nonblocking(other.gossip.send())
     vm.members.check()
     assert not vm.members.topology.is_mesh
     unheard = sum(each.last_heartbeat_at is None for each in vm.members.others())
-    drive(vm.gossip.round())
+    run_nonblocking(vm.gossip.round())
     assert unheard > 0
     assert network.sent[vm.name] >= unheard
 
@@ -230,7 +232,7 @@
     monkeypatch.setattr(gossip, "MOST_GREETED", 2)
     newcomer = SimulatedVm(network, LARGE)
     network.run(START_SECONDS)
-    assert newcomer.known == {vm.name for vm in network.running()}
+    assert newcomer.serving_names == {vm.name for vm in network.running()}
     assert disagreeing(network) == []
 
 
@@ -239,9 +241,9 @@
     weak = SimulatedVm(network, 0, strength=0.01)
     strong = [SimulatedVm(network, number) for number in range(1, SMALL)]
     network.run(START_SECONDS)
-    assert weak.known == {vm.name for vm in network.running()}
-    assert not any(weak.rooms.is_known(vm.name) for vm in strong)
-    assert all(strong[0].rooms.is_known(vm.name) for vm in strong[1:])
+    assert weak.serving_names == {vm.name for vm in network.running()}
+    assert not any(weak.capacity_reports.is_known(vm.name) for vm in strong)
+    assert all(strong[0].capacity_reports.is_known(vm.name) for vm in strong[1:])
 
 
 def test_small_fleet_tells_no_news():
@@ -279,7 +281,7 @@
 def test_news_is_told_to_each_vm_a_few_times_only():
     network = start_mixed(STRONG, WEAK)
     network.run(4.0)
-    network.told.clear()
+    network.updates_sent.clear()
     dead = list(network.vms.values())[1]
     dead.running = False
     network.run(AGREE_SECONDS)
@@ -287,7 +289,7 @@
     idle = (IDLE_MONITORED_IN_REGION + IDLE_MONITORED_OUTSIDE_REGION) * 2
     # Of a death two things may be told, that it is doubted and that it is believed.
     most = 3 * 2 * (STRONG * partners + WEAK * idle)
-    assert 0 < network.told[dead.name] <= most
+    assert 0 < network.updates_sent[dead.name] <= most
 
 
 def test_owners_are_worked_out_anew_only_when_a_vm_that_carries_requests_changes():
@@ -298,7 +300,7 @@
     observer.members.on_change(lambda: changes.append(observer.members.active()))
     weak.members.set_serving(False)
     network.run(AGREE_SECONDS)
-    assert weak.name not in observer.known
+    assert weak.name not in observer.serving_names
     assert changes == []
     dead.running = False
     network.run(AGREE_SECONDS)
@@ -310,7 +312,7 @@
     strangers = []
 
     def is_cut(sender, receiver):
-        if Heartbeat.of(first_object(network.datagram)).news:
+        if Heartbeat.of(unpack_first(network.datagram)).news:
             known = sender.members.find(receiver.name)
             if not sender.gossip._is_partner(known):
                 strangers.append(receiver.name)
@@ -320,5 +322,5 @@
     for number in range(STRONG + WEAK):
         SimulatedVm(network, number, strength=1.0 if number < STRONG else 0.1)
     network.run(START_SECONDS)
-    assert sum(network.told.values()) > 0
+    assert sum(network.updates_sent.values()) > 0
     assert strangers == []
--- a/tests/test_once_failures.py
+++ b/tests/test_once_failures.py
@@ -59,7 +59,7 @@
                 self.answers[key] = answer
             if answer in ("run", "not-run"):
                 return
-        self._caller.forget()
+        self._caller.clear_lookups()
 
     def _places(self, lookup):
         owner = lookup["ticket_vm"]["address"]
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -29,10 +29,10 @@
 
 
 def test_operators_list_show_and_lift_a_quarantine(fleet, capsys):  # noqa: F811
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_again_and_again(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(WRITTEN_SECONDS)
-    fleet.set_fatal([], DOWN_SECONDS)
+    fleet.set_fatal_paths([], DOWN_SECONDS)
     settings = "--settings", next(iter(fleet.vms.values())).settings
     (listed,) = told(capsys, "list", *settings)
     assert (listed["route"], listed["service"]) == ("one", "s1")
--- a/tests/test_quarantine_spread.py
+++ b/tests/test_quarantine_spread.py
@@ -66,6 +66,6 @@
     network.run(SPREAD_SECONDS)
     told = [list(vm.suspects.updates()) for vm in network.running()]
     assert all(told)
-    sent = network.suspects_told
+    sent = network.suspect_updates_sent
     network.run(SPREAD_SECONDS)
-    assert network.suspects_told == sent
+    assert network.suspect_updates_sent == sent
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
 import pytest
 
-from standins.soak import Sent, check, run_seed
+from standins.soak import SentRequest, check, run_seed
 from standins.soak_stops import check_attempts
 from standins.stops.records import ONCE, SAFE, Attempt
 from standins.stops.tally import collect_runs
@@ -10,7 +10,7 @@
 
 
 def sent(status, safe=False, **fields):
-    request = Sent("q1", safe, b"")
+    request = SentRequest("q1", safe, b"")
     request.status = status
     for name, value in fields.items():
         setattr(request, name, value)
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -181,11 +181,11 @@
     south = Load(hosts_in(fleet, "south-a"), SERVICE, rate=0.5 * CAPACITY, seed=2)
     with north, south:
         time.sleep(2.0)
-        fleet.cut("south-a", ["north-a", "north-b"])
+        fleet.partition_off("south-a", ["north-a", "north-b"])
         cut_at = time.time()
         time.sleep(4.0)
         mended_at = time.time()
-        fleet.mend()
+        fleet.heal()
         time.sleep(2.0)
     assert overshoot(fleet) == 0
     during = [each for each in south.results if cut_at + 1 < each.sent_at < mended_at]
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -14,7 +14,7 @@
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.request.attempt_result import DEADLINE, AttemptOutcome
 from heathercleat.steering.request.local import CONNECT_TIMEOUT_SECONDS, LocalDispatcher
-from standins.skewed import LONGEST_STEP, HeldClock
+from standins.skewed import MAX_STEP_SECONDS, SuspendAwareClock
 from standins.steering_fleet import SteeringFleet
 from tests.steering_parts import Parts, call, entry
 from tests.test_crashing_requests import (
@@ -71,17 +71,17 @@
 
 def test_woken_vm_refuses_what_was_quarantined_meanwhile(fleet):
     vm = fleet.vms["north-a-1"]
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     vm.process.send_signal(signal.SIGSTOP)
     others = [each for each in fleet.vms.values() if each is not vm]
     for number in range(3):
         fleet.send(others[number], "POST", "/one/fatal", f"q{number}")
         time.sleep(1.5 * DOWN_SECONDS)
-    assert len(fleet.ends()) == 3
+    assert len(fleet.crashes()) == 3
     vm.process.send_signal(signal.SIGCONT)
     time.sleep(STABLE_SECONDS)
     assert fleet.send(vm, "POST", "/one/fatal", "q4")[0] == 503
-    assert len(fleet.ends()) == 3
+    assert len(fleet.crashes()) == 3
 
 
 def test_request_whose_deadline_passed_in_the_sleep_ends_soon_after(fleet):
@@ -107,11 +107,11 @@
 
 def test_held_clock_leaves_out_the_time_of_a_stop():
     now = [100.0]
-    clock = HeldClock(lambda: now[0])
-    now[0] += LONGEST_STEP / 2
-    assert clock.monotonic() == pytest.approx(100.0 + LONGEST_STEP / 2)
+    clock = SuspendAwareClock(lambda: now[0])
+    now[0] += MAX_STEP_SECONDS / 2
+    assert clock.monotonic() == pytest.approx(100.0 + MAX_STEP_SECONDS / 2)
     now[0] += 5.0
-    assert clock.monotonic() == pytest.approx(100.0 + LONGEST_STEP / 2)
+    assert clock.monotonic() == pytest.approx(100.0 + MAX_STEP_SECONDS / 2)
 
 
 class SlowPool:
