--- a/standins/simulated_clients.py
+++ b/standins/simulated_clients.py
@@ -14,7 +14,7 @@
 class SimulatedClient:
     """A client with one persistent connection.
 
-    :param patience: factor by which it exceeds the TTL of a look-up.
+    :param ttl_factor: factor by which it exceeds the TTL of a look-up.
     """
 
     __slots__ = ("domain", "ttl_factor", "addresses", "expires_at", "vm", "failed")
