--- a/standins/lab/experiment.py
+++ b/standins/lab/experiment.py
@@ -1,18 +1,18 @@
-"""Runs a scenario: processes, load and faults."""
+"""Runs a scenario: starts processes, sends load and injects faults."""
 
 import signal
 import threading
 import time
 
-from standins.lab.keeping import KeepingLoad
-from standins.lab.load import Load, note_runs
+from standins.lab.load import Load, mark_abandoned
+from standins.lab.persistent_load import PersistentLoad
 from standins.steering_fleet import SteeringFleet
 from standins.stops.deployment import configuration
-from standins.stops.plan import Stopper, begin_rolling_restart
+from standins.stops.plan import Stopper, start_rolling_restart
 
 SUBNET = 39
 SERVICE = "s1"
-#: Attributes of the only route.
+#: The route of clients without persistent connections.
 ROUTE = {
     "name": "two",
     "prefix": "/one/two/",
@@ -49,22 +49,22 @@
             fleet.switch_target(
                 name,
                 work_s=scenario.work,
-                learning_x=scenario.learning_factor,
-                remembers=scenario.remembered,
+                learning_x=scenario.uncached_factor,
+                remembers=scenario.cached_objects,
             )
         stopper, restarts = Stopper(fleet), []
-        keeping = KeepingLoad(fleet, scenario, stopper)
+        persistent_load = PersistentLoad(fleet, scenario, stopper)
         load = Load(fleet, scenario)
         thread = threading.Thread(target=load.run)
         thread.start()
-        keeping.start()
+        persistent_load.start()
         _inject(fleet, scenario, stopper, restarts)
         thread.join()
         for restart in restarts:
             restart.join()
-        keeping.stop()
-        results = [*load.results, *keeping.results()]
-        note_runs(results, fleet.runs())
+        persistent_load.stop()
+        results = [*load.results, *persistent_load.results()]
+        mark_abandoned(results, fleet.runs())
         return results
 
 
@@ -72,25 +72,27 @@
     route = {
         **ROUTE,
         "timeout": f"{scenario.deadline}s",
-        "targetLatency": f"{scenario.aim}s",
+        "targetLatency": f"{scenario.latency_objective}s",
     }
     return {
         "version": "r1",
         "services": [{"name": SERVICE, "maxConnections": 400}],
         "limits": LIMITS,
-        "hosts": [{"host": "a.example", "paths": [route, *_keeping_routes(scenario)]}],
+        "hosts": [
+            {"host": "a.example", "paths": [route, *_persistent_routes(scenario)]}
+        ],
     }
 
 
-def _keeping_routes(scenario):
-    """Return the routes of clients that keep connections, where there are any."""
-    if not scenario.ahead and not scenario.kept:
+def _persistent_routes(scenario):
+    """Return the routes of clients with persistent connections, if there are any."""
+    if not scenario.pipelining and not scenario.persistent:
         return []
     return configuration()["hosts"][0]["paths"]
 
 
 def _inject(fleet, scenario, stopper, restarts):
-    """Begin and end the faults at their instants."""
+    """Inject and undo the faults at their instants."""
     began_at = time.monotonic()
     steps = []
     for fault in scenario.faults:
@@ -104,7 +106,7 @@
 
 
 def _actions(fleet, scenario, stopper, restarts, fault):
-    """Return what begins a fault and what ends it."""
+    """Return the functions that inject and undo a fault."""
     vm = fleet.vms.get(fault.name)
     name, seconds = fault.name, fault.seconds
     return {
@@ -112,7 +114,7 @@
         "stop_vm": (lambda: fleet.stop_vm(vm), lambda: fleet.restart_vm(vm)),
         "rolling_restart": (
             lambda: restarts.append(
-                begin_rolling_restart(list(fleet.vms.values()), stopper)
+                start_rolling_restart(list(fleet.vms.values()), stopper)
             ),
             None,
         ),
--- a/standins/lab/load.py
+++ b/standins/lab/load.py
@@ -1,4 +1,4 @@
-"""An open load of requests on steering VMs, with clients that come back once."""
+"""Open-loop load on steering VMs; each client retries once."""
 
 import json
 from random import Random
@@ -16,23 +16,23 @@
 from standins.steering_fleet import FRONT_PORT, READY_PORT
 
 MAX_RESPONSE_BYTES = 1 << 20
-#: Seconds for which a client keeps a look-up, and that it waits for one.
+#: TTL of a cached look-up, and the timeout of a look-up.
 LOOKUP_SECONDS = 1.0
-#: Seconds after which a client without advice comes back.
-USUAL_RETURN = 0.1
-#: Seconds before its deadline from which a request has run out of time.
-LAST_SECONDS = 0.1
-#: Attempts of a client: the first one and one repeat.
-MOST_ATTEMPTS = 2
+#: Delay of a retry without a Retry-After header.
+DEFAULT_RETRY_SECONDS = 0.1
+#: Seconds before its deadline from which a failed attempt counts as timed out.
+TIMED_OUT_MARGIN_SECONDS = 0.1
+#: The first attempt and one retry.
+MAX_ATTEMPTS = 2
 
 
 class Result:
-    """How one request ended; instants are seconds from the start of the load.
+    """The result of one request.
 
-    :param status: of the last answer, ``None`` when there was none.
-    :param attempts: how many there were.
-    :param failed: ids of those that ended otherwise than with a success or a refusal,
-        before the deadline.
+    :param sent_at: seconds from the start of the load.
+    :param status: of the last response; ``None`` without one.
+    :param attempts: number of attempts.
+    :param failed: ids of attempts that failed before the deadline and were not refused.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
         "status",
         "attempts",
         "failed",
-        "given_up",
+        "is_abandoned",
     )
 
     def __init__(self, sent_at, domain, seconds, status, attempts, failed=()):
@@ -52,15 +52,18 @@
         self.status = status
         self.attempts = attempts
         self.failed = failed
-        #: Whether a target ran one of the failed attempts.
-        self.given_up = False
+        #: Whether a failed attempt ran at a target.
+        self.is_abandoned = False
 
 
-def note_runs(results, runs):
-    """Note which failed attempts ran, of the targets' records."""
+def mark_abandoned(results, runs):
+    """Mark the results with failed attempts that ran.
+
+    :param runs: the targets' run records.
+    """
     ran = {run[0] for run in runs}
     for result in results:
-        result.given_up = not ran.isdisjoint(result.failed)
+        result.is_abandoned = not ran.isdisjoint(result.failed)
 
 
 class Load:
@@ -74,11 +77,11 @@
         self._scenario = scenario
         self._clock = SystemClock()
         self._began_at = 0.0
-        self._known = {}
+        self._lookups = {}
         self.results = []
 
     def run(self):
-        """Send until the scenario's end, and wait for the last answers."""
+        """Send until the end of the scenario, and wait for the last responses."""
         run(self._run)
 
     async def _run(self):
@@ -98,21 +101,24 @@
             await sleep(max(0.0, at - self._clock.now()))
             number += 1
             request = f"{domain}-{number}"
-            item = rng.randrange(self._scenario.objects)
-            await group.spawn(self._request, domain, request, item, rng)
+            object_key = rng.randrange(self._scenario.objects)
+            await group.spawn(self._request, domain, request, object_key, rng)
 
-    async def _request(self, domain, request, item, rng):
+    async def _request(self, domain, request, object_key, rng):
         began_at = self._clock.now()
         deadline = began_at + self._scenario.deadline
         status, failed = None, []
-        for attempt in range(1, MOST_ATTEMPTS + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             name = f"{request}-{attempt}"
-            status, wait = await self._attempt(domain, name, item, deadline, rng)
-            if status not in (200, 503) and self._clock.now() < deadline - LAST_SECONDS:
+            status, wait = await self._attempt(domain, name, object_key, deadline, rng)
+            if (
+                status not in (200, 503)
+                and self._clock.now() < deadline - TIMED_OUT_MARGIN_SECONDS
+            ):
                 failed.append(name)
             if status is not None and status != 503:
                 break
-            if self._clock.now() + wait >= deadline or attempt == MOST_ATTEMPTS:
+            if self._clock.now() + wait >= deadline or attempt == MAX_ATTEMPTS:
                 break
             await sleep(wait)
         seconds = self._clock.now() - began_at
@@ -120,27 +126,27 @@
         result = Result(sent_at, domain, seconds, status, attempt, failed)
         self.results.append(result)
 
-    async def _attempt(self, domain, request, item, deadline, rng):
-        """Return the status, and after how many seconds to come back."""
+    async def _attempt(self, domain, request, object_key, deadline, rng):
+        """Return the status, and the delay of a retry in seconds."""
         remaining = int(1000 * (deadline - self._clock.now()))
         headers = {
             "host": "a.example",
             "request-id": request,
             "deadline-ms": str(max(1, remaining)),
-            "cookie": f"Affinity-Key={item}",
+            "cookie": f"Affinity-Key={object_key}",
         }
-        message = Message(path=f"/one/two/{item}", headers=headers)
+        message = Message(path=f"/one/two/{object_key}", headers=headers)
         try:
             host = rng.choice(await self._look_up(domain))
-            response = await self._ask(host, FRONT_PORT, message, deadline)
+            response = await self._exchange(host, FRONT_PORT, message, deadline)
         except (TimeoutError, *CONNECTION_ERRORS):
-            self._known.pop(domain, None)
-            return None, USUAL_RETURN
-        wait = float(response.headers.get("retry-after", USUAL_RETURN))
+            self._lookups.pop(domain, None)
+            return None, DEFAULT_RETRY_SECONDS
+        wait = float(response.headers.get("retry-after", DEFAULT_RETRY_SECONDS))
         return response.status, wait
 
-    async def _ask(self, host, port, message, deadline):
-        """Return the answer to a message on a connection of its own."""
+    async def _exchange(self, host, port, message, deadline):
+        """Send a message on a new connection and return the response."""
         stream = await connect(host, port, deadline, self._clock)
         try:
             asking = exchange(stream, message, MAX_RESPONSE_BYTES)
@@ -149,8 +155,8 @@
             await stream.close()
 
     async def _look_up(self, domain):
-        """Return the hosts that the directory names for a failure domain."""
-        known, until = self._known.get(domain, (None, 0.0))
+        """Return the hosts from a look-up for a failure domain, which is cached."""
+        known, until = self._lookups.get(domain, (None, 0.0))
         if self._clock.now() < until:
             return known
         region = self._scenario.failure_domains[domain]
@@ -159,12 +165,12 @@
             deadline = self._clock.now() + LOOKUP_SECONDS
             try:
                 message = Message(path=path)
-                response = await self._ask(vm.host, READY_PORT, message, deadline)
+                response = await self._exchange(vm.host, READY_PORT, message, deadline)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
             if response.status == 200:
                 addresses = json.loads(response.body)["addresses"]
                 hosts = [address.rpartition(":")[0] for address in addresses]
-                self._known[domain] = hosts, self._clock.now() + LOOKUP_SECONDS
+                self._lookups[domain] = hosts, self._clock.now() + LOOKUP_SECONDS
                 return hosts
-        raise EOFError("no VM answered a look-up")
+        raise EOFError("no VM responded to a look-up")
--- a/standins/lab/keeping.py
+++ b/standins/lab/persistent_load.py
@@ -1,4 +1,4 @@
-"""Clients of an experiment that keep their connections, whatever a look-up says."""
+"""Clients of an experiment with persistent connections, unaffected by look-ups."""
 
 from threading import Thread
 
@@ -9,11 +9,11 @@
 from standins.stops.tally import timed_out
 
 
-class KeepingLoad:
-    """Sends requests on connections that are kept until they end.
+class PersistentLoad:
+    """Sends requests on persistent connections until the VM closes them.
 
     :param fleet: the :class:`SteeringFleet`.
-    :param stopper: the :class:`Stopper`, which knows which VMs stop.
+    :param stopper: the :class:`Stopper`, which knows the stopped VMs.
     """
 
     def __init__(self, fleet, scenario, stopper):
@@ -21,8 +21,8 @@
             scenario.failure_domains,
             vms=0,
             targets=0,
-            ahead=scenario.ahead,
-            kept=scenario.kept,
+            pipelining=scenario.pipelining,
+            persistent=scenario.persistent,
             single=0.0,
             objects=scenario.objects,
         )
@@ -36,7 +36,7 @@
         self._thread.start()
 
     def stop(self):
-        """Stop sending and wait for the last answers."""
+        """Stop sending and wait for the last responses."""
         self._clients.stop()
         self._thread.join()
 
@@ -59,6 +59,6 @@
 
 
 def _failed(attempt):
-    """Return whether an attempt ended early, without an answer or a refusal."""
+    """Return whether an attempt failed before its deadline without a refusal."""
     answered = attempt.signed or attempt.status in NOT_RUN_STATUSES
     return not answered and not timed_out(attempt)
--- a/standins/lab/report.py
+++ b/standins/lab/report.py
@@ -1,32 +1,32 @@
-"""Reports on an experiment: tables in Markdown, a plot, and the figures as JSON."""
+"""Reports on an experiment: Markdown tables, a plot and figures as JSON."""
 
 import json
 
 import pygal
 from hdrh.histogram import HdrHistogram
 
-#: A request is given up when a target ran one of its attempts, and that one ended
-#: without the target's answer, before its deadline.
+#: A request is "given up" when an attempt ran at a target but failed, before the
+#: deadline, without the target's response.
 OUTCOMES = ("in aim", "late", "refused", "given up", "failed")
 MILLISECONDS = 1000
-#: Milliseconds that the histogram distinguishes at most, with three digits.
-LONGEST_MS = 60_000
-DIGITS = 3
+#: Largest latency of the histogram, in milliseconds, and its significant digits.
+MAX_LATENCY_MS = 60_000
+SIGNIFICANT_DIGITS = 3
 
 
 class Group:
-    """Counts and latencies of some requests.
+    """Counts and latencies of a group of requests.
 
-    :param aim: seconds within which an answer is in aim.
+    :param aim: latency objective in seconds.
     """
 
-    def __init__(self, results, aim):
+    def __init__(self, results, latency_objective):
         self.counts = dict.fromkeys(OUTCOMES, 0)
-        self.returned = 0
-        self._latencies = HdrHistogram(1, LONGEST_MS, DIGITS)
+        self.retried = 0
+        self._latencies = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
         for result in results:
-            self.counts[outcome(result, aim)] += 1
-            self.returned += result.attempts > 1
+            self.counts[outcome(result, latency_objective)] += 1
+            self.retried += result.attempts > 1
             if result.status == 200:
                 self._latencies.record_value(int(result.seconds * MILLISECONDS))
 
@@ -36,14 +36,14 @@
         return sum(self.counts.values())
 
     def latency(self, percentile):
-        """Return a percentile of the latency of answers, in milliseconds."""
+        """Return a latency percentile of successful requests, in milliseconds."""
         return self._latencies.get_value_at_percentile(percentile)
 
     def row(self, name):
         """Return a line of a Markdown table."""
         counts = " | ".join(str(self.counts[each]) for each in OUTCOMES)
         times = f"{self.latency(50)} | {self.latency(99)}"
-        return f"| {name} | {self.total} | {counts} | {self.returned} | {times} |"
+        return f"| {name} | {self.total} | {counts} | {self.retried} | {times} |"
 
 
 HEADING = (
@@ -52,17 +52,17 @@
 )
 
 
-def outcome(result, aim):
+def outcome(result, latency_objective):
     """Return which of :data:`OUTCOMES` a request had."""
-    if result.given_up:
+    if result.is_abandoned:
         return "given up"
     if result.status == 200:
-        return "in aim" if result.seconds <= aim else "late"
+        return "in aim" if result.seconds <= latency_objective else "late"
     return "refused" if result.status == 503 else "failed"
 
 
 class Report:
-    """What came of a scenario.
+    """The report on one run of a scenario.
 
     :param scenario: the :class:`Scenario`.
     :param results: a list of :class:`Result`.
@@ -70,9 +70,13 @@
 
     def __init__(self, scenario, results):
         self._scenario = scenario
-        self._whole = Group(results, scenario.aim)
-        self._domains = _grouped(results, lambda each: each.domain, scenario.aim)
-        self._seconds = _grouped(results, lambda each: int(each.sent_at), scenario.aim)
+        self._whole = Group(results, scenario.latency_objective)
+        self._domains = _grouped(
+            results, lambda each: each.domain, scenario.latency_objective
+        )
+        self._seconds = _grouped(
+            results, lambda each: int(each.sent_at), scenario.latency_objective
+        )
 
     def write(self, folder):
         """Write ``report.md``, ``plot.svg`` and ``report.json``."""
@@ -82,7 +86,7 @@
         (folder / "report.json").write_text(json.dumps(self.figures(), indent=1))
 
     def markdown(self):
-        """Return the tables."""
+        """Return the Markdown tables."""
         faults = [f"- {fault.describe()}" for fault in self._scenario.faults]
         return "\n".join(
             [
@@ -105,14 +109,14 @@
         )
 
     def figures(self):
-        """Return the figures that :func:`compare` puts side by side."""
+        """Return the figures by group, as :func:`compare` reads them."""
         groups = {"all": self._whole, **self._domains}
         return {
             name: {
                 "in aim %": round(100 * group.counts["in aim"] / group.total, 1),
                 "refused %": round(100 * group.counts["refused"] / group.total, 1),
                 "given up %": round(100 * group.counts["given up"] / group.total, 1),
-                "came back %": round(100 * group.returned / group.total, 1),
+                "came back %": round(100 * group.retried / group.total, 1),
                 "failed %": round(100 * group.counts["failed"] / group.total, 1),
                 "p50 ms": group.latency(50),
                 "p99 ms": group.latency(99),
@@ -130,7 +134,7 @@
 
 
 def compare(before, after):
-    """Return a Markdown table of two files' figures side by side."""
+    """Return a Markdown table that compares two maps of :meth:`Report.figures`."""
     lines = ["| | figure | before | after |", "| --- | --- | --- | --- |"]
     for name in before.keys() & after.keys():
         for figure, value in before[name].items():
@@ -138,8 +142,8 @@
     return "\n".join([*lines[:2], *sorted(lines[2:])])
 
 
-def _grouped(results, key, aim):
+def _grouped(results, key, latency_objective):
     groups = {}
     for result in results:
         groups.setdefault(key(result), []).append(result)
-    return {name: Group(groups[name], aim) for name in sorted(groups)}
+    return {name: Group(groups[name], latency_objective) for name in sorted(groups)}
--- a/standins/lab/scenario.py
+++ b/standins/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what runs, who asks for what, and what fails when."""
+"""Scenario files: the deployment, the load and the faults of an experiment."""
 
 from jsonschema import Draft202012Validator
 
@@ -71,17 +71,17 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that does not make sense; the text names the place and the fault."""
+    """An invalid scenario file; the text has a line with the path of each fault."""
 
 
 class Fault:
     """One fault of a scenario.
 
-    :param at: seconds from the start of the load.
-    :param until: seconds at which it ends; ``None`` when it does not.
-    :param kind: one of those in :data:`SCHEMA`.
-    :param name: the VM, target or link that it hits.
-    :param seconds: how strong it is: a delay, or the time that a slow target takes.
+    :param at_s: seconds from the start of the load.
+    :param kind: a kind in :data:`SCHEMA`.
+    :param for_s: duration in seconds; ``None`` if it is not undone.
+    :param name: the VM, target or link affected.
+    :param seconds: the delay of a link, or the work of a slow target per request.
     """
 
     __slots__ = ("at", "until", "kind", "name", "seconds")
@@ -94,23 +94,24 @@
         self.seconds = seconds
 
     def describe(self):
-        """Return a line for the report."""
+        """Return the text of the fault in the report."""
         until = "the end" if self.until is None else f"{self.until:g} s"
         return f"{self.at:g} s to {until}: {self.kind} {self.name or ''}".rstrip()
 
 
 class Scenario:
-    """A deployment, its load and its faults; lengths in seconds.
-
-    :param failure_domains: the region of each.
-    :param vms: number of VMs in each failure domain.
-    :param targets: ``{name: (failure domain, slots)}``.
-    :param clients: requests a second from each failure domain.
-    :param ahead: clients that send ahead on a connection that they keep.
-    :param kept: clients that send one request after another on such a connection.
-    :param work: time that a target takes for an object that it remembers.
-    :param learning_factor: times longer that it takes for another one.
-    :param objects: number of objects that are asked for.
+    """A deployment, its load and its faults; durations are in seconds.
+
+    :param document: the content of a scenario file, valid by :data:`SCHEMA`.
+    :ivar failure_domains: the region of each.
+    :ivar vms: number of VMs in each failure domain.
+    :ivar targets: ``{name: (failure domain, slots)}``.
+    :ivar clients: requests per second from each failure domain.
+    :ivar pipelining: number of pipelining clients.
+    :ivar persistent: number of other clients with a persistent connection.
+    :ivar work: work of a target per request for a cached object.
+    :ivar uncached_factor: factor of the work for an object that is not cached.
+    :ivar objects: number of objects that are requested.
     """
 
     __slots__ = (
@@ -120,13 +121,13 @@
         "vms",
         "targets",
         "clients",
-        "ahead",
-        "kept",
+        "pipelining",
+        "persistent",
         "work",
-        "learning_factor",
-        "remembered",
+        "uncached_factor",
+        "cached_objects",
         "objects",
-        "aim",
+        "latency_objective",
         "deadline",
         "faults",
     )
@@ -142,13 +143,13 @@
         }
         self.clients = document["clients"]
         keeping = document.get("keeping", {})
-        self.ahead = keeping.get("ahead", 0)
-        self.kept = keeping.get("kept", 0)
+        self.pipelining = keeping.get("ahead", 0)
+        self.persistent = keeping.get("kept", 0)
         self.work = document.get("work_s", 0.05)
-        self.learning_factor = document.get("learning_factor", 1.0)
-        self.remembered = document.get("remembered_objects", 24)
+        self.uncached_factor = document.get("learning_factor", 1.0)
+        self.cached_objects = document.get("remembered_objects", 24)
         self.objects = document.get("objects", 50)
-        self.aim = document.get("aim_s", 0.3)
+        self.latency_objective = document.get("aim_s", 0.3)
         self.deadline = document.get("deadline_s", 1.2)
         self.faults = [Fault(**fault) for fault in document.get("faults", [])]
 
@@ -156,8 +157,8 @@
 def load_scenario(path):
     """Return the :class:`Scenario` of a file.
 
-    :raises ScenarioError: with every finding when it does not make sense.
-    :raises FindingsError: when it is not JSON with comments.
+    :raises ScenarioError: when the scenario is invalid.
+    :raises FindingsError: when the file is not JSON with comments.
     """
     document = loads(path.read_text(), str(path))
     findings = list(_findings(document))
@@ -168,8 +169,8 @@
 
 def _findings(document):
     for error in Draft202012Validator(SCHEMA).iter_errors(document):
-        place = "/".join(map(str, error.absolute_path)) or "the file"
-        yield f"{place}: {error.message}"
+        location = "/".join(map(str, error.absolute_path)) or "the file"
+        yield f"{location}: {error.message}"
         return
     for number, fault in enumerate(document.get("faults", ())):
         if fault["kind"] == "rolling_restart" and "for_s" in fault:
--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -46,7 +46,9 @@
 
 def persistent_clients(fleet, domains, seed, stopper):
     """Return clients for the targets' number of slots, most of them with pipelining."""
-    size = Size(domains, vms=0, targets=0, ahead=6, kept=2, single=1.0, objects=6)
+    size = Size(
+        domains, vms=0, targets=0, pipelining=6, persistent=2, single=1.0, objects=6
+    )
     return Clients(fleet, size, seed, stopper)
 
 
@@ -73,7 +75,7 @@
         for (step, vm), following in zip(steps, [*steps[1:], steps[0]], strict=True):
             self.log.append(f"{time.monotonic():.2f} {step.__name__} {vm.name}")
             step(vm)
-            self._stopper.expect(following[1])
+            self._stopper.set_next(following[1])
             time.sleep(self._rng.uniform(*STEP_GAP_SECONDS))
         for thread in self._threads:
             thread.join()
@@ -212,9 +214,11 @@
         tally = self._tally(spans)
         if tally is None:
             return
-        for attempt in tally.with_outcome(Outcome.GIVEN_UP):
+        for attempt in tally.with_outcome(Outcome.ABANDONED):
             stop = tally.stop_of(attempt)
-            after = "-" if stop is None else f"{attempt.sent_at - stop.told_at:.2f} s"
+            after = (
+                "-" if stop is None else f"{attempt.sent_at - stop.signalled_at:.2f} s"
+            )
             yield (
                 f"{attempt.id} at {attempt.vm}, sent {after} after SIGTERM: ran, and "
                 f"ended with {attempt.status or 'no answer'} after "
@@ -252,7 +256,7 @@
         count = runs[attempt.id].count if attempt.id in runs else 0
         if attempt.kind.once and count > 1:
             yield f"{attempt.id}: ran {count} times"
-        if attempt.signed and attempt.answer_to != attempt.id:
+        if attempt.signed and attempt.response_id != attempt.id:
             yield f"{attempt.id}: response to another request"
         if attempt.signed or attempt.status is None:
             continue
--- a/standins/stops/__init__.py
+++ b/standins/stops/__init__.py
@@ -1,8 +1,8 @@
-"""A load of planned stops: VMs told to end and started again while clients ask them.
+"""Load test of planned stops: VMs are restarted while clients send requests.
 
 ``python -m standins.stops --plan turn --unknown 2.2 --seed 1`` starts a store, targets
-and VMs as separate processes on loopback. Some clients hold one connection and send
-safe requests ahead on it, some keep a connection and send one request after another,
-some open a connection for each. What became of requests is counted from outside: by
-what clients saw and what targets ran.
+and VMs as separate processes on loopback. Some clients pipeline safe requests on one
+connection, some send one request at a time on a persistent connection, and some open a
+connection per request. Outcomes are counted from the observations of clients and the
+run records of targets.
 """
--- a/standins/stops/__main__.py
+++ b/standins/stops/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the load."""
+"""The command line of the load test."""
 
 import json
 import signal
@@ -12,35 +12,35 @@
 from standins.steering_fleet import SteeringFleet
 from standins.stops.clients import Clients
 from standins.stops.deployment import (
+    CACHED_OBJECTS,
+    CACHED_WORK_SECONDS,
     GRACE_SECONDS,
-    KNOWN_SECONDS,
-    REMEMBERED,
     SIZES,
     configuration,
 )
-from standins.stops.plan import BESIDE, PLANS, Beside, Stopper
+from standins.stops.plan import CONCURRENT_FAULTS, PLANS, ConcurrentFaults, Stopper
 from standins.stops.report import Report, count_refusals
 from standins.stops.tally import Tally, collect_runs
 
 SUBNET = 12
-#: Seconds of load in which targets learn objects at no cost, as if they knew them
-#: long since; those from then to the first stop; and those after the last one.
+#: Seconds of load in which targets fill their object caches without extra work, from
+#: there to the first stop, and after the last stop.
 LEARNING_SECONDS = 4.0
 WARM_UP_SECONDS = 6.0
 SETTLE_SECONDS = 2.0
-#: Seconds after which no request is under way, with those that came back.
+#: Seconds until all requests have ended, including retries.
 LAST_RESPONSES_SECONDS = 20.0
-#: Seconds that a run takes at most.
+#: Seconds after which the run is aborted.
 LONGEST_SECONDS = 600
-DESCRIPTION = """Stop VMs as planned under load, and count what became of requests.
+DESCRIPTION = """Stop VMs as planned under load, and count requests by outcome.
 
-Goals: 0 requests run at a target and given up, 0 unanswered once a VM has read them,
-under 0.5% of attempts refused where VMs are stopped in turn, and under 10% of those of
-the worst two seconds where all are told to stop within 3 s."""
+Goals: 0 requests abandoned while they ran at a target, 0 without a response after a VM
+has read them, under 0.5% of attempts refused when VMs are stopped one by one, and under
+10% in the worst two seconds when all get SIGTERM within 3 s."""
 
 
 def main():
-    """Run the load and report on it."""
+    """Run the load test, print its report and exit with 1 if a goal is missed."""
     args = _parser().parse_args()
     signal.signal(signal.SIGALRM, _end)
     signal.signal(signal.SIGTERM, _end)
@@ -55,8 +55,8 @@
 
 
 def _end(signum, frame):
-    """End the run, and every process of it."""
-    sys.exit(f"ended by {signal.Signals(signum).name}")
+    """Abort the run on a signal; the fleet's context manager kills all processes."""
+    sys.exit(f"aborted by {signal.Signals(signum).name}")
 
 
 def run_stops(args):
@@ -71,14 +71,14 @@
         subnet=SUBNET,
         bounds=(f"grace={GRACE_SECONDS:g}s", "budgetSlack=60"),
     ) as fleet:
-        _set_work(fleet, KNOWN_SECONDS)
-        stopper, beside = Stopper(fleet), Beside(fleet, rng)
+        _set_work(fleet, CACHED_WORK_SECONDS)
+        stopper, faults = Stopper(fleet), ConcurrentFaults(fleet, rng)
         vms = list(fleet.vms.values())
         rng.shuffle(vms)
         if args.plan != "together":
-            stopper.expect(vms[0])
+            stopper.set_next(vms[0])
         elif args.beside == "kill":
-            # The one that is killed is not told to stop.
+            # The VM that is killed gets no SIGTERM.
             vms.pop()
         clients = Clients(fleet, size, args.seed, stopper)
         thread = threading.Thread(target=clients.run, daemon=True)
@@ -88,21 +88,21 @@
             _set_work(fleet, args.unknown)
             time.sleep(WARM_UP_SECONDS)
             began_at = time.time()
-            act = getattr(beside, args.beside)
+            inject_fault = getattr(faults, args.beside)
             for _ in range(args.rounds):
-                PLANS[args.plan](vms, stopper, act, rng)
+                PLANS[args.plan](vms, stopper, inject_fault, rng)
             time.sleep(SETTLE_SECONDS)
         finally:
             clients.stop()
             thread.join(LAST_RESPONSES_SECONDS)
-        beside.wait()
+        faults.wait()
         lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
         refusals = count_refusals(line for line in lines if line["at"] >= began_at)
         tally = Tally(
             clients.attempts,
             collect_runs(fleet.spans()),
             stopper.stops,
-            beside.kills,
+            faults.kills,
             GRACE_SECONDS,
         )
     heading = {
@@ -119,9 +119,9 @@
     for target in fleet.targets:
         fleet.switch_target(
             target,
-            work_s=KNOWN_SECONDS,
-            learning_x=unknown / KNOWN_SECONDS,
-            remembers=REMEMBERED,
+            work_s=CACHED_WORK_SECONDS,
+            learning_x=unknown / CACHED_WORK_SECONDS,
+            remembers=CACHED_OBJECTS,
         )
 
 
@@ -129,15 +129,15 @@
     parser = ArgumentParser(prog="standins.stops", description=DESCRIPTION)
     parser.add_argument("--size", choices=SIZES, default="small")
     parser.add_argument("--plan", choices=PLANS, default="turn")
-    parser.add_argument("--beside", choices=BESIDE, default="none")
+    parser.add_argument("--beside", choices=CONCURRENT_FAULTS, default="none")
     parser.add_argument(
         "--unknown",
         type=float,
         default=2.2,
         metavar="SECONDS",
-        help="time that a target takes for an object that it does not know",
+        help="seconds of work for an object that a target has not cached",
     )
-    parser.add_argument("--rounds", type=int, default=1, help="times the plan runs")
+    parser.add_argument("--rounds", type=int, default=1, help="runs of the plan")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", type=Path, metavar="FILE")
     return parser
--- a/standins/stops/clients.py
+++ b/standins/stops/clients.py
@@ -1,4 +1,4 @@
-"""Clients: all of a run, those that keep a connection and those that do not."""
+"""The clients of a load test, with and without persistent connections."""
 
 from random import Random
 
@@ -6,10 +6,10 @@
 
 from heathercleat.connection.http import CONNECTION_ERRORS, with_deadline
 from heathercleat.process.clock import SystemClock
-from standins.stops.ahead import USUAL_RETURN, AheadClient
-from standins.stops.connection import PATIENCE, open_connection
-from standins.stops.deployment import AIM_SECONDS, WAIT_SECONDS
+from standins.stops.connection import RESPONSE_GRACE_SECONDS, open_connection
+from standins.stops.deployment import DEADLINE_SECONDS, LATENCY_OBJECTIVE_SECONDS
 from standins.stops.directory import Directory
+from standins.stops.pipelining import DEFAULT_RETRY_SECONDS, PipeliningClient
 from standins.stops.records import (
     NOT_RUN_STATUSES,
     ONCE,
@@ -19,28 +19,28 @@
     Request,
 )
 
-#: How clients use connections.
-KEPT, SINGLE = "kept", "single"
-#: Seconds between an answer and the next request on a kept connection.
-KEPT_GAP = (0.0, 0.1)
-#: Seconds after SIGTERM from which some clients send no more on a connection.
-SILENT_AFTER = 3.2
-#: Share of requests for an object that no target knows.
-UNKNOWN_SHARE = 0.2
-#: Kinds of requests of clients that wait for each answer, with their weights.
-MIXTURE = {SAFE: 60, ONCE: 25, UPLOAD: 15}
-MOST_ATTEMPTS = 4
-#: Part of the time left for which a client heeds an advice to wait.
-LONGEST_ADVICE = 1 / 3
-#: Answers after which nobody comes back.
-FINAL = (400, 401, 404, 413, 431)
+#: Connection use of clients: persistent, or one connection per request.
+PERSISTENT, SINGLE = "kept", "single"
+#: Seconds between a response and the next request on a persistent connection.
+PERSISTENT_GAP_SECONDS = (0.0, 0.1)
+#: Seconds after SIGTERM at which some clients stop sending on open connections.
+LATE_IN_STOP_SECONDS = 3.2
+#: Share of requests for an object that no target has cached.
+UNCACHED_SHARE = 0.2
+#: Weights of the kinds of requests, except for pipelining clients.
+KIND_WEIGHTS = {SAFE: 60, ONCE: 25, UPLOAD: 15}
+MAX_ATTEMPTS = 4
+#: Maximum share of the remaining time for which a client honours Retry-After.
+MAX_RETRY_AFTER_SHARE = 1 / 3
+#: Statuses that are not retried.
+FINAL_STATUSES = (400, 401, 404, 413, 431)
 
 
 class Clients:
     """All clients of a run.
 
     :param size: the :class:`Size`.
-    :param stopper: the :class:`Stopper`, which knows which VMs stop, and the next one.
+    :param stopper: the :class:`Stopper`, which knows the stopped VMs and the next one.
     """
 
     def __init__(self, fleet, size, seed, stopper):
@@ -57,16 +57,16 @@
 
     @property
     def clock(self):
-        """Return the clock of every instant noted."""
+        """Return the clock of all recorded instants."""
         return self._clock
 
     @property
     def stopping(self):
-        """Return whether no new requests are sent."""
+        """Return whether :meth:`stop` was called."""
         return self._stopping
 
     def run(self):
-        """Send until :meth:`stop` is called, and wait for the last answers."""
+        """Send until :meth:`stop` is called, and wait for the last responses."""
         run(self._run)
 
     def stop(self):
@@ -82,68 +82,70 @@
             for domain, region in self._size.domains.items()
         ]
         async with TaskGroup() as group:
-            for number in range(self._size.ahead):
-                client = AheadClient(self, number, self._rng(f"ahead {number}"))
+            for number in range(self._size.pipelining):
+                client = PipeliningClient(self, number, self._rng(f"ahead {number}"))
                 await group.spawn(client.run)
-            for number in range(self._size.kept):
+            for number in range(self._size.persistent):
                 rng = self._rng(f"kept {number}")
-                await group.spawn(self._keep, group, rng, number)
+                await group.spawn(self._run_persistent, group, rng, number)
             if self._size.single:
                 await group.spawn(self._arrivals, group)
 
-    async def _keep(self, group, rng, number):
-        """Send one request after another, on one connection while it lasts."""
+    async def _run_persistent(self, group, rng, number):
+        """Send one request at a time, on a persistent connection."""
         directory = self.directory(number)
         connection, failed = None, set()
         while not self._stopping:
             if connection is None or not connection.is_open:
                 connection = await self.open(directory, failed)
             if connection is None:
-                await sleep(USUAL_RETURN)
+                await sleep(DEFAULT_RETRY_SECONDS)
                 continue
-            request = self.draw(rng, KEPT, _draw_kind(rng))
-            attempt = await self.try_on(connection, request)
+            request = self.new_request(rng, PERSISTENT, _random_kind(rng))
+            attempt = await self.send_attempt(connection, request)
             failed = set() if attempt.status else {attempt.vm}
-            await group.spawn(self.come_back, request, directory)
-            await sleep(rng.uniform(*KEPT_GAP))
+            await group.spawn(self.retry, request, directory)
+            await sleep(rng.uniform(*PERSISTENT_GAP_SECONDS))
         if connection is not None:
             await connection.close()
 
     async def _arrivals(self, group):
-        """Send requests at random instants, whatever their answers take."""
+        """Send requests at random instants, independent of response times."""
         rng = self._rng("single")
         number = 0
         while not self._stopping:
             await sleep(rng.expovariate(self._size.single))
             number += 1
-            request = self.draw(rng, SINGLE, _draw_kind(rng))
-            await group.spawn(self.ask, request, self.directory(number), set())
+            request = self.new_request(rng, SINGLE, _random_kind(rng))
+            await group.spawn(
+                self.send_with_retries, request, self.directory(number), set()
+            )
 
-    async def ask(self, request, directory, failed):
-        """Make an attempt on a connection of its own, and others after it."""
-        await self._ask_once(request, directory, failed)
-        await self.come_back(request, directory)
+    async def send_with_retries(self, request, directory, failed):
+        """Send a request on a connection of its own, with retries."""
+        await self._send_once(request, directory, failed)
+        await self.retry(request, directory)
 
-    async def come_back(self, request, directory):
-        """Repeat a request as its client may, each time elsewhere."""
-        while (wait := self._wait_before_return(request)) is not None:
+    async def retry(self, request, directory):
+        """Retry a request as long as that is allowed, at VMs not tried before."""
+        while (wait := self._retry_delay(request)) is not None:
             await sleep(wait)
             failed = {attempt.vm for attempt in request.attempts}
-            await self._ask_once(request, directory, failed)
+            await self._send_once(request, directory, failed)
 
-    async def _ask_once(self, request, directory, failed):
+    async def _send_once(self, request, directory, failed):
         connection = await self.open(directory, failed, request)
         if connection is None:
             return
         try:
-            await self.try_on(connection, request)
+            await self.send_attempt(connection, request)
         finally:
             await connection.close()
 
     async def open(self, directory, failed, request=None):
-        """Return a connection to one of the VMs that a look-up names, or ``None``.
+        """Return a connection to a VM from a look-up; ``None`` if it fails.
 
-        :param request: notes the attempt where the VM takes no connection.
+        :param request: gets a failed attempt if the connection fails.
         """
         vm = await directory.choose(failed)
         connection = await open_connection(vm, self.opened, self._clock)
@@ -155,57 +157,60 @@
                 attempt.ended_at = self._clock.now()
         return connection
 
-    async def try_on(self, connection, request):
-        """Make an attempt on a connection and return it, ended."""
+    async def send_attempt(self, connection, request):
+        """Send a request on a connection and return the ended :class:`Attempt`."""
         attempt = self.new_attempt(request, connection.vm)
-        path = f"{request.kind.prefix}{request.item}"
-        until = request.deadline + PATIENCE
+        path = f"{request.kind.prefix}{request.object_key}"
+        until = request.deadline + RESPONSE_GRACE_SECONDS
         try:
-            sending = connection.send(attempt, path, request.item)
+            sending = connection.send(attempt, path, request.object_key)
             await with_deadline(until, self._clock, sending)
         except (TimeoutError, *CONNECTION_ERRORS):
-            # An answer may have come before the whole request was sent.
+            # The response may have arrived before the whole request was sent.
             pass
         try:
-            await with_deadline(until, self._clock, connection.read_answer())
+            await with_deadline(until, self._clock, connection.read_response())
         except TimeoutError:
-            connection.give_up(left=True)
+            connection.abandon(client_timed_out=True)
         except CONNECTION_ERRORS:
-            connection.give_up()
+            connection.abandon()
         if not connection.is_open:
             await connection.close()
         return attempt
 
-    async def open_ahead(self, directory, failed):
-        """Return a connection of a client that sends ahead, or ``None``.
+    async def open_pipelined(self, directory, failed):
+        """Return a connection of a pipelining client; ``None`` if it fails.
 
-        Such clients crowd at the VM that is told to stop next, where one is: the more
-        of them it has, the longer it has requests under way.
+        The clients prefer the VM that is stopped next, so that it has requests in
+        flight during its shutdown.
         """
         vm = self._stopper.next_vm
         if vm is None or vm.name in failed:
             return await self.open(directory, failed)
         return await open_connection(vm, self.opened, self._clock)
 
-    def draw(self, rng, client, kind):
-        """Return a new request."""
+    def new_request(self, rng, client, kind):
+        """Return a new request for a random object."""
         now = self._clock.now()
-        item = f"k{rng.randrange(self._size.objects)}"
-        if rng.random() < UNKNOWN_SHARE:
-            item = f"u{len(self.requests)}"
-        aim_at, deadline = now + AIM_SECONDS, now + WAIT_SECONDS
-        request = Request(client, kind, item, now, aim_at, deadline)
+        object_key = f"k{rng.randrange(self._size.objects)}"
+        if rng.random() < UNCACHED_SHARE:
+            object_key = f"u{len(self.requests)}"
+        soft_deadline, deadline = (
+            now + LATENCY_OBJECTIVE_SECONDS,
+            now + DEADLINE_SECONDS,
+        )
+        request = Request(client, kind, object_key, now, soft_deadline, deadline)
         self.requests.append(request)
         return request
 
     def new_attempt(self, request, vm):
-        """Return an attempt of a request, noted."""
+        """Return a new attempt, recorded with its request."""
         attempt = Attempt(
             f"{self._seed}-{len(self.attempts)}",
             vm,
             request.kind,
             request.deadline,
-            request.aim_at,
+            request.soft_deadline,
             self._clock.now(),
         )
         self.attempts.append(attempt)
@@ -216,37 +221,43 @@
         """Return the :class:`Directory` of a client."""
         return self._directories[number % len(self._directories)]
 
-    def is_silent(self, vm):
-        """Return whether clients that heed the time send no more to a VM."""
-        told_at = self._stopper.told_at(vm)
-        return told_at is not None and self._clock.now() >= told_at + SILENT_AFTER
+    def is_late_in_stop(self, vm):
+        """Return whether a VM is late in its shutdown."""
+        signalled_at = self._stopper.signalled_at(vm)
+        return (
+            signalled_at is not None
+            and self._clock.now() >= signalled_at + LATE_IN_STOP_SECONDS
+        )
 
     def _rng(self, name):
         return Random(f"{self._seed} {name}")
 
-    def _wait_before_return(self, request):
-        """Return the seconds until the next attempt; ``None`` when there is none."""
+    def _retry_delay(self, request):
+        """Return the delay of the next attempt; ``None`` if there is none."""
         now = self._clock.now()
-        left = request.deadline - now
+        remaining = request.deadline - now
         last = request.attempts[-1] if request.attempts else None
-        if last is None or left <= 0 or len(request.attempts) >= MOST_ATTEMPTS:
+        if last is None or remaining <= 0 or len(request.attempts) >= MAX_ATTEMPTS:
             return None
-        if not may_repeat(request.kind, last):
+        if not may_retry(request.kind, last):
             return None
-        advice = last.retry_after
-        return min(USUAL_RETURN if advice is None else advice, left * LONGEST_ADVICE)
+        requested = last.retry_after
+        return min(
+            DEFAULT_RETRY_SECONDS if requested is None else requested,
+            remaining * MAX_RETRY_AFTER_SHARE,
+        )
 
 
-def may_repeat(kind, attempt):
-    """Return whether a client may make another attempt after one."""
-    if not attempt.connected or attempt.behind_close:
+def may_retry(kind, attempt):
+    """Return whether a client may retry after an attempt."""
+    if not attempt.connected or attempt.after_close:
         return True
     if attempt.status is None:
         return not kind.once
-    if attempt.status in FINAL or attempt.status < 300:
+    if attempt.status in FINAL_STATUSES or attempt.status < 300:
         return False
     return not kind.once or attempt.status in NOT_RUN_STATUSES
 
 
-def _draw_kind(rng):
-    return rng.choices(list(MIXTURE), weights=list(MIXTURE.values()))[0]
+def _random_kind(rng):
+    return rng.choices(list(KIND_WEIGHTS), weights=list(KIND_WEIGHTS.values()))[0]
--- a/standins/stops/connection.py
+++ b/standins/stops/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection, on which requests may be sent ahead of answers."""
+"""A client's HTTP connection, with support of pipelining."""
 
 from collections import deque
 
@@ -7,24 +7,24 @@
 
 from heathercleat.connection.http import CONNECTION_ERRORS, open_socket, with_deadline
 from standins.steering_fleet import FRONT_PORT
-from standins.stops.records import Opened
+from standins.stops.records import ConnectionRecord
 
 RECEIVE_BYTES = 1 << 16
-#: Seconds within which a connection is there.
-CONNECT_SECONDS = 1.0
+#: Connect timeout.
+CONNECT_TIMEOUT_SECONDS = 1.0
 PART_BYTES = 2000
-#: Seconds between two parts of a body.
-PART_GAP = 0.03
-#: Seconds past its deadline for which an answer is waited for.
-PATIENCE = 0.5
-#: Seconds for which an idle connection is looked at before requests are.
-IDLE_SECONDS = 1.0
+#: Seconds between two parts of a request body.
+PART_GAP_SECONDS = 0.03
+#: Seconds after its deadline at which a client abandons a request.
+RESPONSE_GRACE_SECONDS = 0.5
+#: Seconds of a read from an idle connection.
+IDLE_READ_SECONDS = 1.0
 
 
-class Sent:
-    """A request on a connection whose answer has not come.
+class PendingRequest:
+    """An outstanding request.
 
-    :param protocol: the h11 connection that reads its answer.
+    :param protocol: the h11 connection that parses its response.
     """
 
     __slots__ = ("attempt", "protocol")
@@ -37,21 +37,21 @@
 class ClientConnection:
     """One connection to a VM.
 
-    :param opened: the :class:`Opened` that notes its end.
+    :param opened: the :class:`ConnectionRecord` that gets its end.
     """
 
     def __init__(self, sock, opened, clock):
         self._sock = sock
         self._opened = opened
         self._clock = clock
-        self._sent = deque()
-        self._rest = b""
-        self._closes = False
+        self._pending = deque()
+        self._buffer = b""
+        self._is_closing = False
 
     @property
-    def unanswered(self):
-        """Return the number of requests without an answer."""
-        return len(self._sent)
+    def outstanding(self):
+        """Return the number of outstanding requests."""
+        return len(self._pending)
 
     @property
     def vm(self):
@@ -61,59 +61,61 @@
     @property
     def is_open(self):
         """Return whether another request may be sent."""
-        return self._opened.closed_at is None and not self._closes
+        return self._opened.closed_at is None and not self._is_closing
 
-    async def send(self, attempt, path, item):
-        """Send a request; its answer is read later."""
+    async def send(self, attempt, path, object_key):
+        """Send a request; its response is read by :meth:`read_response`."""
         protocol = h11.Connection(h11.CLIENT)
         wait = attempt.deadline - self._clock.now()
         headers = [
             ("Host", "a.example"),
             ("Request-Id", attempt.id),
             ("Deadline-Ms", str(max(1, int(1000 * wait)))),
-            ("Cookie", f"Affinity-Key={item}"),
+            ("Cookie", f"Affinity-Key={object_key}"),
         ]
         if attempt.kind.parts:
             headers.append(("Transfer-Encoding", "chunked"))
         head = h11.Request(method=attempt.kind.method, target=path, headers=headers)
-        self._sent.append(Sent(attempt, protocol))
+        self._pending.append(PendingRequest(attempt, protocol))
         await self._send(protocol.send(head))
         for _ in range(attempt.kind.parts):
             await self._send(protocol.send(h11.Data(data=b"x" * PART_BYTES)))
-            await sleep(PART_GAP)
+            await sleep(PART_GAP_SECONDS)
         await self._send(protocol.send(h11.EndOfMessage()))
         attempt.sent_at = self._clock.now()
 
-    async def read_answer(self):
-        """Read the next answer and return its :class:`Attempt`.
+    async def read_response(self):
+        """Read the next response and return its :class:`Attempt`.
 
-        :raises EOFError: when the connection ended before the answer did.
+        :raises EOFError: when the connection closed before the response was complete.
         """
-        sent = self._sent[0]
-        head = await self._next_event(sent.protocol)
+        pending = self._pending[0]
+        head = await self._next_event(pending.protocol)
         while not isinstance(head, h11.Response):
             if isinstance(head, h11.ConnectionClosed):
-                raise EOFError("closed before the answer")
-            head = await self._next_event(sent.protocol)
-        while not isinstance(await self._next_event(sent.protocol), h11.EndOfMessage):
+                raise EOFError("connection closed before the response")
+            head = await self._next_event(pending.protocol)
+        while not isinstance(
+            await self._next_event(pending.protocol), h11.EndOfMessage
+        ):
             pass
-        self._rest = bytes(sent.protocol.trailing_data[0])
-        self._sent.popleft()
-        self._note(sent.attempt, head)
-        return sent.attempt
+        self._buffer = bytes(pending.protocol.trailing_data[0])
+        self._pending.popleft()
+        self._record_response(pending.attempt, head)
+        return pending.attempt
 
     async def read_next(self):
-        """Read an answer, or note the end of an idle connection.
+        """Read the next response, or wait on an idle connection.
 
-        Return the :class:`Attempt` of the answer; ``None`` where none came in a while.
+        Return the :class:`Attempt` of the response; ``None`` if the connection is idle.
 
-        :raises EOFError: when the connection ended.
-        :raises TimeoutError: when a request had no answer long past its deadline.
+        :raises EOFError: when the connection closed.
+        :raises TimeoutError: when a request had no response long after its deadline.
         """
-        if self._sent:
-            until = self._sent[0].attempt.deadline + PATIENCE
-            return await with_deadline(until, self._clock, self.read_answer())
-        until = self._clock.now() + IDLE_SECONDS
+        if self._pending:
+            until = self._pending[0].attempt.deadline + RESPONSE_GRACE_SECONDS
+            return await with_deadline(until, self._clock, self.read_response())
+        until = self._clock.now() + IDLE_READ_SECONDS
         try:
             data = await with_deadline(
                 until, self._clock, self._sock.recv(RECEIVE_BYTES)
@@ -121,45 +123,45 @@
         except TimeoutError:
             return None
         if not data:
-            raise EOFError("closed while idle")
-        self._rest += data
+            raise EOFError("connection closed while idle")
+        self._buffer += data
         return None
 
-    def give_up(self, left=False):
-        """End the connection and return the attempts that got no answer.
+    def abandon(self, client_timed_out=False):
+        """Mark the connection closed and return the attempts without a response.
 
-        :param left: whether that is the client's doing.
+        :param left: whether the client closed it.
         """
         now = self._clock.now()
         if self._opened.closed_at is None:
             self._opened.closed_at = now
-        lost = [sent.attempt for sent in self._sent]
-        self._sent.clear()
+        lost = [pending.attempt for pending in self._pending]
+        self._pending.clear()
         for attempt in lost:
             attempt.ended_at = now
-            attempt.behind_close = self._closes
-            attempt.left = left
+            attempt.after_close = self._is_closing
+            attempt.client_timed_out = client_timed_out
         return lost
 
     async def close(self):
         """Close the connection."""
-        self.give_up()
+        self.abandon()
         await self._sock.close()
 
-    def _note(self, attempt, head):
+    def _record_response(self, attempt, head):
         headers = dict(head.headers)
         attempt.ended_at = self._clock.now()
         attempt.status = head.status_code
         attempt.signed = b"response-signature" in headers
-        attempt.answer_to = headers.get(b"request-id", b"").decode()
+        attempt.response_id = headers.get(b"request-id", b"").decode()
         if b"retry-after" in headers:
             attempt.retry_after = float(headers[b"retry-after"])
         if headers.get(b"connection", b"").lower() == b"close":
-            self._closes = True
+            self._is_closing = True
 
     async def _next_event(self, protocol):
         while (event := protocol.next_event()) is h11.NEED_DATA:
-            data, self._rest = self._rest, b""
+            data, self._buffer = self._buffer, b""
             protocol.receive_data(data or await self._sock.recv(RECEIVE_BYTES))
         return event
 
@@ -169,16 +171,16 @@
 
 
 async def open_connection(vm, opened, clock):
-    """Return a :class:`ClientConnection` to a VM, or ``None``.
+    """Return a :class:`ClientConnection` to a VM; ``None`` if connecting fails.
 
-    :param opened: the list that takes its :class:`Opened`.
+    :param opened: the list that gets its :class:`ConnectionRecord`.
     """
-    deadline = clock.now() + CONNECT_SECONDS
+    deadline = clock.now() + CONNECT_TIMEOUT_SECONDS
     connecting = open_socket(vm.host, FRONT_PORT)
     try:
         sock = await with_deadline(deadline, clock, connecting)
     except (TimeoutError, *CONNECTION_ERRORS):
         return None
-    note = Opened(vm.name, clock.now())
-    opened.append(note)
-    return ClientConnection(sock, note, clock)
+    record = ConnectionRecord(vm.name, clock.now())
+    opened.append(record)
+    return ClientConnection(sock, record, clock)
--- a/standins/stops/deployment.py
+++ b/standins/stops/deployment.py
@@ -1,46 +1,54 @@
-"""The deployments of the load: VMs, targets, routes and clients."""
+"""The deployments of the load test: VMs, targets, routes and clients."""
 
 from standins.stops.records import ONCE, SAFE, UPLOAD
 
 SERVICE = "s1"
 SLOTS = 10
 GRACE_SECONDS = 6.0
-#: Seconds that a request has, and within which its answer is in aim.
-WAIT_SECONDS = 8.0
-AIM_SECONDS = 4.0
-#: Seconds that a target works on an object that it remembers, and how many those are.
-KNOWN_SECONDS = 1.0
-REMEMBERED = 24
+#: Deadline and latency objective of a request.
+DEADLINE_SECONDS = 8.0
+LATENCY_OBJECTIVE_SECONDS = 4.0
+#: Seconds of work for an object that a target has cached, and the size of the cache.
+CACHED_WORK_SECONDS = 1.0
+CACHED_OBJECTS = 24
 LIMITS = {
     "maxHeaderBytes": 16384,
     "maxBodyBytes": 1 << 20,
     "headerTimeout": "3000ms",
     "idleTimeout": "15000ms",
 }
-#: The operators' kinds of routes.
+#: Request kinds of the configuration.
 ROUTE_KINDS = {SAFE: "safe", ONCE: "unsafe", UPLOAD: "upload"}
 
 
 class Size:
-    """A deployment and its clients.
+    """The size of a deployment and its load.
 
     :param domains: ``{failure domain: region}``.
     :param vms: VMs in each failure domain.
     :param targets: targets in each failure domain.
-    :param ahead: clients that send ahead on one connection.
-    :param kept: clients that send one request after another on one connection.
-    :param single: requests a second that come on a connection of their own.
-    :param objects: number of objects that are asked for again and again.
+    :param ahead: number of pipelining clients.
+    :param kept: number of other clients with a persistent connection.
+    :param single: requests per second with a connection of their own.
+    :param objects: number of objects that are requested repeatedly.
     """
 
-    __slots__ = ("domains", "vms", "targets", "ahead", "kept", "single", "objects")
+    __slots__ = (
+        "domains",
+        "vms",
+        "targets",
+        "pipelining",
+        "persistent",
+        "single",
+        "objects",
+    )
 
-    def __init__(self, domains, vms, targets, ahead, kept, single, objects):
+    def __init__(self, domains, vms, targets, pipelining, persistent, single, objects):
         self.domains = domains
         self.vms = vms
         self.targets = targets
-        self.ahead = ahead
-        self.kept = kept
+        self.pipelining = pipelining
+        self.persistent = persistent
         self.single = single
         self.objects = objects
 
@@ -61,8 +69,8 @@
     {"north-a": "north", "north-b": "north"},
     vms=2,
     targets=4,
-    ahead=6,
-    kept=8,
+    pipelining=6,
+    persistent=8,
     single=10.0,
     objects=24,
 )
@@ -70,8 +78,8 @@
     {"north-a": "north", "north-b": "north", "south-a": "south", "south-b": "south"},
     vms=3,
     targets=8,
-    ahead=12,
-    kept=32,
+    pipelining=12,
+    persistent=32,
     single=40.0,
     objects=96,
 )
@@ -79,7 +87,7 @@
 
 
 def configuration():
-    """Return the operators' document."""
+    """Return the configuration document."""
     paths = [_route(kind, name) for kind, name in ROUTE_KINDS.items()]
     return {
         "version": "r1",
@@ -99,6 +107,6 @@
         "maxAttempts": 2,
         "sessionAffinity": True,
         "allowedRegions": [],
-        "timeout": f"{WAIT_SECONDS}s",
-        "targetLatency": f"{AIM_SECONDS}s",
+        "timeout": f"{DEADLINE_SECONDS}s",
+        "targetLatency": f"{LATENCY_OBJECTIVE_SECONDS}s",
     }
--- a/standins/stops/directory.py
+++ b/standins/stops/directory.py
@@ -1,4 +1,4 @@
-"""Look-ups of clients, as the platform's clients make them."""
+"""Look-ups with a cache, as clients of the platform do them."""
 
 import json
 
@@ -11,17 +11,17 @@
 )
 from standins.steering_fleet import READY_PORT
 
-#: VMs that a client asks, and seconds that it waits for each.
-MOST_ASKED = 3
-ASK_SECONDS = 1.0
-#: Seconds for which a client keeps an answer at most.
+#: Number of VMs that a look-up tries, and the timeout for each.
+MAX_LOOKUP_VMS = 3
+LOOKUP_TIMEOUT_SECONDS = 1.0
+#: Maximum TTL of a cached look-up.
 MAX_TTL_SECONDS = 5.0
 MAX_RESPONSE_BYTES = 1 << 16
 MILLISECONDS = 1000
 
 
 class Directory:
-    """What the clients of one failure domain know of VMs.
+    """The look-up cache of the clients of one failure domain.
 
     :param vms: the :class:`SteeringVm` of the fleet.
     """
@@ -32,36 +32,35 @@
         self._path = f"/v1/resolve?name=a.example&region={region}&zone={domain}"
         self._clock = clock
         self._rng = rng
-        self._known = []
-        self._until = 0.0
+        self._cached_vms = []
+        self._expires_at = 0.0
 
     async def choose(self, failed):
         """Return a VM for a new connection.
 
-        :param failed: names of VMs that have failed the client; one of them is chosen
-            where no other is known.
+        :param failed: names of VMs to avoid, if others are known.
         """
-        if self._clock.now() >= self._until:
+        if self._clock.now() >= self._expires_at:
             await self._look_up()
-        known = self._known or list(self._vms.values())
-        others = [vm for vm in known if vm.name not in failed]
-        return self._rng.choice(others or known)
+        candidates = self._cached_vms or list(self._vms.values())
+        others = [vm for vm in candidates if vm.name not in failed]
+        return self._rng.choice(others or candidates)
 
     async def _look_up(self):
-        """Ask for addresses; what is known stays where nobody answers."""
-        # Clients that ask at the same time make one look-up together.
-        self._until = self._clock.now() + ASK_SECONDS
-        for vm in self._nearest[:MOST_ASKED]:
+        """Refresh the cache; keep its content if no VM responds."""
+        # Set first, so that concurrent clients do not repeat the look-up.
+        self._expires_at = self._clock.now() + LOOKUP_TIMEOUT_SECONDS
+        for vm in self._nearest[:MAX_LOOKUP_VMS]:
             try:
-                response = await self._ask(vm)
+                response = await self._request_lookup(vm)
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
             if response.status == 200:
-                self._take(json.loads(response.body))
+                self._store(json.loads(response.body))
                 return
 
-    async def _ask(self, vm):
-        deadline = self._clock.now() + ASK_SECONDS
+    async def _request_lookup(self, vm):
+        deadline = self._clock.now() + LOOKUP_TIMEOUT_SECONDS
         stream = await connect(vm.host, READY_PORT, deadline, self._clock)
         try:
             asking = exchange(stream, Message(path=self._path), MAX_RESPONSE_BYTES)
@@ -69,8 +68,8 @@
         finally:
             await stream.close()
 
-    def _take(self, found):
-        hosts = [address.rpartition(":")[0] for address in found["addresses"]]
-        self._known = [self._vms[host] for host in hosts]
-        ttl = int(found["ttl"].removesuffix("ms")) / MILLISECONDS
-        self._until = self._clock.now() + min(ttl, MAX_TTL_SECONDS)
+    def _store(self, lookup):
+        hosts = [address.rpartition(":")[0] for address in lookup["addresses"]]
+        self._cached_vms = [self._vms[host] for host in hosts]
+        ttl = int(lookup["ttl"].removesuffix("ms")) / MILLISECONDS
+        self._expires_at = self._clock.now() + min(ttl, MAX_TTL_SECONDS)
--- a/standins/stops/records.py
+++ b/standins/stops/records.py
@@ -1,55 +1,55 @@
-"""What the load notes of requests, connections and stops.
+"""Records of requests, connections and stops.
 
-Instants are seconds of the steady clock, which all processes of a machine share.
+Instants are seconds of the monotonic clock, which all processes of a machine share.
 """
 
-#: Statuses that promise that a request has not run.
+#: Statuses that guarantee that a request has not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Request:
-    """What a client wants, over all its attempts.
+    """A client's request with all its attempts.
 
-    :param client: how its client uses connections: ahead, kept or single.
+    :param client: connection use of its client: ahead, kept or single.
     :param kind: a :class:`Kind`.
-    :param item: the object that it is about.
+    :param object_key: the object that it requests.
     :param first_at: when the first attempt was sent.
-    :param aim_at: when the answer is late.
-    :param deadline: when its client waits no longer.
+    :param soft_deadline: latency objective, as an instant.
     """
 
     __slots__ = (
         "client",
         "kind",
-        "item",
+        "object_key",
         "first_at",
-        "aim_at",
+        "soft_deadline",
         "deadline",
         "attempts",
     )
 
-    def __init__(self, client, kind, item, first_at, aim_at, deadline):
+    def __init__(self, client, kind, object_key, first_at, soft_deadline, deadline):
         self.client = client
         self.kind = kind
-        self.item = item
+        self.object_key = object_key
         self.first_at = first_at
-        self.aim_at = aim_at
+        self.soft_deadline = soft_deadline
         self.deadline = deadline
         self.attempts = []
 
 
 class Attempt:
-    """One attempt of a request, with an id of its own.
+    """One attempt of a request, with its own request id.
 
     :param vm: name of the VM that it was sent to.
     :param kind: a :class:`Kind`.
     :param sent_at: when its last byte was sent.
-    :param status: of the whole answer, ``None`` for none.
-    :param signed: whether a target signed the answer.
-    :param answer_to: id of the attempt that the answer names.
-    :param behind_close: whether an answer before it told that its VM reads no further.
-    :param left: whether its client ended the connection, long past a deadline.
-    :param connected: whether there was a connection to send it on.
+    :param status: of the complete response; ``None`` without one.
+    :param signed: whether a target signed the response.
+    :param response_id: request id in the response.
+    :param after_close: whether an earlier response on the connection announced its
+        close.
+    :param client_timed_out: whether its client closed the connection after a deadline.
+    :param connected: whether the connection was established.
     """
 
     __slots__ = (
@@ -57,39 +57,39 @@
         "vm",
         "kind",
         "deadline",
-        "aim_at",
+        "soft_deadline",
         "sent_at",
         "ended_at",
         "status",
         "signed",
-        "answer_to",
+        "response_id",
         "retry_after",
-        "behind_close",
-        "left",
+        "after_close",
+        "client_timed_out",
         "connected",
     )
 
-    def __init__(self, id, vm, kind, deadline, aim_at, sent_at):
+    def __init__(self, id, vm, kind, deadline, soft_deadline, sent_at):
         self.id = id
         self.vm = vm
         self.kind = kind
         self.deadline = deadline
-        self.aim_at = aim_at
+        self.soft_deadline = soft_deadline
         self.sent_at = sent_at
         self.ended_at = None
         self.status = None
         self.signed = False
-        self.answer_to = None
+        self.response_id = None
         self.retry_after = None
-        self.behind_close = False
-        self.left = False
+        self.after_close = False
+        self.client_timed_out = False
         self.connected = True
 
 
-class Opened:
+class ConnectionRecord:
     """One connection of a client.
 
-    :param closed_at: when either side ended it; ``None`` while it is open.
+    :param closed_at: when either side closed it; ``None`` while it is open.
     """
 
     __slots__ = ("vm", "opened_at", "closed_at")
@@ -103,16 +103,16 @@
 class Stop:
     """One planned stop of a VM.
 
-    :param told_at: when it got SIGTERM.
-    :param ended_at: when its process was gone.
-    :param ready_at: when the process started in its place took clients.
+    :param signalled_at: when it got SIGTERM.
+    :param ended_at: when its process had exited.
+    :param ready_at: when its next process was ready.
     """
 
-    __slots__ = ("vm", "told_at", "ended_at", "ready_at")
+    __slots__ = ("vm", "signalled_at", "ended_at", "ready_at")
 
-    def __init__(self, vm, told_at):
+    def __init__(self, vm, signalled_at):
         self.vm = vm
-        self.told_at = told_at
+        self.signalled_at = signalled_at
         self.ended_at = None
         self.ready_at = None
 
@@ -120,8 +120,8 @@
 class Kind:
     """A kind of request.
 
-    :param once: whether it may run once at most.
-    :param parts: number of parts in which its body is sent; 0 for no body.
+    :param once: whether it may run at most once.
+    :param parts: number of chunks of its body; 0 for no body.
     """
 
     __slots__ = ("name", "method", "prefix", "once", "parts")
--- a/standins/stops/tally.py
+++ b/standins/stops/tally.py
@@ -1,47 +1,47 @@
-"""Counts what planned stops did to requests, from outside."""
+"""Classifies attempts near planned stops by their outcome."""
 
 from collections import Counter
 from enum import Enum
 
 from standins.stops.records import NOT_RUN_STATUSES
 
-#: Seconds after its last byte within which a request may cross a close.
-LOSS_SLACK = 0.2
-#: Seconds for which a disturbance that is not planned excuses what becomes of requests.
-DISTURBED_SECONDS = 4.0
-#: Seconds after SIGTERM from which a VM that stops should take nothing.
-LAST_TAKEN_AFTER = 3.0
-#: Part of the time before the kill in which a target may still be at work on a request.
-LAST_PART = 5 / 6
-#: Seconds before its deadline from which a request has run out of time.
-TIMED_OUT_SLACK = 0.1
+#: Seconds for which a request may be on its way when the VM closes the connection.
+CLOSE_RACE_SECONDS = 0.2
+#: Seconds for which a kill may affect requests.
+KILL_EFFECT_SECONDS = 4.0
+#: Seconds after SIGTERM until which a VM accepts requests.
+ACCEPT_SECONDS = 3.0
+#: Share of the grace period after which the VM may abandon requests at targets.
+LATE_RUN_SHARE = 5 / 6
+#: Seconds before its deadline from which an attempt counts as timed out.
+TIMED_OUT_MARGIN_SECONDS = 0.1
 _ERROR = 400
 
 
 class Outcome(Enum):
-    """What became of an attempt; ``LATE`` counts from the first attempt."""
+    """The outcome of an attempt; the objective of ``LATE`` covers all attempts."""
 
     SERVED = "served"
     LATE = "late"
     FAILED_AT_TARGET = "failed at target"
     REFUSED = "refused"
     REFUSED_BUT_RAN = "refused but ran"
-    GIVEN_UP = "run and given up"
-    EXCUSED = "run and given up, excused by the rules"
-    DISTURBED = "run and given up beside a kill"
+    ABANDONED = "run and given up"
+    ABANDONED_LATE = "run and given up, excused by the rules"
+    ABANDONED_NEAR_KILL = "run and given up beside a kill"
     UNANSWERED = "unanswered, never run"
-    KILLED = "unanswered, never run, beside a kill"
-    CROSSED = "crossed the close, never run"
+    UNANSWERED_NEAR_KILL = "unanswered, never run, beside a kill"
+    CLOSE_RACE = "crossed the close, never run"
     FAILED = "failed, never run"
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
 
 
 class Run:
-    """Runs of one attempt at targets.
+    """The runs of one attempt at targets.
 
-    :param count: how many there were.
-    :param until: when the last one is over, if nothing ends it.
+    :param count: number of runs.
+    :param until: planned end of the last one.
     """
 
     __slots__ = ("count", "until")
@@ -52,7 +52,7 @@
 
 
 def collect_runs(spans):
-    """Return ``{attempt id: Run}`` of the targets' records."""
+    """Return ``{attempt id: Run}`` from the targets' run records."""
     runs = {}
     for id, _, until in spans:
         run = runs.setdefault(id, Run())
@@ -62,13 +62,13 @@
 
 
 class Tally:
-    """The counts of one run.
+    """The outcomes of all attempts near planned stops.
 
     :param attempts: every ended :class:`Attempt`.
     :param runs: ``{attempt id: Run}``.
-    :param stops: every :class:`Stop`, all of them over.
-    :param kills: instants of kills that were not planned.
-    :param grace: seconds from SIGTERM to the platform's kill.
+    :param stops: every completed :class:`Stop`.
+    :param kills: instants of SIGKILL.
+    :param grace: seconds from SIGTERM to the platform's SIGKILL.
     """
 
     def __init__(self, attempts, runs, stops, kills, grace):
@@ -78,9 +78,9 @@
         self._stops = {}
         for stop in stops:
             self._stops.setdefault(stop.vm, []).append(stop)
-        self.began_at = min(stop.told_at for stop in stops)
+        self.began_at = min(stop.signalled_at for stop in stops)
         self.ended_at = max(stop.ready_at for stop in stops)
-        self.attempts = [each for each in attempts if self._is_near(each)]
+        self.attempts = [each for each in attempts if self._overlaps_stops(each)]
         self.outcomes = {each: self.outcome(each) for each in self.attempts}
 
     def counts(self):
@@ -88,35 +88,39 @@
         return Counter(self.outcomes.values())
 
     def with_outcome(self, *outcomes):
-        """Return the attempts that had one of some outcomes."""
+        """Return the attempts that had one of the outcomes."""
         return [each for each, outcome in self.outcomes.items() if outcome in outcomes]
 
-    def doubled(self):
-        """Return the attempts that may run once and ran again."""
+    def run_twice(self):
+        """Return the at-most-once attempts that ran more than once."""
         return [each for each in self.attempts if each.kind.once and self.ran(each) > 1]
 
-    def mixed(self):
-        """Return the attempts that got a target's answer to another one."""
+    def misdelivered(self):
+        """Return the attempts that got the response to another one."""
         return [
-            each for each in self.attempts if each.signed and each.answer_to != each.id
+            each
+            for each in self.attempts
+            if each.signed and each.response_id != each.id
         ]
 
-    def taken_late(self):
-        """Return the attempts that ran though they were sent late in a stop."""
+    def accepted_late(self):
+        """Return the attempts that ran although they were sent late in a shutdown."""
         return [
             each
             for each in self.attempts
-            if self.ran(each) and (self.after(each) or 0.0) > LAST_TAKEN_AFTER
+            if self.ran(each)
+            and (self.seconds_after_signal(each) or 0.0) > ACCEPT_SECONDS
         ]
 
     def refused_share(self):
         """Return the share of attempts that were refused."""
         return _share(self.attempts, self.outcomes)
 
-    def worst_share(self, window=2.0, step=0.1, least=20):
-        """Return the largest share refused of those sent in some window.
+    def max_refused_share(self, window=2.0, step=0.1, least=20):
+        """Return the largest share of refused attempts in a sliding window.
 
-        :param least: attempts that a window has at least.
+        :param window: length in seconds.
+        :param least: minimum number of attempts in a window.
         """
         at, worst = self.began_at, 0.0
         while at < self.ended_at:
@@ -126,20 +130,20 @@
             at += step
         return worst
 
-    def after(self, attempt):
-        """Return the seconds from SIGTERM to an attempt; ``None`` outside a stop."""
+    def seconds_after_signal(self, attempt):
+        """Return the seconds from SIGTERM to an attempt; ``None`` without a stop."""
         stop = self.stop_of(attempt)
-        return None if stop is None else attempt.sent_at - stop.told_at
+        return None if stop is None else attempt.sent_at - stop.signalled_at
 
     def stop_of(self, attempt):
-        """Return the :class:`Stop` in whose time an attempt was under way."""
+        """Return the :class:`Stop` of its VM during an attempt, or ``None``."""
         for stop in self._stops.get(attempt.vm, ()):
             if _overlaps(attempt, stop):
                 return stop
         return None
 
     def ran(self, attempt):
-        """Return how often an attempt ran."""
+        """Return the number of runs of an attempt."""
         return self._runs[attempt.id].count if attempt.id in self._runs else 0
 
     def outcome(self, attempt):
@@ -147,30 +151,39 @@
         if not attempt.connected:
             return Outcome.NOT_CONNECTED
         if attempt.signed:
-            return _of_target(attempt)
+            return _outcome_of_response(attempt)
         if attempt.status in NOT_RUN_STATUSES:
             return Outcome.REFUSED_BUT_RAN if self.ran(attempt) else Outcome.REFUSED
         if timed_out(attempt):
             return Outcome.TIMED_OUT
         if self.ran(attempt):
-            return self._of_run(attempt)
+            return self._outcome_of_run(attempt)
         if attempt.status is not None:
             return Outcome.FAILED
-        if attempt.behind_close or attempt.ended_at <= attempt.sent_at + LOSS_SLACK:
-            return Outcome.CROSSED
-        return Outcome.KILLED if self._is_disturbed(attempt) else Outcome.UNANSWERED
-
-    def _of_run(self, attempt):
-        """Return the outcome of an attempt that ran and got no target's answer."""
-        if self._is_disturbed(attempt):
-            return Outcome.DISTURBED
-        ran_last = any(self._is_last(attempt, stop) for stop in self._near(attempt))
-        return Outcome.EXCUSED if ran_last else Outcome.GIVEN_UP
-
-    def _near(self, attempt):
-        """Return the stops that may have ended an attempt.
-
-        That of its own VM, or else those of VMs to which it may have been passed on.
+        if (
+            attempt.after_close
+            or attempt.ended_at <= attempt.sent_at + CLOSE_RACE_SECONDS
+        ):
+            return Outcome.CLOSE_RACE
+        return (
+            Outcome.UNANSWERED_NEAR_KILL
+            if self._is_near_kill(attempt)
+            else Outcome.UNANSWERED
+        )
+
+    def _outcome_of_run(self, attempt):
+        """Return the outcome of an attempt that ran without a target's response."""
+        if self._is_near_kill(attempt):
+            return Outcome.ABANDONED_NEAR_KILL
+        ran_late = any(
+            self._ran_late(attempt, stop) for stop in self._possible_stops(attempt)
+        )
+        return Outcome.ABANDONED_LATE if ran_late else Outcome.ABANDONED
+
+    def _possible_stops(self, attempt):
+        """Return the stops that may have aborted an attempt.
+
+        That of its VM, or else those of VMs to which it may have been forwarded.
         """
         own = self.stop_of(attempt)
         if own is not None:
@@ -178,46 +191,49 @@
         every = (stop for stops in self._stops.values() for stop in stops)
         return [stop for stop in every if _overlaps(attempt, stop)]
 
-    def _is_last(self, attempt, stop):
-        """Return whether a target was at work on an attempt late in a stop."""
-        if attempt.sent_at > stop.told_at + LAST_TAKEN_AFTER:
+    def _ran_late(self, attempt, stop):
+        """Return whether an attempt was running at a target late in a stop."""
+        if attempt.sent_at > stop.signalled_at + ACCEPT_SECONDS:
             return False
         worked_until = min(self._runs[attempt.id].until, attempt.ended_at)
-        return worked_until >= stop.told_at + LAST_PART * self._grace
+        return worked_until >= stop.signalled_at + LATE_RUN_SHARE * self._grace
 
-    def _is_disturbed(self, attempt):
-        since = attempt.sent_at - DISTURBED_SECONDS
+    def _is_near_kill(self, attempt):
+        since = attempt.sent_at - KILL_EFFECT_SECONDS
         return any(since <= kill <= attempt.ended_at for kill in self._kills)
 
-    def _is_near(self, attempt):
-        """Return whether an attempt was under way between the stops' begin and end."""
+    def _overlaps_stops(self, attempt):
+        """Return whether an attempt overlaps the time of the stops."""
         return attempt.ended_at >= self.began_at and attempt.sent_at <= self.ended_at
 
 
-def last_closed(opened, stops):
-    """Return the most seconds after SIGTERM at which a connection was still open."""
+def seconds_to_last_close(opened, stops):
+    """Return the seconds from SIGTERM to the last close of a connection."""
     latest = 0.0
     for stop in stops:
         for each in opened:
             is_of_stop = each.vm == stop.vm and each.opened_at < stop.ended_at
-            if is_of_stop and each.closed_at >= stop.told_at:
-                latest = max(latest, each.closed_at - stop.told_at)
+            if is_of_stop and each.closed_at >= stop.signalled_at:
+                latest = max(latest, each.closed_at - stop.signalled_at)
     return latest
 
 
 def timed_out(attempt):
-    """Return whether an attempt had no time left, or its client left."""
-    return attempt.left or attempt.ended_at >= attempt.deadline - TIMED_OUT_SLACK
+    """Return whether an attempt reached its deadline."""
+    return (
+        attempt.client_timed_out
+        or attempt.ended_at >= attempt.deadline - TIMED_OUT_MARGIN_SECONDS
+    )
 
 
 def _overlaps(attempt, stop):
-    return attempt.sent_at <= stop.ended_at and attempt.ended_at >= stop.told_at
+    return attempt.sent_at <= stop.ended_at and attempt.ended_at >= stop.signalled_at
 
 
-def _of_target(attempt):
+def _outcome_of_response(attempt):
     if attempt.status >= _ERROR:
         return Outcome.FAILED_AT_TARGET
-    return Outcome.LATE if attempt.ended_at > attempt.aim_at else Outcome.SERVED
+    return Outcome.LATE if attempt.ended_at > attempt.soft_deadline else Outcome.SERVED
 
 
 def _share(attempts, outcomes):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from standins.lab.load import Result, note_runs
+from standins.lab.load import Result, mark_abandoned
 from standins.lab.report import Group, Report, compare, outcome
 from standins.lab.scenario import Scenario, ScenarioError, load_scenario
 
@@ -53,7 +53,7 @@
 )
 def test_request_is_given_up_where_a_failed_attempt_ran(runs, expected):
     repeated = Result(0.5, "north-a", 0.1, 200, 2, ["q-1"])
-    note_runs([repeated], runs)
+    mark_abandoned([repeated], runs)
     assert outcome(repeated, 0.3) == expected
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -55,7 +55,7 @@
     kind, status, answer_to, runs, broken
 ):
     attempt = Attempt("q1", "vm-1", kind, 8.0, 4.0, 0.0)
-    attempt.status, attempt.answer_to = status, answer_to
+    attempt.status, attempt.response_id = status, answer_to
     attempt.signed = answer_to is not None
     spans = [["q1", 0.0, 1.0]] * runs
     assert bool(list(check_attempts([attempt], collect_runs(spans)))) is broken
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -7,17 +7,17 @@
 from curio.io import Socket
 
 from heathercleat.process.clock import SystemClock
-from standins.stops.clients import may_repeat
+from standins.stops.clients import may_retry
 from standins.stops.connection import ClientConnection
-from standins.stops.records import ONCE, SAFE, UPLOAD, Attempt, Opened, Stop
+from standins.stops.records import ONCE, SAFE, UPLOAD, Attempt, ConnectionRecord, Stop
 from standins.stops.report import count_refusals
-from standins.stops.tally import Outcome, Tally, collect_runs, last_closed
+from standins.stops.tally import Outcome, Tally, collect_runs, seconds_to_last_close
 
 GRACE = 6.0
 
 
-def stop(vm="vm-1", told_at=100.0, ended_at=105.5, ready_at=107.0):
-    made = Stop(vm, told_at)
+def stop(vm="vm-1", signalled_at=100.0, ended_at=105.5, ready_at=107.0):
+    made = Stop(vm, signalled_at)
     made.ended_at, made.ready_at = ended_at, ready_at
     return made
 
@@ -44,15 +44,15 @@
         (attempt(101, 102, 500, signed=True), (101, 102), Outcome.FAILED_AT_TARGET),
         (attempt(101, 101.1, 503), None, Outcome.REFUSED),
         (attempt(101, 101.1, 503), (101, 102), Outcome.REFUSED_BUT_RAN),
-        (attempt(101, 103, 502), (101, 103.3), Outcome.GIVEN_UP),
-        (attempt(101, 103), (101, 103.3), Outcome.GIVEN_UP),
+        (attempt(101, 103, 502), (101, 103.3), Outcome.ABANDONED),
+        (attempt(101, 103), (101, 103.3), Outcome.ABANDONED),
         (attempt(101, 103, 502), None, Outcome.FAILED),
         (attempt(101, 103), None, Outcome.UNANSWERED),
-        (attempt(101, 101.1), None, Outcome.CROSSED),
-        (attempt(101, 103, behind_close=True), None, Outcome.CROSSED),
-        (attempt(101, 103, behind_close=True), (101, 104), Outcome.GIVEN_UP),
+        (attempt(101, 101.1), None, Outcome.CLOSE_RACE),
+        (attempt(101, 103, after_close=True), None, Outcome.CLOSE_RACE),
+        (attempt(101, 103, after_close=True), (101, 104), Outcome.ABANDONED),
         (attempt(98, 105.95, 504), (98, 107), Outcome.TIMED_OUT),
-        (attempt(101, 103, left=True), (101, 104), Outcome.TIMED_OUT),
+        (attempt(101, 103, client_timed_out=True), (101, 104), Outcome.TIMED_OUT),
         (attempt(101, 101, connected=False), None, Outcome.NOT_CONNECTED),
     ],
 )
@@ -64,10 +64,10 @@
     ("sent_at", "ended_at", "run_until", "outcome"),
     [
         # A target is at work until the connection ends, or its run does.
-        (102.9, 105.1, 105.9, Outcome.EXCUSED),
-        (102.9, 104.9, 105.9, Outcome.GIVEN_UP),
-        (102.9, 105.1, 104.9, Outcome.GIVEN_UP),
-        (103.1, 105.1, 105.9, Outcome.GIVEN_UP),
+        (102.9, 105.1, 105.9, Outcome.ABANDONED_LATE),
+        (102.9, 104.9, 105.9, Outcome.ABANDONED),
+        (102.9, 105.1, 104.9, Outcome.ABANDONED),
+        (103.1, 105.1, 105.9, Outcome.ABANDONED),
     ],
 )
 def test_only_early_requests_may_be_given_up_in_the_last_sixth(
@@ -80,10 +80,10 @@
 @pytest.mark.parametrize(
     ("kill", "outcome"),
     [
-        (96.0, Outcome.GIVEN_UP),
-        (98.0, Outcome.DISTURBED),
-        (102.0, Outcome.DISTURBED),
-        (104.0, Outcome.GIVEN_UP),
+        (96.0, Outcome.ABANDONED),
+        (98.0, Outcome.ABANDONED_NEAR_KILL),
+        (102.0, Outcome.ABANDONED_NEAR_KILL),
+        (104.0, Outcome.ABANDONED),
     ],
 )
 def test_a_kill_excuses_requests_near_it(kill, outcome):
@@ -93,34 +93,34 @@
 
 def test_a_kill_excuses_what_was_not_answered():
     each = attempt(101, 103)
-    assert tally(each, kills=[102.0]).outcome(each) is Outcome.KILLED
+    assert tally(each, kills=[102.0]).outcome(each) is Outcome.UNANSWERED_NEAR_KILL
 
 
 def test_request_passed_on_to_a_vm_that_stops_counts():
     each = attempt(102.9, 105.1, 502, vm="vm-2")
     counted = tally(each, (102.9, 105.9))
     assert counted.stop_of(each) is None
-    assert counted.outcome(each) is Outcome.EXCUSED
+    assert counted.outcome(each) is Outcome.ABANDONED_LATE
 
 
 @pytest.mark.parametrize(("kind", "doubled"), [(ONCE, 1), (UPLOAD, 1), (SAFE, 0)])
 def test_second_run_of_a_once_only_request_is_found(kind, doubled):
     each = attempt(101, 103, 200, kind=kind, signed=True)
     runs = collect_runs([["a1", 101, 102], ["a1", 101, 102]])
-    assert len(Tally([each], runs, [stop()], [], GRACE).doubled()) == doubled
+    assert len(Tally([each], runs, [stop()], [], GRACE).run_twice()) == doubled
 
 
 def test_answer_to_another_request_is_found():
-    mixed = attempt(101, 103, 200, signed=True, answer_to="a2")
-    own = attempt(101, 103, 200, signed=True, answer_to="a1")
-    assert tally(mixed).mixed() == [mixed]
-    assert tally(own).mixed() == []
+    mixed = attempt(101, 103, 200, signed=True, response_id="a2")
+    own = attempt(101, 103, 200, signed=True, response_id="a1")
+    assert tally(mixed).misdelivered() == [mixed]
+    assert tally(own).misdelivered() == []
 
 
 @pytest.mark.parametrize(("sent_at", "count"), [(102.9, 0), (103.1, 1)])
 def test_requests_taken_late_are_counted(sent_at, count):
     each = attempt(sent_at, 104.5, 200, signed=True)
-    assert len(tally(each, (sent_at, 104.4)).taken_late()) == count
+    assert len(tally(each, (sent_at, 104.4)).accepted_late()) == count
 
 
 def test_worst_window_is_not_thinned_by_quiet_ones():
@@ -128,13 +128,13 @@
     served = [attempt(104 + n / 20, 105 + n / 20, 200, signed=True) for n in range(20)]
     counted = Tally([*refused, *served], {}, [stop()], [], GRACE)
     assert counted.refused_share() == 0.5
-    assert counted.worst_share() == 1.0
+    assert counted.max_refused_share() == 1.0
 
 
 def test_connections_of_the_next_process_are_not_of_the_stop():
-    old, new = Opened("vm-1", 90.0), Opened("vm-1", 107.5)
+    old, new = ConnectionRecord("vm-1", 90.0), ConnectionRecord("vm-1", 107.5)
     old.closed_at, new.closed_at = 105.3, 120.0
-    assert last_closed([old, new], [stop()]) == pytest.approx(5.3)
+    assert seconds_to_last_close([old, new], [stop()]) == pytest.approx(5.3)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
     [
         (SAFE, attempt(1, 2), True),
         (ONCE, attempt(1, 2), False),
-        (ONCE, attempt(1, 2, behind_close=True), True),
+        (ONCE, attempt(1, 2, after_close=True), True),
         (ONCE, attempt(1, 2, connected=False), True),
         (ONCE, attempt(1, 2, 503), True),
         (ONCE, attempt(1, 2, 502), False),
@@ -152,7 +152,7 @@
     ],
 )
 def test_clients_repeat_only_what_they_may(kind, last, repeats):
-    assert may_repeat(kind, last) is repeats
+    assert may_retry(kind, last) is repeats
 
 
 def test_refusals_are_counted_by_reason_without_the_moment():
@@ -180,18 +180,20 @@
     async def main():
         mine, vm = socket.socketpair()
         clock = SystemClock()
-        connection = ClientConnection(Socket(mine), Opened("vm-1", 0.0), clock)
+        connection = ClientConnection(
+            Socket(mine), ConnectionRecord("vm-1", 0.0), clock
+        )
         now = clock.now()
         sent = [Attempt(n, "vm-1", SAFE, now + 8, now + 4, now) for n in "abc"]
         for each in sent:
             await connection.send(each, "/safe/k1", "k1")
         vm.sendall(answers)
         for _ in range(2):
-            await connection.read_answer()
-        connection.give_up()
+            await connection.read_response()
+        connection.abandon()
         return sent
 
     first, second, third = run(main)
     assert (first.status, first.retry_after, first.signed) == (503, 0.2, False)
     assert (second.status, second.signed) == (200, True)
-    assert (third.status, third.behind_close) == (None, True)
+    assert (third.status, third.after_close) == (None, True)
