--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements with regression bounds."""
+"""Benchmarks with bounds against regressions."""
--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -1,8 +1,4 @@
-"""The simplest schemes that the system is measured against.
-
-:class:`LaggingChoice` is power of two choices (Mitzenmacher, 2001) over reported loads
-that lag, as several balancers without shared state would do it.
-"""
+"""Baseline load balancer for the benchmarks."""
 
 import msgpack
 from curio import sleep, spawn
@@ -20,8 +16,11 @@
 BALANCERS = 12
 
 
-class LaggingChoice(Load):
-    """Sends straight to targets: two at random, the one that reported less load.
+class PowerOfTwoChoices(Load):
+    """Power of two choices (Mitzenmacher, 2001) over stale load reports.
+
+    Several balancers without shared state poll the targets and send directly to the
+    less loaded of two random ones.
 
     :param targets: ``{name: (host, port, slots)}``.
     """
@@ -52,7 +51,7 @@
                 view[name] = await self._load_of(host, port, view[name])
             await sleep(POLL_SECONDS)
 
-    async def _load_of(self, host, port, known):
+    async def _load_of(self, host, port, previous):
         deadline = self._clock.now() + 1.0
         try:
             stream = await connect(host, port, deadline, self._clock)
@@ -62,5 +61,5 @@
             finally:
                 await stream.close()
         except (TimeoutError, *CONNECTION_ERRORS):
-            return known
+            return previous
         return msgpack.unpackb(response.body)["in_flight"]
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,6 @@
-"""Slopes for docs/CAPACITY.md, measured at three or more sizes: ``make capacity``.
+"""Resource use by deployment size, for docs/CAPACITY.md: ``make capacity``.
 
-Each row is a quantity at several sizes with its least-squares line and the largest
+Each row has a quantity at several sizes, its least-squares line and the largest
 deviation from it, as a share of the largest value.
 """
 
@@ -14,7 +14,7 @@
 
 from curio import run
 
-from bench.report import FOLDER
+from bench.report import OUTPUT_FOLDER
 from bench.scenario import lookup_text
 from heathercleat.connection.messages import (
     Heartbeat,
@@ -46,22 +46,22 @@
 MEMBERS = (20, 80, 163)
 PROCESSES = (2, 8, 24)
 IDLE_SECONDS = 8.0
-PLAN = {"blocks": 2_700_000, "vms": 7_500, "targets": 1_900, "members": 163}
+PLANNED_SIZES = {"blocks": 2_700_000, "vms": 7_500, "targets": 1_900, "members": 163}
 
 
-class Slopes:
-    """Collects measurements by size and fits a line to each."""
+class LinearFits:
+    """Collects measurements by size and fits a line to each quantity."""
 
     def __init__(self):
         self._values = {}
 
-    def add(self, what, unit, size, value):
-        """Note one measurement."""
-        self._values.setdefault((what, unit), []).append((size, value))
+    def add(self, quantity, unit, size, value):
+        """Add a measurement of a quantity."""
+        self._values.setdefault((quantity, unit), []).append((size, value))
 
     def rows(self):
-        """Yield ``(what, unit, points, slope, intercept, error)``."""
-        for (what, unit), points in self._values.items():
+        """Yield ``(quantity, unit, points, slope, intercept, error)``."""
+        for (quantity, unit), points in self._values.items():
             sizes, values = zip(*points, strict=True)
             slope, intercept = linear_regression(sizes, values)
             errors = (
@@ -69,32 +69,32 @@
                 for size, value in zip(sizes, values, strict=True)
             )
             largest = max(abs(value) for value in values) or 1.0
-            yield what, unit, points, slope, intercept, max(errors) / largest
+            yield quantity, unit, points, slope, intercept, max(errors) / largest
 
     def write(self):
-        """Print the rows as a Markdown table and keep them as JSON."""
+        """Print the rows as a Markdown table and write them as JSON."""
         print("| quantity | at sizes | slope | at 0 | error |")
         print("| --- | --- | --- | --- | --- |")
-        for what, unit, points, slope, intercept, error in self.rows():
+        for quantity, unit, points, slope, intercept, error in self.rows():
             at = ", ".join(f"{size}: {value:.4g}" for size, value in points)
             print(
-                f"| {what}, {unit} | {at} | {slope:.3g} | {intercept:.3g} | "
+                f"| {quantity}, {unit} | {at} | {slope:.3g} | {intercept:.3g} | "
                 f"{100 * error:.0f}% |"
             )
-        FOLDER.mkdir(parents=True, exist_ok=True)
+        OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
         rows = [list(row) for row in self.rows()]
-        (FOLDER / "capacity.json").write_text(json.dumps(rows, indent=1))
+        (OUTPUT_FOLDER / "capacity.json").write_text(json.dumps(rows, indent=1))
 
 
-def timed(act, count):
-    """Return the processor seconds of one call, over ``count`` calls."""
+def mean_cpu_seconds(act, count):
+    """Return the mean CPU seconds per call, over ``count`` calls."""
     started = time.process_time()
     for _ in range(count):
         act()
     return (time.process_time() - started) / count
 
 
-def measure_blocks(slopes):
+def measure_blocks(fits):
     """Measure the client-block table."""
     random = Random(1)
     names = [f"fd-{number}" for number in range(DOMAINS)]
@@ -103,24 +103,24 @@
         runs = ((index * step, index % DOMAINS) for index in range(size))
         started = time.process_time()
         table = ClientBlockTable(names, runs)
-        slopes.add("block table: build", "s", size, time.process_time() - started)
-        slopes.add("block table: memory", "MB", size, table.size_bytes / 1e6)
+        fits.add("block table: build", "s", size, time.process_time() - started)
+        fits.add("block table: memory", "MB", size, table.size_bytes / 1e6)
         addresses = [random.randrange(1 << 32) for _ in range(100_000)]
         started = time.process_time()
         for address in addresses:
             table.find_by_number(address)
         seconds = (time.process_time() - started) / len(addresses)
-        slopes.add("block table: look-up", "us", size, seconds * 1e6)
+        fits.add("block table: look-up", "us", size, seconds * 1e6)
 
         def change(table=table):
             first = random.randrange(1 << 31)
             table.assign_range(first, first + 255, "fd-1")
 
-        slopes.add("block table: delta", "us", size, timed(change, 100) * 1e6)
+        fits.add("block table: delta", "us", size, mean_cpu_seconds(change, 100) * 1e6)
 
 
 def make_vm(targets, vms):
-    """Return an entry VM, not started, that knows a text and a VM list."""
+    """Return an entry VM, not started, with a configuration and a VM list."""
     text = lookup_text(targets=targets, domains=DOMAINS)
     service = text["services"]["lookup"]
     for number, target in enumerate(service["targets"].values()):
@@ -128,12 +128,12 @@
     source = SETTINGS.replace('"north-a"', '"fd-0"').replace("north-a-1", "vm-0")
     vm = EntryVM(parse_settings(source), platform=FakePlatform())
     vm.configuration.adopt(1, Document(json.dumps(text), {}).pack(), "bench")
-    vm.configuration.adopt_vms(make_list(vms))
+    vm.configuration.adopt_vms(make_vm_list(vms))
     return vm
 
 
-def make_list(vms):
-    """Return a VM list of a size."""
+def make_vm_list(vms):
+    """Return a VM list with ``vms`` entries."""
     entries = (
         VmEntry(f"vm-{n}", f"10.2.{n // 250}.{n % 250}", f"fd-{n % DOMAINS}", False)
         for n in range(vms)
@@ -141,13 +141,13 @@
     return VmList(1, tuple(entries))
 
 
-def measure_lookups(slopes):
+def measure_lookups(fits):
     """Measure the VM list and look-ups over it."""
     for vms, targets in zip(VMS, TARGETS, strict=True):
         tracemalloc.start()
         vm = make_vm(targets, vms)
         memory = tracemalloc.get_traced_memory()[0]
-        slopes.add(
+        fits.add(
             "VM list and text: memory",
             "MB",
             vms,
@@ -155,11 +155,11 @@
         )
         tracemalloc.stop()
         fields = vm.directory.to_fields()
-        slopes.add(
+        fits.add(
             "VM list: message", "KB", vms, len(encode(VmListResponse(1, fields))) / 1e3
         )
-        seconds = timed(partial(adopt, make_list(vms)), 20)
-        slopes.add("VM list: adopt", "ms", vms, seconds * 1e3)
+        seconds = mean_cpu_seconds(partial(adopt, make_vm_list(vms)), 20)
+        fits.add("VM list: adopt", "ms", vms, seconds * 1e3)
         query = {"service": "lookup"}
         service = vm.text.services["lookup"]
 
@@ -171,30 +171,30 @@
             vm.candidates.find(service, "fd-0")
 
         answer()
-        slopes.add("look-up: candidates", "ms", vms, timed(rebuild, 20) * 1e3)
+        fits.add("look-up: candidates", "ms", vms, mean_cpu_seconds(rebuild, 20) * 1e3)
         vm.candidates.find(service, "fd-0")
-        slopes.add("look-up: answer", "us", vms, timed(answer, 500) * 1e6)
+        fits.add("look-up: answer", "us", vms, mean_cpu_seconds(answer, 500) * 1e6)
 
 
 def adopt(vms):
-    """Let a new directory take a VM list."""
+    """Adopt a VM list in a new directory."""
     assert Directory().adopt(vms)
 
 
-def measure_text(slopes):
-    """Measure reading a text."""
+def measure_text(fits):
+    """Measure parsing and validation of a configuration text."""
     for size in TARGETS:
         text = lookup_text(targets=size, domains=DOMAINS)
         for number, target in enumerate(text["services"]["lookup"]["targets"].values()):
             target["address"] = f"10.1.{number // 250}.{number % 250 + 1}:9000"
         source = json.dumps(text)
-        slopes.add("text: size", "KB", size, len(source) / 1e3)
-        seconds = timed(lambda source=source: parse_text(source), 3)
-        slopes.add("text: read and check", "ms", size, seconds * 1e3)
+        fits.add("text: size", "KB", size, len(source) / 1e3)
+        seconds = mean_cpu_seconds(lambda source=source: parse_text(source), 3)
+        fits.add("text: read and check", "ms", size, seconds * 1e3)
 
 
-def measure_members(slopes):
-    """Measure heartbeats and views in a failure domain."""
+def measure_members(fits):
+    """Measure heartbeats and view exchanges in a failure domain."""
     for size in MEMBERS:
         vm, clock = FakeVm(), ManualClock()
         links = FakeLinks(lambda host, item: HeartbeatAck(1, False, 0, 0, 0))
@@ -202,29 +202,33 @@
         for number in range(2, size + 1):
             record = MemberRecord(f"north-a-{number}", "10.0.0.1", "north-a", 1, "live")
             membership.record(record)
-        beat = Heartbeat("north-a-2", 1, 1, 0, 0, 0)
-        slopes.add("heartbeat: message", "bytes", size, len(encode(beat)))
+        heartbeat = Heartbeat("north-a-2", 1, 1, 0, 0, 0)
+        fits.add("heartbeat: message", "bytes", size, len(encode(heartbeat)))
         view = len(encode(ViewExchange(membership.records())))
-        slopes.add("view exchange: message", "KB", size, view / 1e3)
+        fits.add("view exchange: message", "KB", size, view / 1e3)
         clock.time += SETTLE_SECONDS
         membership.record_tick()
         assert size == len(membership.running()) + 1
-        seconds = timed(partial(membership.record_heartbeat, beat), 2000)
-        slopes.add("heartbeat: taken", "us", size, seconds * 1e6)
-        seconds = timed(membership.may_act, 2000)
-        slopes.add("right to act: checked", "us", size, seconds * 1e6)
+        seconds = mean_cpu_seconds(
+            partial(membership.record_heartbeat, heartbeat), 2000
+        )
+        fits.add("heartbeat: taken", "us", size, seconds * 1e6)
+        seconds = mean_cpu_seconds(membership.may_act, 2000)
+        fits.add("right to act: checked", "us", size, seconds * 1e6)
 
         heartbeats = Heartbeats(vm, membership, links, clock)
 
         def detect_failures(heartbeats=heartbeats):
             run(heartbeats.detect_failures)
 
-        slopes.add("monitors: judged", "us", size, timed(detect_failures, 20) * 1e6)
+        fits.add(
+            "monitors: judged", "us", size, mean_cpu_seconds(detect_failures, 20) * 1e6
+        )
 
 
-def measure_placement(slopes):
-    """Measure how homes are divided after a change of the membership."""
-    vm = make_vm(PLAN["targets"], PLAN["vms"])
+def measure_placement(fits):
+    """Measure the assignment of homes after a membership change."""
+    vm = make_vm(PLANNED_SIZES["targets"], PLANNED_SIZES["vms"])
     domain = vm.settings.failure_domain
     for size in MEMBERS:
         placement = Placement(vm.text.services)
@@ -232,21 +236,21 @@
         placement.homes(domain, names)
         batches = iter([f"{name}-{batch}" for name in names] for batch in range(20))
 
-        def divide(placement=placement, batches=batches):
+        def reassign(placement=placement, batches=batches):
             placement.homes(domain, next(batches))
 
-        slopes.add("placement: homes", "ms", size, timed(divide, 20) * 1e3)
+        fits.add("placement: homes", "ms", size, mean_cpu_seconds(reassign, 20) * 1e3)
 
 
-def measure_processes(slopes):
-    """Measure idle entry VMs of one failure domain as processes."""
+def measure_processes(fits):
+    """Measure the processes of idle entry VMs in one failure domain."""
     for size in PROCESSES:
         text = lookup_text(targets=8, domains=2)
         for target in text["services"]["lookup"]["targets"].values():
             target["failure_domain"] = "fd-0"
         with Fleet(text, {"fd-0": size}, subnet=36) as fleet:
             fleet.wait_ready()
-            # Homes are asked for their readiness for a while after a start.
+            # Homes are polled for readiness for some time after a start.
             time.sleep(MIN_POLL_SECONDS)
             before = [fleet.metrics(vm) for vm in fleet.vms.values()]
             time.sleep(IDLE_SECONDS)
@@ -257,18 +261,18 @@
             return sum(gains) / len(before) / IDLE_SECONDS
 
         cpu = rate("process_cpu_seconds_total")
-        slopes.add("idle VM: processor", "% of a core", size, 100 * cpu)
-        slopes.add(
+        fits.add("idle VM: processor", "% of a core", size, 100 * cpu)
+        fits.add(
             "idle VM: traffic", "KB/s", size, rate("heathercleat_control_bytes") / 1e3
         )
         memory = sum(each["process_resident_memory_bytes"] for each in after)
-        slopes.add("idle VM: memory", "MB", size, memory / len(after) / 1e6)
+        fits.add("idle VM: memory", "MB", size, memory / len(after) / 1e6)
 
 
 def main():
-    """Measure everything and print the fits."""
+    """Run all measurements and write the report."""
     logging.getLogger("heathercleat").setLevel("ERROR")
-    slopes = Slopes()
+    fits = LinearFits()
     for measure in (
         measure_blocks,
         measure_lookups,
@@ -277,8 +281,8 @@
         measure_placement,
         measure_processes,
     ):
-        measure(slopes)
-    slopes.write()
+        measure(fits)
+    fits.write()
 
 
 if __name__ == "__main__":
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""Benchmarks of control: claims, at-most-once runs, texts, log lines."""
+"""Benchmarks of claims, at-most-once requests, configurations and log lines."""
 
 import copy
 import random
@@ -24,11 +24,11 @@
 from tests.test_once_failures import sweep
 
 EXAMPLES = Path("examples")
-IN_FORCE_LIMIT = 20.0
+IN_FORCE_LIMIT_SECONDS = 20.0
 
 
 def bench_claims(report):
-    """Transactions needed for claims that come together."""
+    """Transactions per claim when claims arrive together."""
     platform = FakePlatform()
     claims = ClaimTable(platform, "p")
     ticket = type("T", (), {"id": "t", "expires_at": 0.0})()
@@ -53,8 +53,8 @@
     )
 
 
-def bench_once(report):
-    """The share of edits whose outcome stays unknown while VMs are killed."""
+def bench_at_most_once(report):
+    """Share of edits with an unknown outcome while VMs are killed or paused."""
     shares = {}
     for name, fault, down in (
         ("kills", kill_one, False),
@@ -68,10 +68,10 @@
             if down:
                 fleet.switch_platform(down=True)
                 time.sleep(1.5)
-            chance = random.Random(7)
-            answers, runs = sweep(fleet, partial(fault, fleet, chance))
-        said = Counter(answers.values())
-        shares[name] = said["unknown"] / max(1, sum(said.values()))
+            rng = random.Random(7)
+            answers, runs = sweep(fleet, partial(fault, fleet, rng))
+        counts = Counter(answers.values())
+        shares[name] = counts["unknown"] / max(1, sum(counts.values()))
         doubled = sum(1 for count in runs.values() if count > 1)
         false = sum(
             1 for key, word in answers.items() if word == "not-run" and runs[key]
@@ -88,7 +88,7 @@
 
 
 def bench_configuration(report):
-    """Seconds until an accepted text is in force on every VM."""
+    """Seconds until an accepted configuration is in force on every VM."""
     vms = {"north-a": 2, "north-b": 2, "south-a": 2, "south-b": 2}
     with Fleet(demo_text(), vms, subnet=34) as fleet:
         worst = 0.0
@@ -104,7 +104,7 @@
         Row(
             "slowest of 4 texts in force on 8 VMs",
             worst,
-            IN_FORCE_LIMIT,
+            IN_FORCE_LIMIT_SECONDS,
             "s",
             "the limit",
             0.15,
@@ -113,7 +113,7 @@
 
 
 def bench_log(report):
-    """Cost of a decision's log line to the request, against a plain handler."""
+    """CPU time of a log line for the request, against a plain handler."""
     count = 20_000
     inputs = {"request": "0123456789abcdef", "service": "lookup", "target": "t-01"}
 
@@ -139,7 +139,7 @@
 
 
 def bench_text(report):
-    """Parsing of the largest example against the plan's time in force."""
+    """Time to parse the largest example configuration."""
     source = (EXAMPLES / "agencia.jsonc").read_text()
     started = time.perf_counter()
     for _ in range(20):
--- a/bench/places.py
+++ b/bench/places.py
@@ -1,4 +1,4 @@
-"""Benchmark of the work for one request while the number of targets grows."""
+"""Benchmark of destination selection with few and with many targets."""
 
 import time
 
@@ -15,47 +15,47 @@
 from tests.steering_parts import Parts, beat, call, entry, route
 
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
-VMS_EACH = 6
+VMS_PER_DOMAIN = 6
 SLOTS = 6
 OBJECTS = 270
 CALLS = 2000
-TRIP = 0.024
-FEW, MANY = 60, 1_900
-#: How many times longer it may take with many targets than with few: 6.5 and 7.3 were
-#: measured; it grew with the number of targets when each was looked at.
-MOST_GROWTH = 10.0
+ROUND_TRIP_SECONDS = 0.024
+FEW_TARGETS, MANY_TARGETS = 60, 1_900
+#: Maximum ratio of the times with many and with few targets; a search of all targets
+#: exceeds it.
+MAX_GROWTH = 10.0
 
 
 def bench_places(report):
-    """Processor time that a refused request takes to find that there is no place."""
-    few, many = (refusal_seconds(count) for count in (FEW, MANY))
+    """CPU time to find that no destination has a free slot."""
+    few, many = (refusal_seconds(count) for count in (FEW_TARGETS, MANY_TARGETS))
     report.add(
         Row(
-            f"finding no place among {MANY} targets",
+            f"finding no place among {MANY_TARGETS} targets",
             many * 1e3,
             few * 1e3,
             "ms",
-            f"{FEW} targets",
-            MOST_GROWTH,
+            f"{FEW_TARGETS} targets",
+            MAX_GROWTH,
         )
     )
 
 
 def refusal_seconds(targets):
-    """Return the mean processor time of a refusal where every slot is taken."""
+    """Return the mean CPU time of a refusal when every slot is in use."""
     parts = _parts(targets)
-    places = _places(parts)
+    selector = _selector(parts)
     calls = [_call(parts.clock, number) for number in range(CALLS)]
-    _refuse_all(places, calls, parts.clock)
+    _refuse_all(selector, calls, parts.clock)
     began = time.process_time()
-    _refuse_all(places, calls, parts.clock)
+    _refuse_all(selector, calls, parts.clock)
     return (time.process_time() - began) / CALLS
 
 
 def _parts(targets):
     parts = Parts()
     for domain, region in DOMAINS.items():
-        for number in range(VMS_EACH):
+        for number in range(VMS_PER_DOMAIN):
             made = beat(f"{domain}-{number}", domain, region)
             parts.members.record_heartbeat(made)
     names = list(DOMAINS)
@@ -68,20 +68,27 @@
     return parts
 
 
-def _places(parts):
+def _selector(parts):
     clock, members = parts.clock, parts.members
-    rooms, pressure = CapacityReports(clock), LossRates()
+    reports, losses = CapacityReports(clock), LossRates()
     for member in members.live_others():
-        rooms.report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
+        reports.report(member.vm, [], [("s1", 0.5, 0.5)], [("s1", 0.3)])
     for owned in parts.ledger.all():
         for _ in range(SLOTS):
             owned.claim(clock.now())
     admission = Admission(parts.ledger, members.region_of, clock)
     return DestinationSelector(
-        TargetView(members, parts.registry, parts.owners, parts.ledger, rooms),
+        TargetView(members, parts.registry, parts.owners, parts.ledger, reports),
         members,
-        Estimates(members, admission, rooms, lambda vm: TRIP, ResponseTimes(), clock),
-        RegionLossRates(members, rooms, pressure, clock),
+        Estimates(
+            members,
+            admission,
+            reports,
+            lambda vm: ROUND_TRIP_SECONDS,
+            ResponseTimes(),
+            clock,
+        ),
+        RegionLossRates(members, reports, losses, clock),
         RegionShiftLimit(0.15, clock),
         clock,
     )
@@ -93,12 +100,12 @@
     return made
 
 
-def _refuse_all(places, calls, clock):
-    """Look for places as a request does that is refused; 1,000 requests a second."""
-    nothing = frozenset()
+def _refuse_all(selector, calls, clock):
+    """Select destinations as refused requests do, at 1,000 requests per second."""
+    no_targets = frozenset()
     for made in calls:
         clock.time += 0.001
-        places.select_free(made, nothing, nothing)
-        places.select_spillover(made, nothing, nothing)
-        places.select_queue(made, nothing, nothing)
-        places.describe(made)
+        selector.select_free(made, no_targets, no_targets)
+        selector.select_spillover(made, no_targets, no_targets)
+        selector.select_queue(made, no_targets, no_targets)
+        selector.describe(made)
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -1,4 +1,4 @@
-"""Benchmark of what the quarantine costs a request that ends no target."""
+"""Benchmark of the cost of quarantine checks for a request that crashes no target."""
 
 import time
 from itertools import count, repeat
@@ -28,33 +28,33 @@
 HEAD = b"GET /one/two/x HTTP/1.1\r\n" + b"".join(
     name + b": " + value + b"\r\n" for name, value in HEADERS
 )
-#: Part of the time to read the head of a request that the quarantine may take.
-MOST_SHARE = 0.25
-#: The same for one that no target has answered yet, whose sender is looked at as well.
-MOST_SHARE_NEW = 1.0
+#: Maximum time of the quarantine checks relative to parsing a request head.
+MAX_SHARE = 0.25
+#: The same for a request without an earlier response, whose sender is checked as well.
+MAX_SHARE_NEW = 1.0
 
 
 def bench_quarantine(report):
-    """Processor time of fingerprint, looks and the note of a whole answer."""
-    reading = _seconds(_read_head) * 1e6
-    for what, paths, most in (
-        ("that was answered before", repeat(b"/one/two/x"), MOST_SHARE),
-        ("that is new", map(b"/one/two/%d".__mod__, count()), MOST_SHARE_NEW),
+    """CPU time of the fingerprint, the checks and the record of a response."""
+    parse_time = _seconds(_read_head) * 1e6
+    for what, paths, bound in (
+        ("that was answered before", repeat(b"/one/two/x"), MAX_SHARE),
+        ("that is new", map(b"/one/two/%d".__mod__, count()), MAX_SHARE_NEW),
     ):
         report.add(
             Row(
                 f"quarantine, for a request {what}",
-                _seconds(_guard(paths)) * 1e6,
-                reading,
+                _seconds(_quarantine_checks(paths)) * 1e6,
+                parse_time,
                 "us",
                 "reading its head",
-                most,
+                bound,
             )
         )
 
 
-def _guard(paths):
-    """Return what is done for one request at the VM that reads and runs it."""
+def _quarantine_checks(paths):
+    """Return a function with the quarantine work of a VM for one request."""
     clock = ManualClock()
     suspects = Suspects(Journal("vm-1", "north-a"), clock)
     containment = Containment(suspects, clock)
@@ -63,7 +63,7 @@
     made = call(clock)
     made.headers = HEADERS
 
-    def guard():
+    def check():
         made.groups = made.sender = None
         made.fingerprint = fingerprint(b"GET", next(paths), HEADERS, b"")
         containment.refusal(made)
@@ -71,7 +71,7 @@
         suspects.record_response(made.fingerprint)
         containment.record_result(made, answered, True)
 
-    return guard
+    return check
 
 
 def _read_head():
@@ -81,7 +81,7 @@
 
 
 def _seconds(run):
-    """Return the mean processor time of a call."""
+    """Return the mean CPU time of a call."""
     began = time.process_time()
     for _ in range(CALLS):
         run()
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,18 +1,18 @@
-"""Rows of a benchmark report, and the bounds that they are held against."""
+"""Benchmark reports: measurements with their baselines and bounds."""
 
 import json
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-FOLDER = Path("build/bench")
+OUTPUT_FOLDER = Path("build/bench")
 
 
 @dataclass(slots=True)
 class Row:
-    """One measurement against its baseline in the same run.
+    """One measurement and its baseline in the same run.
 
-    ``ratio`` is the value over the baseline's; ``bound`` is the largest ratio that
-    passes, or the smallest when ``at_least`` is set.
+    ``bound`` is the largest ratio of the two that passes, or the smallest if
+    ``at_least`` is set.
     """
 
     what: str
@@ -54,7 +54,7 @@
 
 
 class Report:
-    """Collects rows, prints each as it comes, and writes them all at the end."""
+    """Prints rows as they are added and writes them all at the end."""
 
     def __init__(self):
         self._rows = []
@@ -66,14 +66,14 @@
         return all(row.passed for row in self._rows)
 
     def add(self, row):
-        """Add a row."""
+        """Add and print a row."""
         self._rows.append(row)
         print(row.render(), flush=True)
 
     def write(self):
         """Write the report as Markdown and JSON."""
-        FOLDER.mkdir(parents=True, exist_ok=True)
+        OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
         lines = [HEADING, *(row.render() for row in self._rows)]
-        (FOLDER / "report.md").write_text("\n".join(lines) + "\n")
+        (OUTPUT_FOLDER / "report.md").write_text("\n".join(lines) + "\n")
         rows = [{**asdict(row), "ratio": row.ratio} for row in self._rows]
-        (FOLDER / "report.json").write_text(json.dumps(rows, indent=1))
+        (OUTPUT_FOLDER / "report.json").write_text(json.dumps(rows, indent=1))
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,16 +1,16 @@
-"""Runs every benchmark and fails when a bound is exceeded: ``make bench``.
+"""Runs the benchmarks and fails when a bound is exceeded: ``make bench``.
 
-Each figure is a ratio against a baseline or a limit in the same run, since the speed of
-the machine varies. ``python -m bench.run slots spill`` runs some of them only.
+Bounds apply to the ratio to a baseline of the same run, since the speed of machines
+varies. ``python -m bench.run slots spill`` runs only the benchmarks named.
 """
 
 import sys
 
 from bench.control import (
+    bench_at_most_once,
     bench_claims,
     bench_configuration,
     bench_log,
-    bench_once,
     bench_text,
 )
 from bench.places import bench_places
@@ -34,7 +34,7 @@
     "surge": bench_surge,
     "slow": bench_slow,
     "claims": bench_claims,
-    "once": bench_once,
+    "once": bench_at_most_once,
     "configuration": bench_configuration,
     "drain": bench_drain,
     "takeover": bench_takeover,
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -1,10 +1,10 @@
-"""What the benchmarks share: texts, loads from several failure domains, figures."""
+"""Shared parts of the benchmarks: configurations, loads and statistics."""
 
 from standins.load import Load
 
 
 def lookup_text(targets=16, slots=4, domains=6, kind_ms=2000, cap=None):
-    """Return a text with the sizes of a style look-up service."""
+    """Return a configuration document with one service and its targets."""
     names = [f"fd-{number}" for number in range(domains)]
     kind = {
         "kind": "lookup",
@@ -35,19 +35,22 @@
     }
 
 
-def start_targets(fleet, seconds):
-    """Set the service time of every target."""
+def configure_targets(fleet, seconds):
+    """Set the service time of every target, in seconds."""
     for name in fleet.targets:
         fleet.switch_target(name, service_s=seconds, cancel_s=seconds)
 
 
-def over(fleet):
-    """Return the slot-seconds over the limit at all targets so far."""
+def measure_overshoot(fleet):
+    """Return the total of slot-seconds over the limit at all targets."""
     return sum(fleet.record(name)["over"] for name in fleet.targets)
 
 
-class Spread:
-    """A load from the callers of several failure domains."""
+class MultiDomainLoad:
+    """Load from callers in several failure domains.
+
+    :param rates: requests per second by failure domain.
+    """
 
     def __init__(self, fleet, rates, timeout=3.0):
         self._loads = {}
@@ -65,7 +68,7 @@
         for load in self._loads.values():
             load.stop()
 
-    def of(self, domain):
+    def results_of(self, domain):
         """Return the results of the callers of one failure domain."""
         return self._loads[domain].results
 
@@ -76,6 +79,6 @@
 
 
 def quantile(results, share):
-    """Return a quantile of the seconds of the served requests."""
+    """Return a quantile of the latency of successful requests, in seconds."""
     served = sorted(each.seconds for each in results if each.status == 200)
     return served[int(share * (len(served) - 1))] if served else float("nan")
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -1,4 +1,4 @@
-"""Benchmark of planned stops in simulated fleets: counts, no times."""
+"""Benchmark of planned stops in simulated fleets."""
 
 import random
 
@@ -8,33 +8,33 @@
 from standins.stop_simulation import STOP_SECONDS, converged_fleet
 from tests.test_fleet_stops import Bill, in_turn
 
-#: VMs of the fleets that are compared.
+#: Sizes of the compared fleets.
 SMALL, LARGE = 30, 72
 STOPS = 3
 CLIENTS = 100
-#: Seconds between the starts of two VMs of a failure domain that comes back.
+#: Seconds between the restarts of the VMs of a failure domain.
 RETURN_SECONDS = 2.0
-#: Times what a stop costs each VM of the small fleet that it may cost in the large one.
-MOST_GROWTH = 2.0
+#: Maximum ratio of the cost of a stop per VM in the large and the small fleet.
+MAX_GROWTH = 2.0
 
 
 def bench_stops(report):
-    """What a stop costs each VM, by the size of the fleet, and where clients go."""
+    """Membership updates per stop and VM, and the balance of client connections."""
     random.seed(1)
     report.add(
         Row(
             f"news of a stop, a VM, {LARGE} VMs",
-            _news_of_a_stop(LARGE),
-            _news_of_a_stop(SMALL),
+            _updates_per_stop(LARGE),
+            _updates_per_stop(SMALL),
             "",
             f"{SMALL} VMs",
-            MOST_GROWTH,
+            MAX_GROWTH,
         )
     )
     report.add(
         Row(
             "most clients of a VM, a failure domain returns",
-            _most_over_share(),
+            _max_relative_load(),
             1.0,
             "",
             "an even share",
@@ -43,13 +43,13 @@
     )
 
 
-def _news_of_a_stop(size):
+def _updates_per_stop(size):
     bill = Bill(converged_fleet(size), in_turn(STOPS))
     return bill.spent.updates / bill.stops / size
 
 
-def _most_over_share():
-    """Return the most that one VM is named for over its even share of the clients."""
+def _max_relative_load():
+    """Return the largest load of a VM relative to its fair share."""
     fleet = converged_fleet(LARGE, loss=0.1)
     clients = SimulatedClients(fleet, CLIENTS)
     clients.run(3 * LOOKUP_TTL)
@@ -57,10 +57,10 @@
     stopped = [vm for vm in fleet.serving() if vm.domain == domain]
     for number, vm in enumerate(stopped):
         fleet.stop(vm, STOP_SECONDS + RETURN_SECONDS * number)
-    most = 0.0
+    max_load = 0.0
     for _ in stopped:
         clients.run(RETURN_SECONDS)
-        most = max(
-            most, *clients.relative_load(clients.expected_connections()).values()
+        max_load = max(
+            max_load, *clients.relative_load(clients.expected_connections()).values()
         )
-    return most
+    return max_load
--- a/standins/lab/report.py
+++ b/standins/lab/report.py
@@ -17,7 +17,7 @@
 class Group:
     """Counts and latencies of a group of requests.
 
-    :param aim: latency objective in seconds.
+    :param latency_objective: objective in seconds.
     """
 
     def __init__(self, results, latency_objective):
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -65,7 +65,7 @@
 class SentRequest:
     """A request and its response; ``status`` is ``None`` when there was none."""
 
-    __slots__ = ("id", "safe", "body", "status", "headers", "answer")
+    __slots__ = ("id", "safe", "body", "status", "headers", "response_body")
 
     def __init__(self, id, safe, body):
         self.id = id
@@ -73,7 +73,7 @@
         self.body = body
         self.status = None
         self.headers = {}
-        self.answer = b""
+        self.response_body = b""
 
 
 class Clients:
@@ -116,12 +116,12 @@
     def _send(self, vm, request):
         method, path = ("GET", "/one/two/x") if request.safe else ("POST", "/one/x")
         try:
-            answer = self._fleet.send(
+            response = self._fleet.send(
                 vm, method, path, request.id, request.body or None, WAIT_MS
             )
         except (OSError, HTTPException):
             return
-        request.status, request.headers, request.answer = answer
+        request.status, request.headers, request.response_body = response
 
 
 class FaultInjector:
@@ -331,7 +331,7 @@
         yield f"{request.id}: successful response without the target's signature"
     if request.headers.get("request-id") != request.id:
         yield f"{request.id}: response to another request"
-    if request.answer != sha256(request.body).hexdigest().encode():
+    if request.response_body != sha256(request.body).hexdigest().encode():
         yield f"{request.id}: incomplete response"
 
 
@@ -375,7 +375,7 @@
         spans = fleet.spans()
         violations.extend(stops.check(spans))
         ends = Counter(request.status for request in clients.sent)
-        ends.update(stops.ends(spans))
+        ends.update(stops.outcome_counts(spans))
     if violations:
         violations.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
     return violations, ends
--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -225,7 +225,7 @@
                 f"{attempt.ended_at - attempt.sent_at:.2f} s"
             )
 
-    def ends(self, spans):
+    def outcome_counts(self, spans):
         """Return the number of requests near the planned stops by outcome."""
         tally = self._tally(spans)
         counts = tally.counts() if tally else {}
--- a/standins/stops/connection.py
+++ b/standins/stops/connection.py
@@ -130,7 +130,7 @@
     def abandon(self, client_timed_out=False):
         """Mark the connection closed and return the attempts without a response.
 
-        :param left: whether the client closed it.
+        :param client_timed_out: whether the client closed it.
         """
         now = self._clock.now()
         if self._opened.closed_at is None:
--- a/standins/stops/deployment.py
+++ b/standins/stops/deployment.py
@@ -27,8 +27,8 @@
     :param domains: ``{failure domain: region}``.
     :param vms: VMs in each failure domain.
     :param targets: targets in each failure domain.
-    :param ahead: number of pipelining clients.
-    :param kept: number of other clients with a persistent connection.
+    :param pipelining: number of pipelining clients.
+    :param persistent: number of other clients with a persistent connection.
     :param single: requests per second with a connection of their own.
     :param objects: number of objects that are requested repeatedly.
     """
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the build."""
+"""Tools for the build and for checks of the test suite."""
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,7 +1,7 @@
-"""Builds the program as one file: a zip application with every pure-Python dependency.
+"""Builds the program as one file: a zip application with all dependencies.
 
-The archive is the same byte for byte for the same sources and locked packages: entries
-are sorted and carry a fixed date. Nothing is unpacked when it runs.
+Builds are reproducible: entries are sorted and have a fixed date. The application runs
+without unpacking.
 """
 
 import subprocess
@@ -15,13 +15,13 @@
 SHEBANG = b"#!/usr/bin/env python3\n"
 MAIN = b"from heathercleat.cli import main\n\nmain()\n"
 EXECUTABLE = 0o755
-#: The C library's own accelerators cannot be loaded from an archive; each of these
-#: packages falls back on Python.
-LEFT_OUT = (".so", ".pyc", ".dist-info", "__pycache__", ".pth")
+#: Suffixes of omitted files. Extension modules cannot be loaded from an archive; the
+#: packages have fallbacks in Python.
+OMITTED_SUFFIXES = (".so", ".pyc", ".dist-info", "__pycache__", ".pth")
 
 
 def build(path):
-    """Write the program to ``path``."""
+    """Write the executable archive to ``path``."""
     path.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as folder:
         _install(folder)
@@ -46,11 +46,11 @@
 
 
 def _entries(folder):
-    """Yield ``(name in the archive, bytes)`` of the files below a folder."""
+    """Yield ``(name in the archive, content)`` of the files below a folder."""
     for path in folder.rglob("*"):
         name = path.relative_to(folder).as_posix()
         parts = name.split("/")
-        if path.is_dir() or any(part.endswith(LEFT_OUT) for part in parts):
+        if path.is_dir() or any(part.endswith(OMITTED_SUFFIXES) for part in parts):
             continue
         if parts[0] == "bin":
             continue
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,8 +1,8 @@
-"""Takes one mechanism out at a time and shows that a test notices it.
+"""Mutation tests: disables one mechanism at a time and checks that a test fails.
 
-Each mutation replaces a piece of a source file in a copy of the tree and runs the tests
-that have to fail then. ``python tools/mutations.py [NAME...]`` prints a line for each
-and exits with 1 when the tests passed all the same.
+Each mutation replaces a text of a source file in a copy of the tree and runs the tests
+that must fail. ``python tools/mutations.py [NAME...]`` prints a line for each mutation
+and exits with 1 if the tests pass with one.
 """
 
 import os
@@ -13,20 +13,20 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-COPIED = ("src", "tests", "standins", "bench", "tools", "pyproject.toml", "docs")
+COPIED_PATHS = ("src", "tests", "standins", "bench", "tools", "pyproject.toml", "docs")
 STEERING = "src/heathercleat/steering"
-#: Seconds after which tests that do not end count as failed.
-TEST_SECONDS = 90
+#: Seconds after which the tests of a mutation count as failed.
+TEST_TIMEOUT_SECONDS = 90
 
 
 class Mutation:
-    """A mechanism taken out.
+    """A change of the source that disables a mechanism.
 
-    :param name: the rule that it guards.
+    :param name: unique; starts with the name of the rule that the mechanism enforces.
     :param file: path of the source file.
-    :param old: the text that is replaced; it has to stand there once.
-    :param new: the text in its place.
-    :param tests: what to run, as pytest takes it.
+    :param old: the text to replace; it must occur exactly once.
+    :param new: the replacement.
+    :param tests: the arguments for pytest.
     """
 
     __slots__ = ("name", "file", "old", "new", "tests")
@@ -39,15 +39,15 @@
         self.tests = tests
 
     def apply(self, root):
-        """Change the copy below ``root``.
+        """Apply the change to the copy of the tree at ``root``.
 
-        :raises ValueError: when the text does not stand there once.
+        :raises ValueError: when the text does not occur exactly once.
         """
         path = root / self.file
         text = path.read_text()
         if text.count(self.old) != 1:
             count = text.count(self.old)
-            message = f"{self.name}: {self.old!r} stands {count} times, not once"
+            message = f"{self.name}: {self.old!r} occurs {count} times, not once"
             raise ValueError(message)
         path.write_text(text.replace(self.old, self.new))
 
@@ -885,11 +885,11 @@
 )
 
 
-def passes(mutation):
-    """Return whether the tests pass although the mechanism is taken out."""
+def tests_pass(mutation):
+    """Return whether the tests pass in spite of the mutation."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         root = Path(folder)
-        for name in COPIED:
+        for name in COPIED_PATHS:
             source = ROOT / name
             copy = shutil.copytree if source.is_dir() else shutil.copy
             copy(source, root / name)
@@ -902,7 +902,7 @@
                 cwd=root,
                 env=environment,
                 capture_output=True,
-                timeout=TEST_SECONDS,
+                timeout=TEST_TIMEOUT_SECONDS,
             )
         except subprocess.TimeoutExpired:
             return False
@@ -912,15 +912,15 @@
 def main():
     """Run the mutations named in the arguments, or all of them."""
     wanted = sys.argv[1:] or [each.name for each in MUTATIONS]
-    unnoticed = []
+    survived = []
     for mutation in MUTATIONS:
         if mutation.name not in wanted:
             continue
-        if passes(mutation):
-            unnoticed.append(mutation.name)
-        verdict = "NOT NOTICED" if mutation.name in unnoticed else "noticed"
+        if tests_pass(mutation):
+            survived.append(mutation.name)
+        verdict = "NOT NOTICED" if mutation.name in survived else "noticed"
         print(f"{mutation.name}: {verdict}", flush=True)
-    sys.exit(1 if unnoticed else 0)
+    sys.exit(1 if survived else 0)
 
 
 if __name__ == "__main__":
