--- a/bench/places.py
+++ b/bench/places.py
@@ -21,8 +21,8 @@
 CALLS = 2000
 ROUND_TRIP_SECONDS = 0.024
 FEW_TARGETS, MANY_TARGETS = 60, 1_900
-#: Maximum ratio of the times with many and with few targets; a search of all targets
-#: exceeds it.
+#: Maximum ratio of the times with many and with few targets, far below the ratio of
+#: their numbers.
 MAX_GROWTH = 10.0
 
 
