--- a/src/heathercleat/process/fence.py
+++ b/src/heathercleat/process/fence.py
@@ -21,7 +21,7 @@
     def __init__(self, networks=()):
         self._networks = [ip_network(network) for network in networks]
 
-    def covers(self, host):
+    def contains(self, host):
         """Return whether ``host``, an IP address, is in one of the networks."""
         if not self._networks:
             return False
@@ -30,5 +30,5 @@
 
     async def wait_if_fenced(self, host):
         """Return at once, or after ``SILENT_SECONDS`` if ``host`` is fenced."""
-        if self.covers(host):
+        if self.contains(host):
             await sleep(SILENT_SECONDS)
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -6,21 +6,21 @@
 class TargetLog:
     """Writes a log line for each change of a target.
 
-    The sequence number of the report and the version of the row tell in which order
-    entries were reported and written.
+    The sequence number of the report and the version of the row show the order in
+    which entries were reported and written.
     """
 
     def __init__(self, journal):
         self._journal = journal
 
-    def listed(self, entries):
+    def log_list(self, entries):
         """Log the number of targets of each service in the first table."""
         services = {}
         for entry in entries:
             services[entry.service] = services.get(entry.service, 0) + 1
         self._journal.write(Event.TARGETS_LISTED, services=services)
 
-    def found(self, entry):
+    def log_found(self, entry):
         """Log the first entry of a target."""
         self._journal.write(
             Event.TARGET_FOUND,
@@ -34,18 +34,18 @@
             version=entry.version,
         )
 
-    def restarted(self, before, entry):
+    def log_restart(self, previous, entry):
         """Log that a target restarted under the same id."""
         self._journal.write(
             Event.TARGET_RESTARTED,
             target=entry.id,
             started_ms=entry.started_ms,
-            started_ms_before=before.started_ms,
+            started_ms_before=previous.started_ms,
             cold_for=entry.cold_for,
             draining=entry.draining,
         )
 
-    def log_draining(self, before, entry):
+    def log_draining(self, previous, entry):
         """Log that a target started or stopped draining."""
         event = Event.TARGET_DRAINING if entry.draining else Event.TARGET_REOPENED
         self._journal.write(
@@ -53,23 +53,23 @@
             target=entry.id,
             reason="entry",
             sequence=entry.sequence,
-            sequence_before=before.sequence,
+            sequence_before=previous.sequence,
             version=entry.version,
         )
 
-    def outdated(self, before, entry):
+    def log_outdated(self, previous, entry):
         """Log that an entry is older than a known one and was ignored."""
         self._journal.write(
             Event.ENTRY_OUTDATED,
             target=entry.id,
             sequence=entry.sequence,
-            sequence_before=before.sequence,
+            sequence_before=previous.sequence,
             started_ms=entry.started_ms,
-            started_ms_before=before.started_ms,
+            started_ms_before=previous.started_ms,
             version=entry.version,
         )
 
-    def lapsing(self, target_id, seconds):
+    def log_lapse(self, target_id, seconds):
         """Log that a target is used for some seconds without an entry."""
         self._journal.write(
             Event.TARGET_LAPSING, target=target_id, seconds=round(seconds, 3)
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -20,17 +20,17 @@
 class CrashPolicy:
     """When requests of a key are refused, and for how long.
 
-    :param ends: number of crashes from which requests are refused.
+    :param crashes_to_refuse: number of crashes from which requests are refused.
     :param crashes_to_stop_retries: number of crashes from which a request is no longer
         retried at another target.
-    :param initial_refusal_seconds: seconds of refusal after ``ends`` crashes; doubles
+    :param initial_refusal_seconds: seconds of refusal after that many crashes; doubles
         with each further crash.
     :param max_refusal_seconds: upper limit of the seconds of refusal.
-    :param memory: seconds after the last crash for which crashes count.
+    :param retention_seconds: seconds after the last crash for which crashes count.
     """
 
     __slots__ = (
-        "ends",
+        "crashes_to_refuse",
         "crashes_to_stop_retries",
         "initial_refusal_seconds",
         "max_refusal_seconds",
@@ -39,13 +39,13 @@
 
     def __init__(
         self,
-        ends,
+        crashes_to_refuse,
         crashes_to_stop_retries,
         initial_refusal_seconds,
         max_refusal_seconds,
         retention_seconds,
     ):
-        self.ends = ends
+        self.crashes_to_refuse = crashes_to_refuse
         self.crashes_to_stop_retries = crashes_to_stop_retries
         self.initial_refusal_seconds = initial_refusal_seconds
         self.max_refusal_seconds = max_refusal_seconds
@@ -54,17 +54,17 @@
     def refusal_seconds(self, count):
         """Return the seconds for which requests are refused after a crash.
 
-        :param count: number of known crashes, at least ``ends``.
+        :param count: number of known crashes, at least ``crashes_to_refuse``.
         """
         return min(
             self.max_refusal_seconds,
-            self.initial_refusal_seconds * 2 ** (count - self.ends),
+            self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse),
         )
 
 
 #: A request that crashes targets does so each time, and is refused for a day.
 REQUEST_POLICY = CrashPolicy(3, 2, 86_400.0, 86_400.0, 600.0)
-#: A sender may also send harmless requests; one of them is tried after each refusal.
+#: A sender may also send harmless requests: after each refusal one request may run.
 SENDER_POLICY = CrashPolicy(3, 3, 5.0, 300.0, 600.0)
 #: Mild, since unknown senders share only their route and include all new callers.
 UNKNOWN_SENDERS_POLICY = CrashPolicy(6, 6, 2.0, 30.0, 60.0)
@@ -96,16 +96,16 @@
 
     :param sender: digest of the sender, as hexadecimal digits.
     """
-    return SENDER_PREFIX + _place(service, route) + sender
+    return SENDER_PREFIX + _route_digest(service, route) + sender
 
 
 def unknown_senders_key(service, route):
     """Return the key of unknown senders' requests on one route to one service."""
-    return UNKNOWN_SENDERS_PREFIX + _place(service, route)
+    return UNKNOWN_SENDERS_PREFIX + _route_digest(service, route)
 
 
 @lru_cache(maxsize=MAX_CACHED_ROUTES)
-def _place(service, route):
+def _route_digest(service, route):
     """Return a digest of a route to a service, as hexadecimal digits."""
     text = f"{len(service)}:{service}{route}".encode()
     return blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -15,7 +15,7 @@
 from heathercleat.process.capacity.slots import SlotLedger, SlotUse
 from heathercleat.process.clock import DISTANT_PAST
 from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
-from heathercleat.process.membership.peer_links import CALL_TIMEOUT
+from heathercleat.process.membership.peer_links import CALL_TIMEOUT_SECONDS
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
 
@@ -63,7 +63,7 @@
         return Handover(told, dict.fromkeys(told, []), [])
 
     def acquire(self):
-        self.homes._follow_text()
+        self.homes._apply_configuration()
         run(self.homes._acquire_missing)
 
     def wait(self, seconds):
@@ -83,7 +83,7 @@
     parts = Parts()
     parts.acquire()
     assert not parts.ledger.targets
-    parts.wait(CALL_TIMEOUT)
+    parts.wait(CALL_TIMEOUT_SECONDS)
     parts.record(ENDED, "dead")
     parts.acquire()
     assert parts.held == [7]
@@ -121,7 +121,7 @@
     target = parse_text(json.dumps(make_text())).services["lookup"].targets[TARGET]
     ledgers = [SlotLedger(ManualClock()) for _ in range(2)]
     first, second = (
-        ledger.take(ledger.adopt(target, []), DISTANT_PAST) for ledger in ledgers
+        ledger.claim(ledger.adopt(target, []), DISTANT_PAST) for ledger in ledgers
     )
     assert first.id != second.id
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -74,8 +74,8 @@
     Mutation(
         "TWICE",
         f"{STEERING}/request/steer.py",
-        "not call.route.kind.is_idempotent or self._runs",
-        "self._runs",
+        "            not call.route.kind.is_idempotent\n            or self._run_count",
+        "            self._run_count",
         "tests/test_steer.py",
         "-k",
         "may_have_run",
@@ -98,8 +98,8 @@
     Mutation(
         "BUDGET",
         f"{STEERING}/request/steer.py",
-        "        spent = budget.spend(now)",
-        "        spent = budget.spend(now) or True",
+        "        spent = budget.withdraw(now)",
+        "        spent = budget.withdraw(now) or True",
         "tests/test_steer.py",
     ),
     Mutation(
@@ -167,7 +167,7 @@
     Mutation(
         "LOST-repeats",
         f"{STEERING}/request/steer.py",
-        "elif self._steering._departure.is_too_late(call, now):",
+        "elif self._steering._shutdown.is_too_late(call, now):",
         "elif False:",
         "tests/test_departure.py",
     ),
@@ -192,7 +192,7 @@
     Mutation(
         "LOST-waits-alone",
         f"{STEERING}/connection/pipeline.py",
-        "if self._alone is not None:",
+        "if self._exclusive is not None:",
         "if False:",
         "tests/test_pipelining.py",
         "-k",
@@ -201,7 +201,7 @@
     Mutation(
         "MIXED-order",
         f"{STEERING}/connection/pipeline.py",
-        "if not self.before.sent:",
+        "if not self.previous.is_sent:",
         "if False:",
         "tests/test_pipelining.py",
     ),
@@ -215,7 +215,7 @@
     Mutation(
         "RESTS",
         f"{STEERING}/process/capacity/ejection_limit.py",
-        "resting + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
+        "ejected_count + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
         "True",
         "tests/test_rests.py",
     ),
@@ -255,7 +255,7 @@
     Mutation(
         "DRAIN-lapse-extended",
         f"{STEERING}/process/capacity/registry.py",
-        "            until = min(until, known_until)\n",
+        "            until = min(until, current_until)\n",
         "            pass\n",
         "tests/test_lapses.py",
         "tests/test_registry.py",
@@ -286,9 +286,9 @@
     Mutation(
         "GONE-owner-is-told",
         f"{STEERING}/request/forward.py",
-        "call.on_disconnect = StreamCut(stream)",
+        "call.on_disconnect = StreamInterrupter(stream)",
         "call.on_disconnect = call.route.kind.is_idempotent and "
-        "StreamCut(stream) or None",
+        "StreamInterrupter(stream) or None",
         "tests/test_callers_that_leave.py",
     ),
     Mutation(
@@ -312,7 +312,7 @@
     Mutation(
         "DRAIN-delayed-report-of-a-target-that-left",
         f"{STEERING}/process/capacity/registry.py",
-        "        if before is None and departed is not None:\n",
+        "        if before is None and removed_target is not None:\n",
         "        if False:\n",
         "tests/test_target_incarnations.py",
         "tests/test_registry.py",
@@ -557,8 +557,8 @@
     Mutation(
         "HANDOVER-held-slots",
         f"{STEERING}/process/capacity/slots.py",
-        "        elsewhere = self._held.count(self.entry.id, now)\n",
-        "        elsewhere = 0\n",
+        "        other_load = self._held_slots.count(self.entry.id, now)\n",
+        "        other_load = 0\n",
         "tests/test_handing_over.py",
         "-k",
         "hands_its_slots_over",
@@ -566,8 +566,9 @@
     Mutation(
         "HANDOVER-owner-before",
         f"{STEERING}/process/capacity/slots.py",
-        "            self._held.add_target(target_id, "
-        "self._owners.previous_owner_of(target_id))\n",
+        "            self._held_slots.add_target(\n"
+        "                target_id, self._owners.previous_owner_of(target_id)\n"
+        "            )\n",
         "",
         "tests/test_handing_over.py",
         "-k",
@@ -576,8 +577,10 @@
     Mutation(
         "HANDOVER-owner-before-untold",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            self._put(target_id, former, Hold(_ALL, now + "
-        "FORMER_OWNER_REPORT_SECONDS))\n",
+        "            self._set_hold(\n"
+        "                target_id, former, "
+        "Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS)\n"
+        "            )\n",
         "            pass\n",
         "tests/test_handing_over.py",
         "-k",
@@ -613,8 +616,8 @@
     Mutation(
         "HANDOVER-hold-ends",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._runs(vm)\n",
-        "            if self._runs(vm)\n",
+        "            if now < hold.until and self._is_same_process(vm)\n",
+        "            if self._is_same_process(vm)\n",
         "tests/test_handing_over.py",
         "-k",
         "Holds or lost_heartbeats",
@@ -622,7 +625,7 @@
     Mutation(
         "HANDOVER-end-of-a-process",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._runs(vm)\n",
+        "            if now < hold.until and self._is_same_process(vm)\n",
         "            if now < hold.until\n",
         "tests/test_handing_over.py",
         "-k",
@@ -748,7 +751,7 @@
     Mutation(
         "QUARANTINE-answers",
         f"{STEERING}/process/quarantine/responses.py",
-        "return answered_at is not None and now - answered_at <= EXEMPTION_SECONDS",
+        "return responded_at is not None and now - responded_at <= EXEMPTION_SECONDS",
         "return False",
         "tests/test_suspects.py",
         "-k",
@@ -764,8 +767,8 @@
     Mutation(
         "QUARANTINE-expiry",
         f"{STEERING}/process/quarantine/suspects.py",
-        "if not added.any:",
-        "if not added.any and not ends:",
+        "if not change.any:",
+        "if not change.any and not ends:",
         "tests/test_suspects.py",
         "-k",
         "alive",
@@ -782,7 +785,7 @@
     Mutation(
         "QUARANTINE-same-ends-kept",
         f"{STEERING}/process/quarantine/suspect.py",
-        "kept = nsmallest(MAX_CRASHES, self.ends, key=self._order)",
+        "kept = nsmallest(MAX_CRASHES, self.ends, key=self._sort_key)",
         "kept = self.ends[:MAX_CRASHES]",
         "tests/test_suspects.py",
         "-k",
@@ -810,8 +813,8 @@
     Mutation(
         "CONTAINED-known-senders",
         f"{STEERING}/request/containment.py",
-        "return (own,) if is_known else (own, strangers)",
-        "return (own, strangers)",
+        "return (sender_group,) if is_known else (sender_group, unknown_senders_group)",
+        "return (sender_group, unknown_senders_group)",
         "tests/test_containment.py",
         "-k",
         "known_senders_are_not",
@@ -839,7 +842,7 @@
     Mutation(
         "CONTAINED-one-trial",
         f"{STEERING}/request/containment.py",
-        "            if trial.until > now:\n",
+        "            if trial.expires_at > now:\n",
         "            if False:\n",
         "tests/test_containment.py",
         "-k",
@@ -848,7 +851,7 @@
     Mutation(
         "CONTAINED-longer-holds",
         f"{STEERING}/process/quarantine/policies.py",
-        "self.initial_refusal_seconds * 2 ** (count - self.ends)",
+        "self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse)",
         "self.initial_refusal_seconds",
         "tests/test_containment.py",
         "-k",
@@ -867,8 +870,8 @@
     Mutation(
         "CONTAINED-few-targets",
         f"{STEERING}/request/destinations.py",
-        "confined = self._confined(choice) if call.needs_isolation else None",
-        "confined = None",
+        "isolated = self._isolated(eligible) if call.needs_isolation else None",
+        "isolated = None",
         "tests/test_containment.py",
         "-k",
         "one_of_few",
@@ -876,7 +879,7 @@
     Mutation(
         "QUARANTINE-evidence",
         f"{STEERING}/process/capacity/crash_detector.py",
-        "return entry.incarnation_id in self._ended",
+        "return entry.incarnation_id in self._crashed",
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
