--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -163,17 +163,17 @@
         query = {"service": "lookup"}
         service = vm.text.services["lookup"]
 
-        def answer(vm=vm, query=query):
+        def run_lookup(vm=vm, query=query):
             answer_lookup(vm, query, "10.0.0.1")
 
         def rebuild(vm=vm, service=service):
             vm.candidates._candidates.clear()
             vm.candidates.find(service, "fd-0")
 
-        answer()
+        run_lookup()
         fits.add("look-up: candidates", "ms", vms, mean_cpu_seconds(rebuild, 20) * 1e3)
         vm.candidates.find(service, "fd-0")
-        fits.add("look-up: answer", "us", vms, mean_cpu_seconds(answer, 500) * 1e6)
+        fits.add("look-up: answer", "us", vms, mean_cpu_seconds(run_lookup, 500) * 1e6)
 
 
 def adopt(vms):
--- a/bench/control.py
+++ b/bench/control.py
@@ -69,12 +69,12 @@
                 fleet.switch_platform(down=True)
                 time.sleep(1.5)
             rng = random.Random(7)
-            answers, runs = sweep(fleet, partial(fault, fleet, rng))
-        counts = Counter(answers.values())
+            outcomes, runs = sweep(fleet, partial(fault, fleet, rng))
+        counts = Counter(outcomes.values())
         shares[name] = counts["unknown"] / max(1, sum(counts.values()))
         doubled = sum(1 for count in runs.values() if count > 1)
         false = sum(
-            1 for key, word in answers.items() if word == "not-run" and runs[key]
+            1 for key, word in outcomes.items() if word == "not-run" and runs[key]
         )
         report.add(Row(f"doubled or false, {name}", doubled + false, 1.0, "", "one", 0))
         report.add(
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -102,13 +102,15 @@
 
     def _show_at_most_once(self, service, path, what):
         key = f"demo {what}"
-        answers = [
+        responses = [
             self._caller.send_at_most_once(service, "POST", path, b"{}", key)
             for _ in range(2)
         ]
         runs = sum(1 for run in self._fleet.runs() if run[2] == key)
-        same = answers[0][2] == answers[1][2]
-        passed = runs == 1 and same and all(answer[0] == 200 for answer in answers)
+        same = responses[0][2] == responses[1][2]
+        passed = (
+            runs == 1 and same and all(response[0] == 200 for response in responses)
+        )
         self._record_step(what, passed, f"sent twice, ran {runs} time(s)")
 
     def show_upload(self):
--- a/standins/simulated_clients.py
+++ b/standins/simulated_clients.py
@@ -103,10 +103,10 @@
         for vm in self._nearest(client.domain, region):
             if not vm.running:
                 continue
-            answer = vm.lookup(region, client.domain)
-            if answer.addresses:
-                client.addresses = tuple(sorted(map(_ip, answer.addresses)))
-                client.expires_at = now + client.ttl_factor * answer.ttl
+            response = vm.lookup(region, client.domain)
+            if response.addresses:
+                client.addresses = tuple(sorted(map(_ip, response.addresses)))
+                client.expires_at = now + client.ttl_factor * response.ttl
                 client.failed.clear()
                 if client.vm not in client.addresses:
                     client.vm = None
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -121,7 +121,7 @@
         "planned_stop",
     ),
     Mutation(
-        "LOST-departure",
+        "LOST-send-deadline",
         f"{STEERING}/process/shutdown.py",
         "return now >= self.send_deadline(call)",
         "return False",
@@ -129,28 +129,28 @@
         "tests/test_planned_stops.py",
     ),
     Mutation(
-        "LOST-owner-is-told",
+        "LOST-owner-send-deadline",
         f"{STEERING}/request/local.py",
         "if now >= call.send_deadline:",
         "if False:",
         "tests/test_departure.py",
     ),
     Mutation(
-        "LOST-little-known",
+        "LOST-few-run-times",
         f"{STEERING}/process/capacity/run_times.py",
         "if len(self.latest) < MIN_RUNS:",
         "if not self.latest:",
         "tests/test_departure.py",
     ),
     Mutation(
-        "LOST-runs-under-way",
+        "LOST-runs-in-flight",
         f"{STEERING}/process/capacity/run_times.py",
         "max(*self.latest, *ages)",
         "max(*self.latest, 0.0)",
         "tests/test_departure.py",
     ),
     Mutation(
-        "LOST-late-in-a-stop",
+        "LOST-late-in-shutdown",
         f"{STEERING}/process/shutdown.py",
         "if call.arrived_at >= self._keeps_until:",
         "if False:",
@@ -158,14 +158,14 @@
         "tests/test_planned_stops.py",
     ),
     Mutation(
-        "LOST-failures-hide-runs",
+        "LOST-short-failures-counted",
         f"{STEERING}/process/capacity/run_times.py",
         "if run.succeeded or seconds >",
         "if True or seconds >",
         "tests/test_departure.py",
     ),
     Mutation(
-        "LOST-repeats",
+        "LOST-late-retries",
         f"{STEERING}/request/steer.py",
         "elif self._steering._shutdown.is_too_late(call, now):",
         "elif False:",
@@ -181,7 +181,7 @@
         "kept_connection",
     ),
     Mutation(
-        "LOST-sent-ahead",
+        "LOST-pipelined",
         f"{STEERING}/connection/client.py",
         "if self._clock.now() >= self._node.shutdown.keep_alive_until:",
         "if False:",
@@ -190,7 +190,7 @@
         "always_sends_ahead",
     ),
     Mutation(
-        "LOST-waits-alone",
+        "LOST-exclusive-request",
         f"{STEERING}/connection/pipeline.py",
         "if self._exclusive is not None:",
         "if False:",
@@ -206,14 +206,14 @@
         "tests/test_pipelining.py",
     ),
     Mutation(
-        "SHIFT-homes",
+        "SHIFT-affinity-targets",
         f"{STEERING}/request/estimates.py",
         "self._response_times.at_known_object(route.name)",
         "self._response_times.at_affinity_target(route.name)",
         "tests/test_object_homes.py",
     ),
     Mutation(
-        "RESTS",
+        "EJECTIONS",
         f"{STEERING}/process/capacity/ejection_limit.py",
         "ejected_count + 1 <= max(1.0, MAX_EJECTED_SHARE * len(limits))",
         "True",
@@ -238,7 +238,7 @@
         "replaced_target",
     ),
     Mutation(
-        "DRAIN-deadline-of-a-lapse",
+        "DRAIN-lapse-deadline",
         f"{STEERING}/process/node.py",
         "            self._registry.expire()\n",
         "",
@@ -261,21 +261,21 @@
         "tests/test_registry.py",
     ),
     Mutation(
-        "DRAIN-lapse-told-by-others",
+        "DRAIN-lapse-known-by-peers",
         f"{STEERING}/process/capacity/registry.py",
         "            if lapsing is not None:\n",
         "            if False:\n",
         "tests/test_registry.py",
     ),
     Mutation(
-        "DRAIN-removed-row-passed-on",
+        "DRAIN-removed-row-relayed",
         f"{STEERING}/process/store/table_copy.py",
         "            self._rows.pop(row.key, None)\n",
         "",
         "tests/test_lapses.py",
     ),
     Mutation(
-        "DRAIN-earlier-change-of-a-row",
+        "DRAIN-older-row-version",
         f"{STEERING}/process/store/table_copy.py",
         "row.version <= (known.version if known else self._gone_at(row.key))",
         "False",
@@ -284,7 +284,7 @@
         "earlier_change",
     ),
     Mutation(
-        "GONE-owner-is-told",
+        "GONE-owner-notified",
         f"{STEERING}/request/forward.py",
         "call.on_disconnect = StreamInterrupter(stream)",
         "call.on_disconnect = call.route.kind.is_idempotent and "
@@ -310,7 +310,7 @@
         "delayed",
     ),
     Mutation(
-        "DRAIN-delayed-report-of-a-target-that-left",
+        "DRAIN-delayed-report-of-removed-target",
         f"{STEERING}/process/capacity/registry.py",
         "        if before is None and removed_target is not None:\n",
         "        if False:\n",
@@ -404,7 +404,7 @@
         "tests/test_membership.py",
     ),
     Mutation(
-        "STOP-told-once",
+        "STOP-announced-once",
         f"{STEERING}/process/membership/gossip.py",
         "        self._leaving_until = self._clock.now() + LEAVE_SECONDS\n",
         "",
@@ -413,7 +413,7 @@
         "leave",
     ),
     Mutation(
-        "STOP-not-told-to-vms-that-leave",
+        "STOP-not-announced-to-leaving-vms",
         f"{STEERING}/process/membership/gossip.py",
         "        if member.serving or self._members.topology.is_mesh:\n",
         "        if True:\n",
@@ -422,14 +422,14 @@
         "leave",
     ),
     Mutation(
-        "STOP-crowd-at-first-vms-back",
+        "STOP-overload-of-first-restarted-vms",
         f"{STEERING}/process/directory.py",
         "        if len(here) >= least:\n",
         "        if True:\n",
         "tests/test_look_ups.py",
     ),
     Mutation(
-        "STOP-short-answers",
+        "STOP-short-lookup-ttl",
         f"{STEERING}/process/directory.py",
         "        return LOOKUP_TTL if stays else SHORT_LOOKUP_TTL_SECONDS\n",
         "        return LOOKUP_TTL\n",
@@ -447,7 +447,7 @@
         "rows",
     ),
     Mutation(
-        "STOP-next-process-not-greeted",
+        "STOP-no-heartbeat-to-restarted-vm",
         f"{STEERING}/process/membership/gossip.py",
         " or before.incarnation != beat.own.incarnation",
         "",
@@ -456,7 +456,7 @@
         "starts_again",
     ),
     Mutation(
-        "STOP-greets-in-a-small-fleet-only",
+        "STOP-first-heartbeats-in-small-fleets-only",
         f"{STEERING}/process/membership/gossip.py",
         "        if self._is_starting():\n            # It may",
         "        if False:\n            # It may",
@@ -465,7 +465,7 @@
         "first_greeting",
     ),
     Mutation(
-        "SIZE-silent-start",
+        "SIZE-long-silence-at-start",
         f"{STEERING}/process/membership/gossip.py",
         "min(unheard / MOST_PER_SECOND, IDLE_INTERVAL)",
         "unheard / MOST_PER_SECOND",
@@ -474,7 +474,7 @@
         "silent_for_long",
     ),
     Mutation(
-        "SIZE-greets-all",
+        "SIZE-first-heartbeats-to-all",
         f"{STEERING}/process/membership/gossip.py",
         "return sample(unheard, min(MOST_GREETED, len(unheard)))",
         "return unheard",
@@ -483,7 +483,7 @@
         "greetings",
     ),
     Mutation(
-        "SIZE-news-to-all",
+        "SIZE-updates-to-all",
         f"{STEERING}/process/membership/gossip.py",
         "        if not kind.is_partner:\n",
         "        if False:\n",
@@ -492,7 +492,7 @@
         "partner",
     ),
     Mutation(
-        "SIZE-news-told-often",
+        "SIZE-updates-repeated",
         f"{STEERING}/process/membership/pending_updates.py",
         "TELL_HEARTBEATS = 2.5",
         "TELL_HEARTBEATS = 25",
@@ -501,7 +501,7 @@
         "few_times",
     ),
     Mutation(
-        "SIZE-owners-of-every-change",
+        "SIZE-owners-recomputed",
         f"{STEERING}/process/membership/members.py",
         "        if owners == self._owners:\n",
         "        if False:\n",
@@ -519,7 +519,7 @@
         "own_targets_where_none_serves",
     ),
     Mutation(
-        "HANDOVER-looked-up",
+        "HANDOVER-lookups",
         f"{STEERING}/process/directory.py",
         "        named = active or self._members.leaving()\n",
         "        named = active\n",
@@ -564,7 +564,7 @@
         "hands_its_slots_over",
     ),
     Mutation(
-        "HANDOVER-owner-before",
+        "HANDOVER-previous-owner",
         f"{STEERING}/process/capacity/slots.py",
         "            self._held_slots.add_target(\n"
         "                target_id, self._owners.previous_owner_of(target_id)\n"
@@ -575,7 +575,7 @@
         "owner_before_it",
     ),
     Mutation(
-        "HANDOVER-owner-before-untold",
+        "HANDOVER-previous-owner-without-report",
         f"{STEERING}/process/capacity/held_slots.py",
         "            self._set_hold(\n"
         "                target_id, former, "
@@ -596,7 +596,7 @@
         "successor",
     ),
     Mutation(
-        "HANDOVER-stage-told-at-once",
+        "HANDOVER-stage-announced-at-once",
         f"{STEERING}/process/membership/gossip.py",
         "            notified.update(each.vm for each in near)\n",
         "            pass\n",
@@ -605,7 +605,7 @@
         "whole_failure_domain",
     ),
     Mutation(
-        "HANDOVER-heirs",
+        "HANDOVER-new-owners",
         f"{STEERING}/process/membership/gossip.py",
         "        live = map(self._members.live, self._heirs())\n",
         "        live = []\n",
@@ -623,7 +623,7 @@
         "Holds or lost_heartbeats",
     ),
     Mutation(
-        "HANDOVER-end-of-a-process",
+        "HANDOVER-process-exit",
         f"{STEERING}/process/capacity/held_slots.py",
         "            if now < hold.until and self._is_same_process(vm)\n",
         "            if now < hold.until\n",
@@ -632,7 +632,7 @@
         "Holds",
     ),
     Mutation(
-        "HANDOVER-reports-to-those-that-leave",
+        "HANDOVER-reports-to-leaving-vms",
         f"{STEERING}/process/membership/members.py",
         "        return [*self.active(), *stopping]\n",
         "        return self.active()\n",
@@ -641,7 +641,7 @@
         "goes_on_hearing",
     ),
     Mutation(
-        "SIZE-end-of-one-that-stops",
+        "SIZE-exit-of-stopping-vm",
         f"{STEERING}/process/membership/members.py",
         "            if not member.stops:\n",
         "            if True:\n",
@@ -650,7 +650,7 @@
         "no_further_picks",
     ),
     Mutation(
-        "BUDGET-vms-that-stop",
+        "BUDGET-stopping-vms",
         f"{STEERING}/process/membership/members.py",
         " if each.serving or each.stops]\n",
         " if each.serving]\n",
@@ -668,7 +668,7 @@
         "only_what_changed",
     ),
     Mutation(
-        "SIZE-first-read-told",
+        "SIZE-first-read-announced",
         f"{STEERING}/process/store/follower.py",
         "        return self._told_changed\n",
         "        return self.changed\n",
@@ -677,7 +677,7 @@
         "not_told",
     ),
     Mutation(
-        "SIZE-looks-without-news",
+        "SIZE-idle-polls",
         f"{STEERING}/process/store/follower.py",
         "IDLE_PEER_INTERVAL = 0.5",
         "IDLE_PEER_INTERVAL = 0.05",
@@ -704,7 +704,7 @@
         "came_and_went",
     ),
     Mutation(
-        "QUARANTINE-third-end",
+        "QUARANTINE-third-crash",
         f"{STEERING}/process/quarantine/policies.py",
         "REQUEST_POLICY = CrashPolicy(3, 2,",
         "REQUEST_POLICY = CrashPolicy(3000, 2,",
@@ -713,7 +713,7 @@
         "third_end",
     ),
     Mutation(
-        "QUARANTINE-news",
+        "QUARANTINE-updates",
         f"{STEERING}/process/membership/gossip.py",
         "is_partner and differs)",
         "False)",
@@ -722,7 +722,7 @@
         "in_time or starts",
     ),
     Mutation(
-        "QUARANTINE-told-until-equal",
+        "QUARANTINE-repeated-until-equal",
         f"{STEERING}/process/membership/gossip.py",
         "is_partner and differs)",
         "is_partner and bool(self._suspects.digest))",
@@ -731,7 +731,7 @@
         "nothing_is_told",
     ),
     Mutation(
-        "QUARANTINE-look-after-wait",
+        "QUARANTINE-check-after-wait",
         f"{STEERING}/request/local.py",
         "if self._suspects.refused_until(call.fingerprint) is not None:",
         "if False:",
@@ -749,7 +749,7 @@
         "passed_while",
     ),
     Mutation(
-        "QUARANTINE-answers",
+        "QUARANTINE-responses",
         f"{STEERING}/process/quarantine/responses.py",
         "return responded_at is not None and now - responded_at <= EXEMPTION_SECONDS",
         "return False",
@@ -758,7 +758,7 @@
         "soon_after",
     ),
     Mutation(
-        "QUARANTINE-end-counted-once",
+        "QUARANTINE-crash-counted-once",
         f"{STEERING}/process/quarantine/suspect.py",
         "            if incarnation_id not in self.ends:\n",
         "            if True:\n",
@@ -783,7 +783,7 @@
         "outlives",
     ),
     Mutation(
-        "QUARANTINE-same-ends-kept",
+        "QUARANTINE-same-crashes-kept",
         f"{STEERING}/process/quarantine/suspect.py",
         "kept = nsmallest(MAX_CRASHES, self.ends, key=self._sort_key)",
         "kept = self.ends[:MAX_CRASHES]",
@@ -820,7 +820,7 @@
         "known_senders_are_not",
     ),
     Mutation(
-        "CONTAINED-proven-run-on",
+        "CONTAINED-proven-requests",
         f"{STEERING}/request/containment.py",
         "if self._suspects.has_response(call.fingerprint):",
         "if False:",
@@ -829,7 +829,7 @@
         "whatever_its_sender or popular_request",
     ),
     Mutation(
-        "CONTAINED-answers",
+        "CONTAINED-responses",
         f"{STEERING}/process/quarantine/responses.py",
         "return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(\n"
         "            key, now\n"
@@ -849,7 +849,7 @@
         "one_trial",
     ),
     Mutation(
-        "CONTAINED-longer-holds",
+        "CONTAINED-longer-refusals",
         f"{STEERING}/process/quarantine/policies.py",
         "self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse)",
         "self.initial_refusal_seconds",
@@ -877,7 +877,7 @@
         "one_of_few",
     ),
     Mutation(
-        "QUARANTINE-evidence",
+        "QUARANTINE-crash-evidence",
         f"{STEERING}/process/capacity/crash_detector.py",
         "return entry.incarnation_id in self._crashed",
         "return True",
