--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -83,7 +83,7 @@
                 # Without a VM list, an unknown VM could be the home.
                 if self._vm.directory.is_known and self._membership.may_act():
                     await self._acquire_missing()
-                    await self._publisher.follow(dict(self._hold_ends()))
+                    await self._publisher.update(dict(self._hold_ends()))
             await sleep(CHECK_INTERVAL_SECONDS)
 
     def drop_all(self):
@@ -164,8 +164,8 @@
         While a new version spreads, the smaller of the old and new limits apply.
         """
         text, now = self._vm.text, self._clock.now()
-        settled = self._transition.expire_superseded(now)
-        if text is self._transition.text and not settled:
+        has_expired = self._transition.expire_superseded(now)
+        if text is self._transition.text and not has_expired:
             return
         if text is not self._transition.text:
             self._transition.adopt(text, now)
