--- a/src/heathercleat/process/fence.py
+++ b/src/heathercleat/process/fence.py
@@ -9,7 +9,7 @@
 from curio import sleep
 
 #: Seconds; longer than the deadline of any call.
-SILENT_SECONDS = 3600.0
+FENCED_DELAY_SECONDS = 3600.0
 
 
 class Fence:
@@ -29,6 +29,6 @@
         return any(address in network for network in self._networks)
 
     async def wait_if_fenced(self, host):
-        """Return at once, or after ``SILENT_SECONDS`` if ``host`` is fenced."""
+        """Return at once, or after ``FENCED_DELAY_SECONDS`` if ``host`` is fenced."""
         if self.contains(host):
-            await sleep(SILENT_SECONDS)
+            await sleep(FENCED_DELAY_SECONDS)
