--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -1,10 +1,9 @@
-"""Planned stops of the soak: signals in series that overlap, and what they must not do.
+"""Planned stops of the soak test, as overlapping sequences of signals.
 
-Clients keep connections, some sending ahead on them, until the process is gone. VMs
-are told to stop, told again, told to read their settings while they stop, killed while
-they stop, stopped as they start, and all told to stop within a second. Each is started
-again as it ends. No request that a VM passed on to a target may end without the
-target's answer, but for those that :class:`Outcome` excuses.
+Clients use persistent connections, some with pipelining. VMs get SIGTERM once or twice,
+SIGHUP or SIGKILL during a shutdown, SIGTERM during a start, or all of them SIGTERM
+within a second. Each VM restarts after its exit. A request that runs at a target must
+get the target's response, except in the cases that :class:`Outcome` lists.
 """
 
 import signal
@@ -15,73 +14,75 @@
 from standins.stops.clients import Clients
 from standins.stops.deployment import GRACE_SECONDS, Size, configuration
 from standins.stops.plan import Stopper
-from standins.stops.records import PROMISES
+from standins.stops.records import NOT_RUN_STATUSES
 from standins.stops.tally import Outcome, Tally, collect_runs
 
 STEPS = 3
-#: Shares of seeds that end with a stop of the fleet, and with a kill in a stop.
-FLEET_SHARE = 0.5
+#: Shares of seeds with a stop of the whole fleet, and with a kill during a shutdown.
+FLEET_STOP_SHARE = 0.5
 KILL_SHARE = 0.5
-STEP_GAP = (1.0, 3.5)
+STEP_GAP_SECONDS = (1.0, 3.5)
 #: Seconds between the first signal to a VM and another one.
-SIGNAL_GAP = (0.05, 3.0)
-#: Seconds from the start of a process to its stop.
-START_GAP = (0.0, 0.6)
-#: Seconds within which a whole fleet is told to stop.
-FLEET_SECONDS = 1.0
+SIGNAL_GAP_SECONDS = (0.05, 3.0)
+#: Seconds from the start of a process to its SIGTERM.
+START_GAP_SECONDS = (0.0, 0.6)
+#: Seconds within which the whole fleet gets SIGTERM.
+FLEET_STOP_SECONDS = 1.0
 POLL_SECONDS = 0.01
-#: Seconds of work for an object that a target knows, and times longer for others.
+#: Seconds of work for an object that a target has cached, and the factor for others.
 WORK_SECONDS = 0.1
-LEARNING_FACTOR = 20.0
+UNCACHED_FACTOR = 20.0
 #: Seconds of load before the first signal.
 LOAD_SECONDS = 2.0
-LAST_ANSWERS_SECONDS = 20.0
-#: Statuses that blame the client; every request of the soak is proper.
+LAST_RESPONSES_SECONDS = 20.0
+#: Client errors; every request of the soak test is valid.
 CLIENT_ERRORS = range(400, 500)
 
 
 def long_routes():
-    """Return routes whose requests may outlast the first seconds of a stop."""
+    """Return routes whose requests may outlast the start of a shutdown."""
     return configuration()["hosts"][0]["paths"]
 
 
-def keeping_clients(fleet, domains, seed, stopper):
-    """Return clients as many as the targets' slots bear, most of them sending ahead."""
-    size = Size(domains, vms=0, targets=0, ahead=6, kept=2, single=1.0, objects=6)
+def persistent_clients(fleet, domains, seed, stopper):
+    """Return clients for the targets' number of slots, most of them with pipelining."""
+    size = Size(
+        domains, vms=0, targets=0, pipelining=6, persistent=2, single=1.0, objects=6
+    )
     return Clients(fleet, size, seed, stopper)
 
 
-class Signals:
-    """Sends signals to VMs, each drawn.
+class SignalSequence:
+    """Sends a random sequence of signals to VMs.
 
-    :param stopper: starts VMs again as they end.
+    :param stopper: the :class:`Stopper`, which restarts VMs.
     """
 
     def __init__(self, fleet, stopper, rng):
         self._fleet = fleet
         self._stopper = stopper
         self._rng = rng
-        self._sending = []
+        self._threads = []
         self.kills = []
         self.log = []
 
     def run(self):
-        """Send a series of signals and wait until every VM serves again.
+        """Send the signals and wait until every VM is ready again.
 
-        :raises TimeoutError: when one does not.
+        :raises TimeoutError: when a VM does not become ready.
         """
-        steps = list(self._draw())
+        steps = list(self._choose_steps())
         for (step, vm), following in zip(steps, [*steps[1:], steps[0]], strict=True):
             self.log.append(f"{time.monotonic():.2f} {step.__name__} {vm.name}")
             step(vm)
-            self._stopper.expect(following[1])
-            time.sleep(self._rng.uniform(*STEP_GAP))
-        for thread in self._sending:
+            self._stopper.set_next(following[1])
+            time.sleep(self._rng.uniform(*STEP_GAP_SECONDS))
+        for thread in self._threads:
             thread.join()
         self._stopper.wait()
 
-    def _draw(self):
-        """Yield steps, each with a VM."""
+    def _choose_steps(self):
+        """Yield pairs of a step and a VM."""
         kinds = (
             self._stop,
             self._stop_twice,
@@ -90,16 +91,16 @@
         )
         vm = None
         for _ in range(STEPS):
-            vm = self._draw_other(vm)
+            vm = self._choose_other(vm)
             yield self._rng.choice(kinds), vm
-        if self._rng.random() < FLEET_SHARE:
-            vm = self._draw_other(vm)
+        if self._rng.random() < FLEET_STOP_SHARE:
+            vm = self._choose_other(vm)
             yield self._stop_fleet, vm
         if self._rng.random() < KILL_SHARE:
-            # The last one: it excuses what becomes of requests near it.
-            yield self._kill_in_stop, self._draw_other(vm)
+            # Comes last, since requests lost near a kill do not count.
+            yield self._kill_in_stop, self._choose_other(vm)
 
-    def _draw_other(self, last):
+    def _choose_other(self, last):
         others = [vm for vm in self._fleet.vms.values() if vm is not last]
         return self._rng.choice(others)
 
@@ -120,7 +121,7 @@
 
     def _stop_after_start(self, vm):
         self._stop(vm)
-        gap = self._rng.uniform(*START_GAP)
+        gap = self._rng.uniform(*START_GAP_SECONDS)
         process = vm.process
 
         def stop_again():
@@ -132,15 +133,17 @@
         self._start(stop_again)
 
     def _stop_fleet(self, vm):
-        """Tell a VM to stop, and all others within a second."""
+        """Stop a VM, then all others within a second."""
         vms = [each for each in self._fleet.vms.values() if each is not vm]
         self._rng.shuffle(vms)
         for each in [vm, *vms]:
             self._stop(each)
-            time.sleep(self._rng.uniform(0.0, FLEET_SECONDS / len(self._fleet.vms)))
+            time.sleep(
+                self._rng.uniform(0.0, FLEET_STOP_SECONDS / len(self._fleet.vms))
+            )
 
     def _send_later(self, process, signum):
-        gap = self._rng.uniform(*SIGNAL_GAP)
+        gap = self._rng.uniform(*SIGNAL_GAP_SECONDS)
 
         def send():
             time.sleep(gap)
@@ -151,30 +154,30 @@
 
         self._start(send)
 
-    def _start(self, act):
-        thread = threading.Thread(target=act, daemon=True)
-        self._sending.append(thread)
+    def _start(self, action):
+        thread = threading.Thread(target=action, daemon=True)
+        self._threads.append(thread)
         thread.start()
 
 
 class PlannedStops:
-    """The clients of a seed that keep connections, and its planned stops.
+    """The planned stops of a seed, and the clients with persistent connections.
 
     :param domains: ``{failure domain: region}``.
-    :param rng: decides what is sent when.
+    :param rng: source of the random signals.
     """
 
     def __init__(self, fleet, domains, seed, rng):
         self._fleet = fleet
         self._stopper = Stopper(fleet)
-        self._signals = Signals(fleet, self._stopper, rng)
-        self._clients = keeping_clients(fleet, domains, seed, self._stopper)
+        self._signals = SignalSequence(fleet, self._stopper, rng)
+        self._clients = persistent_clients(fleet, domains, seed, self._stopper)
         self._thread = threading.Thread(target=self._clients.run, daemon=True)
-        self._began_at = 0.0
+        self._started_at = 0.0
 
     @property
     def log(self):
-        """Return a line for each signal."""
+        """Return one line per signal."""
         return self._signals.log
 
     def start_clients(self):
@@ -182,78 +185,82 @@
         self._thread.start()
 
     def run(self):
-        """Send the signals; yield a line for each VM that does not come back."""
+        """Send the signals; yield a line if a VM does not become ready again."""
         for target in self._fleet.targets:
             self._fleet.switch_target(
-                target, work_s=WORK_SECONDS, learning_x=LEARNING_FACTOR
+                target, work_s=WORK_SECONDS, learning_x=UNCACHED_FACTOR
             )
         time.sleep(LOAD_SECONDS)
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         try:
             self._signals.run()
         except TimeoutError as error:
             yield str(error)
 
     def stop_clients(self):
-        """Stop sending and wait for the last answers."""
+        """Stop sending and wait for the last responses."""
         self._clients.stop()
-        self._thread.join(LAST_ANSWERS_SECONDS)
+        self._thread.join(LAST_RESPONSES_SECONDS)
 
     def check(self, spans):
-        """Yield a line for each broken promise.
+        """Yield a line for each violation.
 
-        :param spans: ``[attempt id, begin, planned end]`` of every run.
+        :param spans: ``[attempt id, start, planned end]`` of every run.
         """
-        ended = self._ended()
+        ended = self._ended_attempts()
         if missing := len(self._clients.attempts) - len(ended):
-            yield f"{missing} requests are under way long after their deadline"
+            yield f"{missing} requests in flight long after their deadline"
         yield from check_attempts(ended, collect_runs(spans))
         tally = self._tally(spans)
         if tally is None:
             return
-        for attempt in tally.with_outcome(Outcome.GIVEN_UP):
+        for attempt in tally.with_outcome(Outcome.ABANDONED):
             stop = tally.stop_of(attempt)
-            after = "-" if stop is None else f"{attempt.sent_at - stop.told_at:.2f} s"
+            after = (
+                "-" if stop is None else f"{attempt.sent_at - stop.signalled_at:.2f} s"
+            )
             yield (
                 f"{attempt.id} at {attempt.vm}, sent {after} after SIGTERM: ran, and "
                 f"ended with {attempt.status or 'no answer'} after "
                 f"{attempt.ended_at - attempt.sent_at:.2f} s"
             )
 
-    def ends(self, spans):
-        """Return the number of requests near the stops by how they ended."""
+    def outcome_counts(self, spans):
+        """Return the number of requests near the planned stops by outcome."""
         tally = self._tally(spans)
         counts = tally.counts() if tally else {}
         return {f"stops: {each.value}": count for each, count in counts.items()}
 
     def _tally(self, spans):
-        """Return the :class:`Tally` of the planned stops; ``None`` without any."""
+        """Return the :class:`Tally` of the planned stops; ``None`` without stops."""
         stops = [each for each in self._stopper.stops if each.ready_at is not None]
         if not stops:
             return None
-        planned = [each for each in self._ended() if each.sent_at >= self._began_at]
+        planned = [
+            each for each in self._ended_attempts() if each.sent_at >= self._started_at
+        ]
         runs, kills = collect_runs(spans), self._signals.kills
         return Tally(planned, runs, stops, kills, GRACE_SECONDS)
 
-    def _ended(self):
+    def _ended_attempts(self):
         return [each for each in self._clients.attempts if each.ended_at is not None]
 
 
 def check_attempts(attempts, runs):
-    """Yield a line for each promise broken that holds at any time.
+    """Yield a line for each violation of rules that do not depend on stops.
 
-    :param attempts: ended ones.
+    :param attempts: every ended :class:`Attempt`.
     :param runs: ``{attempt id: Run}``.
     """
     for attempt in attempts:
         count = runs[attempt.id].count if attempt.id in runs else 0
         if attempt.kind.once and count > 1:
             yield f"{attempt.id}: ran {count} times"
-        if attempt.signed and attempt.answer_to != attempt.id:
-            yield f"{attempt.id}: the answer to another request"
+        if attempt.signed and attempt.response_id != attempt.id:
+            yield f"{attempt.id}: response to another request"
         if attempt.signed or attempt.status is None:
             continue
-        if attempt.status in PROMISES and count:
+        if attempt.status in NOT_RUN_STATUSES and count:
             yield f"{attempt.id}: refused as not run, but ran"
-        if attempt.status not in PROMISES and attempt.status in CLIENT_ERRORS:
-            yield f"{attempt.id} at {attempt.vm}: denied with {attempt.status}"
+        if attempt.status not in NOT_RUN_STATUSES and attempt.status in CLIENT_ERRORS:
+            yield f"{attempt.id} at {attempt.vm}: client error {attempt.status}"
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -1,11 +1,11 @@
-"""Stand-in for the platform's store: rows, changes, conditions and faults, in memory.
-
-``POST /switch`` with a JSON map sets faults: ``down`` (``busy``, ``silent``, ``reset``
-or null), ``slow_s`` (seconds before each answer), ``lose_replies`` (how many writes
-take effect without an answer), ``refused`` (IP numbers that get 503) and ``history``
-(how many changes are kept). ``POST /put`` with ``[table, key, document]`` writes a row
-as operators and targets do; a document of null removes it. ``GET /counts`` tells the
-calls.
+"""Fake table store of the platform: rows, change feed and transactions, in memory.
+
+``POST /switch`` with a JSON object sets faults: ``down`` (``busy``, ``silent``,
+``reset`` or null), ``slow_s`` (seconds of delay per response), ``lose_replies`` (number
+of writes that take effect without a response), ``refused`` (IP addresses that get 503)
+and ``history`` (number of changes kept). ``POST /put`` with ``[table, key, document]``
+writes a row as operators and targets do; a document of null removes it. ``GET /counts``
+returns the number of requests by path.
 """
 
 import json
@@ -27,12 +27,12 @@
 
 MAX_BODY_BYTES = 1 << 20
 POLL_SECONDS = 0.01
-FOREVER = 3600.0
+SILENT_SECONDS = 3600.0
 _READ_ONLY = (OPERATOR_TABLE, TARGET_TABLE)
 
 
 class TableStoreStandin:
-    """All rows, and the changes in their order."""
+    """The rows, and the changes in order of version."""
 
     def __init__(self):
         self._rows = {}
@@ -49,7 +49,7 @@
         }
 
     async def serve(self, sock, address):
-        """Answer calls on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
 
         async def handle(message):
@@ -57,11 +57,11 @@
 
         await serve_requests(stream, handle, MAX_BODY_BYTES)
 
-    async def _handle(self, stream, caller, message):
+    async def _handle(self, stream, client_ip, message):
         url = urlsplit(message.path)
         if url.path == "/switch":
             self._switches.update(json.loads(message.body))
-            self._forget_history()
+            self._trim_history()
             return Message()
         if url.path == "/put":
             self._put(*json.loads(message.body))
@@ -69,35 +69,35 @@
         if url.path == "/counts":
             return _json(self._counts)
         self._counts[url.path] = self._counts.get(url.path, 0) + 1
-        failure = await self._fail(stream, caller)
+        failure = await self._injected_response(stream, client_ip)
         if failure is not None:
             return failure
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        return await self._answer(stream, url.path, query, message)
+        return await self._respond(stream, url.path, query, message)
 
-    async def _fail(self, stream, caller):
-        """Return the answer of a store in trouble, or ``None`` when it is well."""
+    async def _injected_response(self, stream, client_ip):
+        """Return the response of an injected fault; ``None`` without one."""
         await sleep(self._switches["slow_s"])
         down = self._switches["down"]
         if down == "silent":
-            await sleep(FOREVER)
+            await sleep(SILENT_SECONDS)
         if down == "reset":
             stream.abort()
-        if down is not None or caller in self._switches["refused"]:
+        if down is not None or client_ip in self._switches["refused"]:
             return Message(status=503)
         return None
 
-    async def _answer(self, stream, path, query, message):
+    async def _respond(self, stream, path, query, message):
         if path == READ_PATH:
             return self._read(query)
         if path == FEED_PATH:
             return await self._feed(query)
         if path == TRANSACT_PATH:
-            answer = self._transact(json.loads(message.body))
-            if answer.status == 200 and self._switches["lose_replies"]:
+            response = self._transact(json.loads(message.body))
+            if response.status == 200 and self._switches["lose_replies"]:
                 self._switches["lose_replies"] -= 1
                 stream.abort()
-            return answer
+            return response
         return Message(status=404)
 
     def _read(self, query):
@@ -157,9 +157,9 @@
             row["value"] = value
             self._rows[table, key] = row
         self._changes.append(row)
-        self._forget_history()
+        self._trim_history()
 
-    def _forget_history(self):
+    def _trim_history(self):
         while len(self._changes) > self._switches["history"]:
             self._dropped_until = self._changes.pop(0)["ver"]
 
@@ -173,7 +173,7 @@
 
 
 def main():
-    """Run the stand-in on one address."""
+    """Run the fake store on one address."""
     parser = ArgumentParser(description=main.__doc__)
     parser.add_argument("host")
     parser.add_argument("port", type=int)
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,13 +1,13 @@
-"""Stand-in for a target: slots, health and load endpoints, faults, and a run record.
-
-``POST /switch`` with a msgpack map sets: ``service_s`` (time a request takes),
-``health`` (``ready``, ``draining`` or ``starting``), ``lie`` (health says ready
-whatever else), ``fail`` (answer 500), ``shed`` (answer 503), ``cut`` (close in the
-middle of the answer), ``cold_s`` (extra time of the first ``cold_requests``),
-``cancel_s`` (time until a cancelled request leaves its slot) and ``lost`` (requests are
-cut, those under way too; only ``/switch`` and ``/record`` are answered).
-``GET /record`` answers with the runs, the highest number in flight and the slot-seconds
-over the limit.
+"""Fake target with slots, health and load endpoints, injected faults and a run record.
+
+``POST /switch`` with a msgpack map sets: ``service_s`` (seconds per request),
+``health`` (``ready``, ``draining`` or ``starting``), ``lie`` (always report ready),
+``fail`` (respond with 500), ``shed`` (respond with 503), ``cut`` (close in the middle
+of the response), ``cold_s`` (extra seconds of the first ``cold_requests``),
+``cancel_s`` (seconds until a cancelled request releases its slot) and ``lost`` (abort
+every request, also those in flight; only ``/switch`` and ``/record`` work).
+``GET /record`` returns the runs, the highest number of requests in flight and the
+slot-seconds over the limit.
 """
 
 import time
@@ -32,10 +32,10 @@
 
 
 class TargetStandin:
-    """One target with a number of slots.
+    """One target with a fixed number of slots.
 
-    :param name: its name in answers.
-    :param slots: how many requests it carries at once.
+    :param name: its name in responses.
+    :param slots: the limit of concurrent requests; more are run but recorded.
     """
 
     def __init__(self, name, slots):
@@ -65,7 +65,7 @@
         }
 
     async def serve(self, sock, address):
-        """Answer requests on one connection."""
+        """Serve requests on one connection."""
         stream = HttpStream(sock, h11.SERVER)
         self._connections += 1
         self._peak_connections = max(self._peak_connections, self._connections)
@@ -94,7 +94,7 @@
         return stream.next_cycle()
 
     async def _serve_request(self, stream, event, headers):
-        self._change(+1)
+        self._add_in_flight(+1)
         self._streams.add(stream)
         lingering = True
         try:
@@ -105,22 +105,22 @@
                 await send_response(stream, refusal)
                 return
             self._record(event, headers, digest)
-            gone = await self._work(stream)
-            if gone:
+            has_disconnected = await self._work(stream)
+            if has_disconnected:
                 stream.abort()
                 return
             lingering = False
-            await self._answer(stream, event, body, digest)
+            await self._respond(stream, event, body, digest)
         finally:
             self._streams.discard(stream)
             if lingering and self._switches["cancel_s"]:
-                await spawn(self._leave_later, daemon=True)
+                await spawn(self._release_later, daemon=True)
             else:
-                self._change(-1)
+                self._add_in_flight(-1)
 
-    async def _leave_later(self):
+    async def _release_later(self):
         await sleep(self._switches["cancel_s"])
-        self._change(-1)
+        self._add_in_flight(-1)
 
     async def _read(self, stream):
         digest, size = sha256(), 0
@@ -149,7 +149,7 @@
             self._runs.append([event.method.decode(), path, key, digest])
 
     async def _work(self, stream):
-        """Work for the service time; return whether the caller cancelled."""
+        """Sleep for the service time; return whether the caller disconnected."""
         seconds = self._switches["service_s"]
         if self._switches["cold_requests"]:
             self._switches["cold_requests"] -= 1
@@ -159,7 +159,7 @@
             await group.spawn(stream.wait_closed)
         return group.completed is not work
 
-    async def _answer(self, stream, event, size, digest):
+    async def _respond(self, stream, event, size, digest):
         if self._switches["fail"]:
             await send_response(stream, Message(status=500, body=b"failed"))
             return
@@ -176,12 +176,12 @@
         if path == "/switch":
             self._switches.update(msgpack.unpackb(body))
             if self._switches["lost"]:
-                self._cut_all()
+                self._abort_all()
             return Message()
         if path == "/health":
             state = "ready" if self._switches["lie"] else self._switches["health"]
             return Message(body=msgpack.packb({"state": state}))
-        self._change(0)
+        self._add_in_flight(0)
         if path == "/load":
             return Message(
                 body=msgpack.packb({"in_flight": self._in_flight, "slots": self._slots})
@@ -196,11 +196,11 @@
         }
         return Message(body=msgpack.packb(record))
 
-    def _cut_all(self):
+    def _abort_all(self):
         for stream in self._streams:
             stream.abort()
 
-    def _change(self, step):
+    def _add_in_flight(self, step):
         now = time.monotonic()
         over = max(0, self._in_flight - self._slots)
         self._over_slot_seconds += over * (now - self._last_change)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
 import pytest
 
-from standins.soak import Sent, check, run_seed
+from standins.soak import SentRequest, check, run_seed
 from standins.soak_stops import check_attempts
 from standins.stops.records import ONCE, SAFE, Attempt
 from standins.stops.tally import collect_runs
@@ -10,7 +10,7 @@
 
 
 def sent(status, safe=False, **fields):
-    request = Sent("q1", safe, b"")
+    request = SentRequest("q1", safe, b"")
     request.status = status
     for name, value in fields.items():
         setattr(request, name, value)
@@ -55,7 +55,7 @@
     kind, status, answer_to, runs, broken
 ):
     attempt = Attempt("q1", "vm-1", kind, 8.0, 4.0, 0.0)
-    attempt.status, attempt.answer_to = status, answer_to
+    attempt.status, attempt.response_id = status, answer_to
     attempt.signed = answer_to is not None
     spans = [["q1", 0.0, 1.0]] * runs
     assert bool(list(check_attempts([attempt], collect_runs(spans)))) is broken
