--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -198,7 +198,9 @@
 
 def test_vm_that_starts_in_a_large_fleet_is_not_silent_for_long():
     # Others take it for dead, and it takes itself for paused.
-    assert run_nonblocking(start_alone(HUGE).gossip.round()) < min(SILENCE_SECONDS, PAUSE_SECONDS)
+    assert run_nonblocking(start_alone(HUGE).gossip.round()) < min(
+        SILENCE_SECONDS, PAUSE_SECONDS
+    )
 
 
 def test_greetings_of_a_vm_that_starts_do_not_grow_with_the_fleet():
