--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -1,4 +1,4 @@
-"""Targets change owners while VMs stop and start: who owns them, and their slots."""
+"""Tests that targets keep exactly one owner and their slot limit as VMs stop."""
 
 import random
 from types import SimpleNamespace
@@ -38,11 +38,11 @@
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
 TARGETS = [entry(f"t{number}") for number in range(8)]
 NEAR, FAR = ("north-a", "north"), ("south-a", "south")
-#: Seconds for which a leaving process lives, and until which its clients may come.
-GRACE, LINGER = 5.3, 2.5
-#: The longest time of a simulated request, and requests that begin in each step.
-LONGEST_RUN = 3.5
-#: Seconds in which VMs may differ on the owner of a target: three heartbeats.
+#: Seconds from the stop signal to the end of the process, and to the end of keep-alive.
+STOP_GRACE_SECONDS, KEEP_ALIVE_SECONDS = 5.3, 2.5
+#: Upper bound of the duration of a simulated request.
+MAX_RUN_SECONDS = 3.5
+#: Time for VMs to agree on the owner of a target: three heartbeats.
 AGREE_SECONDS = 3 * INTERVAL
 NO_TABLES = SimpleNamespace(
     operator=SimpleNamespace(told=0),
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
-def test_vm_that_serves_goes_before_a_nearer_one_that_leaves(domain):
+def test_serving_vm_owns_targets_before_a_nearer_leaving_one(domain):
     parts = Parts(TARGETS)
     parts.members.leave()
     assert owners_of(parts) == {"vm-1"}
@@ -103,7 +103,7 @@
     rng = random.Random(count)
     regions = {"north-a": "north", "south-a": "south"}
     stages = [Stage.SERVING] * serving + [LEAVING] * (count - serving)
-    record_heartbeat = [
+    heartbeats = [
         beat(f"fe-{number}", domain, regions[domain], stage=stage)
         for number, stage in enumerate(stages)
         for domain in [list(regions)[number % 2]]
@@ -111,8 +111,8 @@
     views = []
     for _ in range(3):
         parts = Parts([*TARGETS, entry("far", domain="south-a")], serving=False)
-        rng.shuffle(record_heartbeat)
-        for each in record_heartbeat:
+        rng.shuffle(heartbeats)
+        for each in heartbeats:
             parts.members.record_heartbeat(each)
         views.append({each.id: parts.owners.owner_of(each.id) for each in TARGETS})
     assert views[0] == views[1] == views[2]
@@ -149,24 +149,26 @@
     assert lookup(parts)[1] == []
 
 
-class Stop:
-    """A VM that leaves at instant 100, with what its handover looks at."""
+class LeavingVm:
+    """A leaving VM and its handover."""
 
     def __init__(self, *others):
         self.parts = Parts(TARGETS)
         for other in others:
             self.parts.members.record_heartbeat(other)
         self.handover = Handover(
-            self.parts.members, self.parts.owners, lambda now: now >= self.short_at
+            self.parts.members,
+            self.parts.owners,
+            lambda now: now >= self.short_of_time_at,
         )
         self.parts.members.leave()
         now = self.parts.clock.now()
-        self.handover.begin(now, now + LINGER, now + GRACE)
+        self.handover.begin(now, now + KEEP_ALIVE_SECONDS, now + STOP_GRACE_SECONDS)
         self.started_at = now
-        self.short_at = now + GRACE
+        self.short_of_time_at = now + STOP_GRACE_SECONDS
 
     def run(self, until, has_clients=False):
-        """Let time pass until so many seconds after the stop signal."""
+        """Advance to ``until`` seconds after the stop; return whether it is over."""
         clock = self.parts.clock
         while clock.time < self.started_at + until:
             clock.time += 0.05
@@ -177,55 +179,55 @@
 
 
 def test_vm_has_nothing_to_hand_over_where_another_serves():
-    assert Stop(beat("vm-2")).run(0.1)
+    assert LeavingVm(beat("vm-2")).run(0.1)
 
 
-def test_last_vm_keeps_its_targets_while_a_request_may_end_in_time():
-    stop = Stop()
-    assert not stop.run(3.7)
-    assert stop.run(3.9)
+def test_last_vm_keeps_its_targets_while_a_request_can_finish_in_time():
+    leaving = LeavingVm()
+    assert not leaving.run(3.7)
+    assert leaving.run(3.9)
 
 
 def test_last_vm_hands_over_to_one_that_serves_again():
-    stop = Stop(beat("vm-2", stage=FINISHING))
-    assert not stop.run(1.0)
-    stop.parts.members.record_heartbeat(beat("vm-2", incarnation=2))
-    assert stop.run(1.1)
+    leaving = LeavingVm(beat("vm-2", stage=FINISHING))
+    assert not leaving.run(1.0)
+    leaving.parts.members.record_heartbeat(beat("vm-2", incarnation=2))
+    assert leaving.run(1.1)
 
 
-def test_one_vm_of_a_region_stays_and_the_others_go_once_they_are_quiet():
+def test_one_leaving_vm_of_a_region_stays_and_idle_ones_hand_over():
     names = [f"vm-{number}" for number in range(2, 9)]
-    stop = Stop(*(beat(name, stage=LEAVING) for name in names))
-    assert not stop.run(2.4)
-    assert stop.run(3.0)
+    leaving = LeavingVm(*(beat(name, stage=LEAVING) for name in names))
+    assert not leaving.run(2.4)
+    assert leaving.run(3.0)
 
 
-def test_last_vm_of_a_region_stays_though_its_clients_are_quiet():
-    stop = Stop(beat("vm-2", *FAR, stage=LEAVING))
-    assert not stop.run(3.0)
+def test_last_vm_of_a_region_stays_without_active_clients():
+    leaving = LeavingVm(beat("vm-2", *FAR, stage=LEAVING))
+    assert not leaving.run(3.0)
 
 
 @pytest.mark.parametrize(("later", "hands_over"), [(0.0, False), (1.0, True)])
 def test_vm_with_too_little_time_for_a_route_hands_over_to_one_with_more(
     later, hands_over
 ):
-    stop = Stop()
-    stop.run(later)
-    stop.parts.members.record_heartbeat(beat("vm-2", stage=LEAVING))
-    assert not stop.run(1.5, has_clients=True)
-    stop.short_at = stop.parts.clock.now()
-    assert stop.run(1.6, has_clients=True) is hands_over
+    leaving = LeavingVm()
+    leaving.run(later)
+    leaving.parts.members.record_heartbeat(beat("vm-2", stage=LEAVING))
+    assert not leaving.run(1.5, has_clients=True)
+    leaving.short_of_time_at = leaving.parts.clock.now()
+    assert leaving.run(1.6, has_clients=True) is hands_over
 
 
 def test_vm_with_clients_keeps_its_targets():
     names = [f"vm-{number}" for number in range(2, 9)]
-    stop = Stop(*(beat(name, stage=LEAVING) for name in names))
-    assert not stop.run(3.7, has_clients=True)
-    assert stop.run(3.9, has_clients=True)
+    leaving = LeavingVm(*(beat(name, stage=LEAVING) for name in names))
+    assert not leaving.run(3.7, has_clients=True)
+    assert leaving.run(3.9, has_clients=True)
 
 
 class OwnersMachine(RuleBasedStateMachine):
-    """Nine VMs change their stages; all hear of it, sooner or later."""
+    """VMs change their stages; three observers learn of it at different times."""
 
     COUNT = 9
 
@@ -246,24 +248,24 @@
         numbers = range(2, 2 + self.COUNT)
         self.domains = {f"vm-{each}": domains[each % 4] for each in numbers}
         for vm in self.domains:
-            self.enter(vm, Stage.SERVING, 1)
-        self.settle()
+            self.set_stage(vm, Stage.SERVING, 1)
+        self.deliver_all()
 
     @rule(number=st.integers(2, COUNT + 1), stage=st.sampled_from(Stage))
     def change(self, number, stage):
         vm = f"vm-{number}"
-        self.enter(vm, stage, self.stages[vm][1] + 1)
+        self.set_stage(vm, stage, self.stages[vm][1] + 1)
 
-    def enter(self, vm, stage, incarnation):
+    def set_stage(self, vm, stage, incarnation):
         self.stages[vm] = stage, incarnation
 
     @rule(number=st.integers(2, COUNT + 1))
-    def hear(self, number):
-        """One VM's heartbeat arrives at the first observer only."""
+    def deliver_to_first(self, number):
+        """Deliver one VM's heartbeat to the first observer only."""
         self.deliver(self.views[0], f"vm-{number}")
 
     @rule()
-    def settle(self):
+    def deliver_all(self):
         for parts in self.views:
             for vm in self.domains:
                 self.deliver(parts, vm)
@@ -271,14 +273,16 @@
     def deliver(self, parts, vm):
         stage, incarnation = self.stages[vm]
         domain = self.domains[vm]
-        told = beat(vm, domain, REGIONS[domain], incarnation=incarnation, stage=stage)
-        parts.members.record_heartbeat(told)
+        heartbeat = beat(
+            vm, domain, REGIONS[domain], incarnation=incarnation, stage=stage
+        )
+        parts.members.record_heartbeat(heartbeat)
 
     def owners(self, parts):
         return {f"t{each}": parts.owners.owner_of(f"t{each}") for each in range(12)}
 
     @invariant()
-    def owners_follow_from_what_is_known(self):
+    def owners_have_the_best_known_stage(self):
         for parts in self.views:
             known = {each.vm: each.stage for each in parts.members.live_others()}
             least = Stage.SERVING
@@ -290,8 +294,8 @@
                 assert owner is None or known[owner] == least
 
     @rule()
-    def agree(self):
-        self.settle()
+    def check_agreement(self):
+        self.deliver_all()
         first, *others = map(self.owners, self.views)
         assert all(each == first for each in others)
 
@@ -301,7 +305,7 @@
 
 
 class OwningVm(SimulatedVm):
-    """A VM that owns targets, in a simulated network."""
+    """A simulated VM that owns targets and runs requests on them."""
 
     def __init__(self, network, number, incarnation=1, serving=True):
         super().__init__(network, number, incarnation)
@@ -342,17 +346,17 @@
         return self.ledger.pop_new_owners()
 
     def leave(self):
-        """Leave as the process does: all partners are told at once."""
+        """Leave as the process does, notifying all gossip partners at once."""
         self.members.leave()
         drive(self.gossip.leave())
 
     def stop(self):
-        """End: the requests under way end with the process."""
+        """End the process and its requests."""
         self.running = False
         self.uses = []
 
-    def work(self, rng):
-        """End and begin requests, as many as there seem to be slots."""
+    def run_requests(self, rng):
+        """Finish requests that are due and start one on every slot that looks free."""
         drive(self.gossip.notify())
         now = self.network.clock.now()
         for use in [each for each in self.uses if each.deadline <= now]:
@@ -361,12 +365,12 @@
             use.target.health.record_success(now - use.started_at)
         for target in self.ledger.all():
             while target.free(now):
-                deadline = now + rng.uniform(0.2, LONGEST_RUN)
+                deadline = now + rng.uniform(0.2, MAX_RUN_SECONDS)
                 self.uses.append(target.claim(now, deadline))
 
 
 class AnsweringNetwork(Network):
-    """A network in which VMs answer the first heartbeat of another one at once."""
+    """A network in which VMs answer the first heartbeat of a VM at once."""
 
     def send(self, sender, ip, data):
         known = ip in self.vms and self.vms[ip].members.live(sender.name)
@@ -378,7 +382,7 @@
 
 
 class Fleet:
-    """VMs that keep all targets full, and how far these are over their slots."""
+    """VMs that keep all targets full; sums up the use beyond the slot limit."""
 
     SLOTS = 4
 
@@ -391,35 +395,37 @@
         ]
         self.vms = [OwningVm(self.network, number) for number in range(count)]
         self.network.run(4.0)
-        self.over = 0.0
-        self.used = 0.0
+        self.excess_slot_seconds = 0.0
+        self.used_slot_seconds = 0.0
 
     def run(self, seconds, step=0.05):
         end = self.network.clock.time + seconds
         while self.network.clock.time < end:
             for vm in self.network.running():
-                vm.work(self.rng)
-            self.count(step)
+                vm.run_requests(self.rng)
+            self.record_use(step)
             self.network.run(step)
 
-    def count(self, step):
+    def record_use(self, step):
         running = {}
         for vm in self.network.running():
             for use in vm.uses:
                 target_id = use.target.entry.id
                 running[target_id] = running.get(target_id, 0) + 1
-        self.used += sum(running.values()) * step
-        self.over += sum(max(0, each - self.SLOTS) for each in running.values()) * step
+        self.used_slot_seconds += sum(running.values()) * step
+        self.excess_slot_seconds += (
+            sum(max(0, each - self.SLOTS) for each in running.values()) * step
+        )
 
-    def start_again(self, vm):
-        """Start a VM that ended, which serves once it has heard from the others."""
-        again = OwningVm(self.network, vm.number, 2, serving=False)
+    def restart(self, vm):
+        """Start an ended VM again; it serves after two heartbeat intervals."""
+        restarted = OwningVm(self.network, vm.number, 2, serving=False)
         self.network.run(2 * INTERVAL)
-        again.members.set_serving(True)
-        return again
+        restarted.members.set_serving(True)
+        return restarted
 
-    def run_unowned(self, seconds):
-        """Let time pass; return the longest for which a target had no owner."""
+    def longest_unowned_seconds(self, seconds):
+        """Advance the time; return the longest time that a target had no owner."""
         most, since = 0.0, {}
         end = self.network.clock.time + seconds
         while self.network.clock.time < end:
@@ -441,30 +447,30 @@
 @pytest.mark.parametrize(
     ("count", "targets", "stops"), [(9, 12, 4), (72, 24, 4), (72, 144, 1)]
 )
-def test_vm_that_leaves_hands_its_slots_over(count, targets, stops):
+def test_leaving_vm_hands_its_slots_over(count, targets, stops):
     fleet = Fleet(count, targets)
     fleet.run(1.0)
     for vm in fleet.vms[:stops]:
         vm.leave()
         fleet.run(0.4)
-    fleet.run(LONGEST_RUN)
-    assert fleet.used > 0
-    assert fleet.over == 0.0
+    fleet.run(MAX_RUN_SECONDS)
+    assert fleet.used_slot_seconds > 0
+    assert fleet.excess_slot_seconds == 0.0
 
 
-def test_vm_that_starts_waits_for_the_slots_of_the_owner_before_it():
+def test_starting_vm_waits_for_slots_of_the_previous_owner():
     fleet = Fleet(9, 12)
     for vm in fleet.vms[:3]:
         vm.leave()
-        fleet.run(LONGEST_RUN + 0.5)
+        fleet.run(MAX_RUN_SECONDS + 0.5)
         vm.stop()
         fleet.run(2.0)
-        fleet.start_again(vm)
+        fleet.restart(vm)
         fleet.run(1.0)
-    assert fleet.over == 0.0
+    assert fleet.excess_slot_seconds == 0.0
 
 
-def test_new_owner_is_told_though_it_is_no_partner():
+def test_new_owner_is_notified_without_being_a_gossip_partner():
     fleet = Fleet(72, 24)
     fleet.run(1.0)
     for vm in fleet.vms:
@@ -480,7 +486,7 @@
         assert held == count
 
 
-def test_whole_failure_domain_is_told_at_once_that_a_vm_leaves():
+def test_whole_failure_domain_is_notified_at_once_of_a_leaving_vm():
     fleet = Fleet(72, 24)
     vm = fleet.vms[0]
     vm.members.leave()
@@ -490,7 +496,7 @@
     assert all(each.members.live(vm.name).stage == LEAVING for each in near)
 
 
-def test_successor_is_told_at_once_that_a_target_is_free():
+def test_successor_is_notified_at_once_of_released_slots():
     fleet = Fleet(72, 24)
     vm = next(each for each in fleet.vms if each.ledger.all())
     (target,) = vm.ledger.all()
@@ -500,14 +506,14 @@
     now = fleet.network.clock.now()
     successor.held.add_target(target.entry.id, vm.name)
     assert successor.held.count(target.entry.id, now) >= target.entry.slots
-    # What is left is the successor's alone, not that of its failure domain.
+    # Suppress the notification of the failure domain, not that of the successor.
     vm.gossip._notified_stage = LEAVING
     drive(vm.gossip.notify())
     assert successor.held.count(target.entry.id, now) == 0
 
 
 @pytest.mark.parametrize("count", [9, 72])
-def test_vm_that_leaves_goes_on_hearing_reports(count):
+def test_leaving_vm_still_receives_reports(count):
     fleet = Fleet(count, 12)
     vm = fleet.vms[0]
     vm.leave()
@@ -516,7 +522,7 @@
     assert len(owners) >= min(count - 1, MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
 
 
-def test_end_of_a_vm_that_left_makes_no_further_picks():
+def test_end_of_a_leaving_vm_adds_no_monitored_vms():
     fleet = Fleet(72, 12)
     vm = fleet.vms[0]
     monitored = {each.name: len(each.members.topology.monitored) for each in fleet.vms}
@@ -540,12 +546,12 @@
 
 
 @pytest.mark.parametrize(("count", "loss"), [(9, 0.0), (9, 0.05), (72, 0.0)])
-def test_fleet_told_to_stop_owns_its_targets_to_the_end(count, loss):
+def test_stopping_fleet_owns_its_targets_until_the_end(count, loss):
     fleet = Fleet(count, 12, loss)
     for vm in fleet.vms:
         vm.leave()
-        assert fleet.run_unowned(3.6 / count) <= AGREE_SECONDS
-    assert fleet.run_unowned(1.0) <= AGREE_SECONDS
+        assert fleet.longest_unowned_seconds(3.6 / count) <= AGREE_SECONDS
+    assert fleet.longest_unowned_seconds(1.0) <= AGREE_SECONDS
 
 
 def test_all_slots_are_used_again_after_lost_heartbeats():
@@ -554,7 +560,7 @@
         vm.leave()
     fleet.run(0.5)
     fleet.network.is_cut = lambda sender, receiver: sender in fleet.vms[:3]
-    fleet.run(LONGEST_RUN + REPORT_TTL_SECONDS)
+    fleet.run(MAX_RUN_SECONDS + REPORT_TTL_SECONDS)
     now = fleet.network.clock.now()
     owned = [(vm, target) for vm in fleet.vms[3:] for target in vm.ledger.all()]
     assert len(owned) == 12
@@ -562,7 +568,7 @@
         assert vm.held.count(target.entry.id, now) == 0
 
 
-def test_what_a_vm_told_is_forgotten_with_it():
+def test_reports_of_a_vm_are_dropped_with_it():
     parts = Parts([entry("t1", slots=4)])
     for vm in ("vm-2", "vm-3"):
         parts.members.record_heartbeat(beat(vm, stage=LEAVING))
@@ -576,7 +582,7 @@
 
 
 class HoldsMachine(RuleBasedStateMachine):
-    """Two VMs tell one what they still have at its target; heartbeats get lost."""
+    """Two former owners report slots that they still hold; heartbeats get lost."""
 
     SLOTS = 4
     VMS = ("vm-2", "vm-3")
@@ -585,14 +591,14 @@
         super().__init__()
         self.parts = Parts([entry("t1", slots=self.SLOTS)])
         self.held: HeldSlots = self.parts.held
-        self.told = {}
+        self.reported = {}
         self.incarnations = dict.fromkeys(self.VMS, 1)
         for vm in self.VMS:
-            self.hear(vm)
+            self.receive_heartbeat(vm)
 
-    def hear(self, vm):
-        told = beat(vm, incarnation=self.incarnations[vm], stage=LEAVING)
-        self.parts.members.record_heartbeat(told)
+    def receive_heartbeat(self, vm):
+        heartbeat = beat(vm, incarnation=self.incarnations[vm], stage=LEAVING)
+        self.parts.members.record_heartbeat(heartbeat)
 
     @rule(
         vm=st.sampled_from(VMS),
@@ -602,20 +608,20 @@
     def report(self, vm, count, seconds):
         held = [["t1", count, seconds]] if count else []
         self.held.record_report(vm, held)
-        self.told[vm] = count, self.parts.clock.now() + seconds
+        self.reported[vm] = count, self.parts.clock.now() + seconds
 
     @rule(vm=st.sampled_from(VMS))
-    def start_again(self, vm):
+    def restart(self, vm):
         self.incarnations[vm] += 1
-        self.hear(vm)
-        self.told.pop(vm, None)
+        self.receive_heartbeat(vm)
+        self.reported.pop(vm, None)
 
     @rule(seconds=st.floats(0.0, 2.0))
     def wait(self, seconds):
         self.parts.clock.time += seconds
 
     @rule()
-    def take(self):
+    def claim_slot(self):
         now = self.parts.clock.now()
         (target,) = self.parts.ledger.all()
         if target.free(now):
@@ -628,9 +634,9 @@
             self.parts.ledger.release(target.uses[0])
 
     @invariant()
-    def what_was_told_last_counts_until_its_deadline(self):
+    def last_report_counts_until_its_deadline(self):
         now = self.parts.clock.now()
-        held = sum(count for count, until in self.told.values() if now < until)
+        held = sum(count for count, until in self.reported.values() if now < until)
         assert self.held.count("t1", now) == held
         (target,) = self.parts.ledger.all()
         if not target.health.is_unresponsive(now, now) and target.limit(now):
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -1,3 +1,5 @@
+"""Tests that no slot is lost or used twice when a target changes its home."""
+
 import json
 
 import pytest
@@ -20,11 +22,11 @@
 from tests.test_text import make_text
 
 TARGET = "t1"
-EARLIER, ENDED = "127.0.0.2", "127.0.0.3"
+FORMER_HOME, UNRESPONSIVE = "127.0.0.2", "127.0.0.3"
 
 
 class Parts:
-    """A VM that takes a target over from another, while a third one does not answer."""
+    """A VM that takes over a target; of the two other VMs, one never answers."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -33,14 +35,14 @@
         vm.version = 1
         self.ledger = SlotLedger(self.clock)
         self.calls = []
-        self.deaf = 0
+        self.unanswered_calls = 0
         self.released = []
-        self.homed = {TARGET: [[7, self.clock.time + 5.0, None]]}
+        self.handed_over = {TARGET: [[7, self.clock.time + 5.0, None]]}
         links = FakeLinks(self.answer)
         self.membership = Membership(vm, links, self.clock)
         self.clock.time += SETTLE_SECONDS
         self.membership.record_tick()
-        for host in (EARLIER, ENDED):
+        for host in (FORMER_HOME, UNRESPONSIVE):
             self.record(host, "leaving")
         records = OccupancyRecords(self.membership, self.clock)
         self.homes = HomeManager(
@@ -53,21 +55,21 @@
 
     def answer(self, host, item):
         self.calls.append(item)
-        if host == ENDED or self.deaf > len(self.calls):
+        if host == UNRESPONSIVE or self.unanswered_calls > len(self.calls):
             return None
         if isinstance(item, SlotReleased):
             return Accepted()
         for use_id in self.released:
             self.homes.record_released(TARGET, use_id)
-        told, self.homed = self.homed, {}
-        return Handover(told, dict.fromkeys(told, []), [])
+        targets, self.handed_over = self.handed_over, {}
+        return Handover(targets, dict.fromkeys(targets, []), [])
 
     def acquire(self):
         self.homes._apply_configuration()
         run(self.homes._acquire_missing)
 
     def wait(self, seconds):
-        """Let time pass with every heartbeat acknowledged."""
+        """Advance the time with every heartbeat acknowledged."""
         self.clock.time += seconds
         self.membership._last_tick = self.clock.time
         for member in self.membership.members.values():
@@ -75,21 +77,21 @@
 
     @property
     def held(self):
-        """Return the numbers of the requests that hold slots of the target."""
+        """Return the use ids of the requests that hold slots of the target."""
         return [hold.use_id for hold in self.ledger.targets[TARGET].holds]
 
 
-def test_handover_is_not_lost_where_another_vm_does_not_answer():
+def test_handover_is_kept_while_another_vm_does_not_answer():
     parts = Parts()
     parts.acquire()
     assert not parts.ledger.targets
     parts.wait(CALL_TIMEOUT_SECONDS)
-    parts.record(ENDED, "dead")
+    parts.record(UNRESPONSIVE, "dead")
     parts.acquire()
     assert parts.held == [7]
 
 
-def test_handover_that_is_not_adopted_is_passed_on():
+def test_handover_that_is_not_adopted_is_handed_over_again():
     parts = Parts()
     parts.acquire()
     first, again = (parts.homes.hand_over("north-a-4", [TARGET]) for _ in range(2))
@@ -98,20 +100,20 @@
 
 
 @pytest.mark.parametrize("dead_first", [False, True])
-def test_release_that_overtakes_the_adoption_frees_its_slot(dead_first):
+def test_release_that_arrives_before_the_adoption_frees_its_slot(dead_first):
     parts = Parts()
     parts.released = [7]
     if not dead_first:
         parts.acquire()
-    parts.record(ENDED, "dead")
+    parts.record(UNRESPONSIVE, "dead")
     parts.acquire()
     assert parts.held == []
 
 
 @pytest.mark.parametrize(("seconds", "calls"), [(5.0, 3), (-5.0, 1)])
-def test_release_is_told_until_it_is_heard_or_the_slot_is_free_anyway(seconds, calls):
+def test_release_is_sent_until_acknowledged_or_the_deadline_passes(seconds, calls):
     parts = Parts()
-    parts.deaf = 3
+    parts.unanswered_calls = 3
     use = SlotUse(7, TARGET, parts.clock.time + seconds)
     run(parts.homes.report_released, "north-a-2", use)
     assert len(parts.calls) == calls
@@ -126,19 +128,19 @@
     assert first.id != second.id
 
 
-def forget(parts):
+def drop_homes(parts):
     parts.homes.drop_all()
 
 
-def wait_long(parts):
+def wait_past_retention(parts):
     parts.wait(HANDOVER_RETENTION_SECONDS)
 
 
-@pytest.mark.parametrize("act", [forget, wait_long])
-def test_old_handover_is_no_proof_of_free_slots(act):
+@pytest.mark.parametrize("act", [drop_homes, wait_past_retention])
+def test_expired_handover_does_not_prove_free_slots(act):
     parts = Parts()
     parts.acquire()
     act(parts)
-    parts.record(ENDED, "dead")
+    parts.record(UNRESPONSIVE, "dead")
     parts.acquire()
     assert set(parts.held) == {None}
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,3 +1,5 @@
+"""Tests that a change of home never lets a target exceed its slots."""
+
 import signal
 import time
 
@@ -31,7 +33,7 @@
 
 
 @pytest.fixture
-def busy():
+def busy_fleet():
     """Two VMs with four targets whose slots are all taken by long requests."""
     with Fleet(slow_text(), {"north-a": 2}, subnet=21) as fleet:
         fleet.wait_ready()
@@ -47,57 +49,59 @@
     return sum(fleet.record(name)["in_flight"] for name in fleet.targets)
 
 
-def overshoot(fleet):
+def excess_requests(fleet):
     return sum(fleet.record(name)["over"] for name in fleet.targets)
 
 
-def homes_of(fleet, vm):
+def home_count(fleet, vm):
     status = fleet.status(vm)
     return len(status["targets"]) if status else 0
 
 
-def test_killed_home_is_replaced_without_overshoot(busy):
-    first, second = busy.vms.values()
+def test_killed_home_is_replaced_without_exceeding_slots(busy_fleet):
+    first, second = busy_fleet.vms.values()
     first.process.kill()
-    wait_for(lambda: homes_of(busy, second) == len(busy.targets))
+    wait_for(lambda: home_count(busy_fleet, second) == len(busy_fleet.targets))
     time.sleep(TIMEOUT_MS / 1000 + 1)
-    assert overshoot(busy) == 0
-    assert in_flight(busy) == SLOTS * len(busy.targets)
+    assert excess_requests(busy_fleet) == 0
+    assert in_flight(busy_fleet) == SLOTS * len(busy_fleet.targets)
 
 
-def test_paused_home_is_replaced_and_resumed_without_overshoot(busy):
-    first, second = busy.vms.values()
+def test_paused_home_is_replaced_and_resumed_without_exceeding_slots(busy_fleet):
+    first, second = busy_fleet.vms.values()
     first.process.send_signal(signal.SIGSTOP)
-    wait_for(lambda: homes_of(busy, second) == len(busy.targets))
+    wait_for(lambda: home_count(busy_fleet, second) == len(busy_fleet.targets))
     first.process.send_signal(signal.SIGCONT)
-    wait_for(lambda: homes_of(busy, first) == len(busy.targets) / 2)
+    wait_for(lambda: home_count(busy_fleet, first) == len(busy_fleet.targets) / 2)
     time.sleep(TIMEOUT_MS / 1000)
-    assert overshoot(busy) == 0
+    assert excess_requests(busy_fleet) == 0
 
 
-def test_short_pause_of_a_home_without_overshoot(busy):
-    first, _ = busy.vms.values()
+def test_short_pause_of_a_home_does_not_exceed_slots(busy_fleet):
+    first, _ = busy_fleet.vms.values()
     for _ in range(3):
         first.process.send_signal(signal.SIGSTOP)
         time.sleep(1.2)
         first.process.send_signal(signal.SIGCONT)
         time.sleep(1.0)
-    assert overshoot(busy) == 0
+    assert excess_requests(busy_fleet) == 0
 
 
-def test_restarted_home_starts_from_what_may_still_run(busy):
-    first, _ = busy.vms.values()
+def test_restarted_home_counts_requests_that_may_still_run(busy_fleet):
+    first, _ = busy_fleet.vms.values()
     first.process.kill()
     first.process.wait()
-    busy.start_vm(first)
-    wait_for(lambda: homes_of(busy, first) == len(busy.targets) / 2)
+    busy_fleet.start_vm(first)
+    wait_for(lambda: home_count(busy_fleet, first) == len(busy_fleet.targets) / 2)
     time.sleep(2.0)
-    assert overshoot(busy) == 0
+    assert excess_requests(busy_fleet) == 0
 
 
-def test_stopped_home_hands_its_targets_over_without_overshoot(busy):
-    first, second = busy.vms.values()
+def test_stopped_home_hands_its_targets_over_without_exceeding_slots(busy_fleet):
+    first, second = busy_fleet.vms.values()
     first.process.terminate()
-    wait_for(lambda: homes_of(busy, second) == len(busy.targets), seconds=3.0)
+    wait_for(
+        lambda: home_count(busy_fleet, second) == len(busy_fleet.targets), seconds=3.0
+    )
     assert first.process.wait(timeout=15) == 0
-    assert overshoot(busy) == 0
+    assert excess_requests(busy_fleet) == 0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,3 +1,5 @@
+"""Tests of the lab: scenarios are validated and requests counted by outcome."""
+
 import json
 import subprocess
 import sys
@@ -19,11 +21,11 @@
 }
 
 
-def result(status=200, seconds=0.1, sent_at=0.5, domain="north-a"):
+def make_result(status=200, seconds=0.1, sent_at=0.5, domain="north-a"):
     return Result(sent_at, domain, seconds, status, 1)
 
 
-def write(folder, **changes):
+def write_scenario(folder, **changes):
     path = folder / "scenario.jsonc"
     path.write_text("// a comment\n" + json.dumps({**DOCUMENT, **changes}))
     return path
@@ -32,15 +34,15 @@
 @pytest.mark.parametrize(
     ("ended", "expected"),
     [
-        (result(), "in aim"),
-        (result(seconds=0.4), "late"),
-        (result(503), "refused"),
-        (result(502), "failed"),
-        (result(None), "failed"),
+        (make_result(), "in aim"),
+        (make_result(seconds=0.4), "late"),
+        (make_result(503), "refused"),
+        (make_result(502), "failed"),
+        (make_result(None), "failed"),
     ],
 )
-def test_outcomes(ended, expected):
-    assert outcome(ended, 0.3) == expected
+def test_result_is_classified_by_its_outcome(result, expected):
+    assert outcome(result, 0.3) == expected
 
 
 @pytest.mark.parametrize(
@@ -52,13 +54,13 @@
     ],
 )
 def test_request_is_given_up_where_a_failed_attempt_ran(runs, expected):
-    repeated = Result(0.5, "north-a", 0.1, 200, 2, ["q-1"])
-    note_runs([repeated], runs)
-    assert outcome(repeated, 0.3) == expected
+    retried = Result(0.5, "north-a", 0.1, 200, 2, ["q-1"])
+    note_runs([retried], runs)
+    assert outcome(retried, 0.3) == expected
 
 
-def test_latencies_are_those_of_answers():
-    group = Group([result(seconds=0.1), result(503, seconds=9.0)], 0.3)
+def test_latencies_count_successful_responses_only():
+    group = Group([make_result(seconds=0.1), make_result(503, seconds=9.0)], 0.3)
     assert (group.total, group.latency(99)) == (2, 100)
 
 
@@ -76,13 +78,13 @@
         ),
     ],
 )
-def test_scenario_that_makes_no_sense_is_an_error(tmp_path, changes, message):
+def test_invalid_scenario_is_an_error(tmp_path, changes, message):
     with pytest.raises(ScenarioError, match=message):
-        load_scenario(write(tmp_path, **changes))
+        load_scenario(write_scenario(tmp_path, **changes))
 
 
 def test_report_has_tables_a_plot_and_figures(tmp_path):
-    results = [result(), result(503, sent_at=1.5, domain="north-b")]
+    results = [make_result(), make_result(503, sent_at=1.5, domain="north-b")]
     Report(Scenario(DOCUMENT), results).write(tmp_path)
     text = (tmp_path / "report.md").read_text()
     assert "1 s to 1.5 s: store_down" in text
@@ -92,7 +94,7 @@
     assert figures["all"]["in aim %"] == 50.0
 
 
-def test_two_reports_are_put_side_by_side():
+def test_two_reports_are_compared():
     before = {"all": {"in aim %": 50.0}}
     after = {"all": {"in aim %": 75.0}, "north-a": {"in aim %": 75.0}}
     assert compare(before, after).splitlines()[-1] == "| all | in aim % | 50.0 | 75.0 |"
@@ -100,16 +102,16 @@
 
 def test_scenario_runs_from_the_command_line(tmp_path):
     command = [sys.executable, "-m", "standins.lab", "run"]
-    paths = [str(write(tmp_path)), str(tmp_path / "out")]
+    paths = [str(write_scenario(tmp_path)), str(tmp_path / "out")]
     done = subprocess.run([*command, *paths], capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
     figures = json.loads((tmp_path / "out" / "report.json").read_text())
     assert figures["all"]["in aim %"] > 0
 
 
-def test_bad_scenario_is_told_on_the_command_line(tmp_path):
+def test_invalid_scenario_is_reported_on_the_command_line(tmp_path):
     command = [sys.executable, "-m", "standins.lab", "run"]
-    paths = [str(write(tmp_path, typo=1)), str(tmp_path / "out")]
+    paths = [str(write_scenario(tmp_path, typo=1)), str(tmp_path / "out")]
     done = subprocess.run([*command, *paths], capture_output=True, text=True)
     assert done.returncode != 0
     assert "typo" in done.stderr
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -1,8 +1,7 @@
-"""Several VMs, a store that is away for all or for some, and targets that leave.
+"""Tests that a removed target is used only until the lapse of its entry ends.
 
-The machine plays any order of changes, reads, and tables passed between VMs. A VM may
-use a target whose removal it has read only while the lapse of its entry lasts: nothing
-that others tell later brings it back, and the deadline holds though nothing is read.
+Whole and partial reads, relayed tables and store outages come in any order; a table
+received from a peer never extends the lapse or brings a removed target back.
 """
 
 from hypothesis import settings
@@ -21,14 +20,14 @@
 
 VMS = 3
 TARGETS = ("t1", "t2", "t3")
-#: Seconds between two looks of a VM at deadlines, and the longest step of the clock.
-UPKEEP = 0.05
-#: Seconds between a try at the store that fails and its return, at most.
-TRIED_BEFORE = 0.45
+#: Interval at which a VM expires entries, and the step of the clock.
+EXPIRY_INTERVAL_SECONDS = 0.05
+#: Upper bound of the time from the last failed call to the return of the store.
+MAX_RETRY_GAP_SECONDS = 0.45
 
 
 class Vm:
-    """A copy of the targets' table, and what is made of it."""
+    """A VM's copy of the target table and the registry built from it."""
 
     def __init__(self, clock):
         self.copy = TableCopy()
@@ -44,7 +43,7 @@
         if changed:
             self.copy.record_changes(changed, self.copy.version)
 
-    def take_relayed(self, snapshot):
+    def apply_relayed(self, snapshot):
         if snapshot.is_whole:
             self.replace_all(snapshot)
         else:
@@ -69,8 +68,8 @@
     ]
 
 
-class Lapses(RuleBasedStateMachine):
-    """The store, its changes, and the VMs."""
+class LapsesMachine(RuleBasedStateMachine):
+    """A store that fails and recovers, with VMs that read it and relay tables."""
 
     def __init__(self):
         super().__init__()
@@ -78,13 +77,13 @@
         self.version = 0
         self.rows = {}
         self.changes = []
-        self.away = False
+        self.is_store_down = False
         self.returned_at = None
         self.vms = [Vm(self.clock) for _ in range(VMS)]
 
     @rule(key=st.sampled_from(TARGETS), value=st.sampled_from([b"ready", b"draining"]))
     def put(self, key, value):
-        if not self.away:
+        if not self.is_store_down:
             self._change(key, value)
 
     @rule(key=st.sampled_from(TARGETS))
@@ -102,64 +101,70 @@
 
     @rule(vm=st.integers(0, VMS - 1), whole=st.booleans())
     def read(self, vm, whole):
-        if self.away:
+        if self.is_store_down:
             return
-        made = self.vms[vm]
-        if whole or not made.registry.is_loaded:
-            made.replace_all(Snapshot(self.version, list(self.rows.values())))
+        reader = self.vms[vm]
+        if whole or not reader.registry.is_loaded:
+            reader.replace_all(Snapshot(self.version, list(self.rows.values())))
             return
-        after = made.copy.version
-        news = [row for row in self.changes if row.version > after]
-        made.merge_changes(Snapshot(self.version, news, is_whole=False))
+        after = reader.copy.version
+        newer_rows = [row for row in self.changes if row.version > after]
+        reader.merge_changes(Snapshot(self.version, newer_rows, is_whole=False))
 
     @rule(
         source=st.integers(0, VMS - 1),
         receiver=st.integers(0, VMS - 1),
         whole=st.booleans(),
     )
-    def pass_on(self, source, receiver, whole):
+    def relay(self, source, receiver, whole):
         source, receiver = self.vms[source], self.vms[receiver]
         if source.copy.changed > receiver.copy.changed:
             after = 0 if whole else receiver.copy.changed
-            receiver.take_relayed(source.snapshot(after))
+            receiver.apply_relayed(source.snapshot(after))
 
     @rule()
-    def go_away(self):
-        self.away = True
+    def stop_store(self):
+        self.is_store_down = True
 
-    @precondition(lambda self: self.away)
-    @rule(noticed=st.sets(st.integers(0, VMS - 1)), before=st.floats(0, TRIED_BEFORE))
-    def come_back(self, noticed, before):
-        self.away = False
+    @precondition(lambda self: self.is_store_down)
+    @rule(
+        noticed_by=st.sets(st.integers(0, VMS - 1)),
+        since_last_attempt=st.floats(0, MAX_RETRY_GAP_SECONDS),
+    )
+    def restore_store(self, noticed_by, since_last_attempt):
+        self.is_store_down = False
         self.returned_at = self.clock.now()
-        for vm in noticed:
-            self.vms[vm].registry.store_returned(self.returned_at - before)
+        for vm in noticed_by:
+            self.vms[vm].registry.store_returned(self.returned_at - since_last_attempt)
 
     @rule(steps=st.integers(1, 30))
     def wait(self, steps):
         for _ in range(steps):
-            self.clock.time += UPKEEP
+            self.clock.time += EXPIRY_INTERVAL_SECONDS
             for vm in self.vms:
                 vm.registry.expire()
 
     @invariant()
-    def removed_targets_are_used_while_they_lapse_only(self):
+    def removed_targets_are_used_only_while_they_lapse(self):
         for vm in self.vms:
             present = {row.key for row in vm.copy.rows}
             used = {each.id for each in vm.registry.usable()}
             if used <= present:
                 continue
             assert self.returned_at is not None
-            assert self.clock.now() <= self.returned_at + LAPSE_GRACE_SECONDS + UPKEEP
+            assert (
+                self.clock.now()
+                <= self.returned_at + LAPSE_GRACE_SECONDS + EXPIRY_INTERVAL_SECONDS
+            )
 
     @invariant()
-    def targets_that_said_that_they_leave_are_not_used(self):
+    def draining_targets_are_not_used(self):
         for vm in self.vms:
             draining = {row.key for row in vm.copy.rows if row.value == b"draining"}
             assert draining.isdisjoint(each.id for each in vm.registry.usable())
 
     @invariant()
-    def copies_hold_what_the_store_told(self):
+    def copies_match_the_store_at_their_version(self):
         for vm in self.vms:
             state = {}
             for row in self.changes:
@@ -169,5 +174,5 @@
             assert {row.key for row in vm.copy.rows} == expected
 
 
-TestLapses = Lapses.TestCase
+TestLapses = LapsesMachine.TestCase
 TestLapses.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,3 +1,5 @@
+"""Tests that leased slots are kept at peak use and unused ones are returned."""
+
 import json
 
 import pytest
@@ -28,18 +30,18 @@
 
 
 @pytest.mark.parametrize(
-    ("taken", "released", "kept"), [(0, 0, 0), (2, 0, 2), (2, 2, 2), (3, 1, 3)]
+    ("taken", "released", "slots_left"), [(0, 0, 0), (2, 0, 2), (2, 2, 2), (3, 1, 3)]
 )
-def test_lease_keeps_the_most_slots_that_were_in_use_at_once(taken, released, kept):
+def test_lease_keeps_the_peak_of_slots_in_use(taken, released, slots_left):
     lease = make_lease()
     for _ in range(taken):
         lease.claim()
     lease.in_use -= released
-    assert lease.shrink_to_peak(100 + IDLE_AFTER_SECONDS) is (kept < GRANTED)
-    assert lease.slots == kept
+    assert lease.shrink_to_peak(100 + IDLE_AFTER_SECONDS) is (slots_left < GRANTED)
+    assert lease.slots == slots_left
 
 
-def test_next_interval_counts_from_what_is_in_use():
+def test_next_interval_starts_from_slots_in_use():
     lease = make_lease()
     lease.claim()
     lease.claim()
@@ -49,7 +51,7 @@
     assert lease.slots == 1
 
 
-def test_home_can_use_what_is_given_back():
+def test_home_can_use_returned_slots():
     clock = ManualClock()
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(cap=None), [])
@@ -62,7 +64,7 @@
 
 
 def make_holder(answers):
-    """Return a holder whose next homes answer from a list."""
+    """Return a lease holder whose peers answer from a list, then accept everything."""
     vm, clock = FakeVm(), SystemClock()
     vm.text = parse_text(json.dumps(make_text()))
     vm.local_homes = lambda service: []
@@ -72,13 +74,13 @@
     return vm.text.services["lookup"], links, LeaseHolder(vm, links, directory, clock)
 
 
-async def until(condition):
-    """Wait for a condition, however slow the machine is."""
+async def wait_until(condition):
+    """Wait for a condition, without a time limit."""
     while not condition():
         await sleep(0.01)
 
 
-def test_unused_slots_are_returned_and_used_ones_stay():
+def test_unused_slots_are_returned_and_used_ones_kept():
     expires_at = SystemClock().wall() + 600
     grant = LeaseGrant(7, "t2", GRANTED, expires_at, 0.0)
     service, links, holder = make_holder([grant])
@@ -88,13 +90,13 @@
 
     async def act():
         await holder.request_leases(service, GRANTED)
-        await until(lambda: holder.leases_for("lookup"))
+        await wait_until(lambda: holder.leases_for("lookup"))
         lease = holder.claim("lookup", (), 1.0)
         loop = await spawn(holder.run, daemon=True)
-        await until(returned)
+        await wait_until(returned)
         assert returned() == [LeaseReturn(7, 1)]
         holder.release(lease)
-        await until(lambda: len(returned()) == 2)
+        await wait_until(lambda: len(returned()) == 2)
         await loop.cancel()
 
     run(act)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,3 +1,5 @@
+"""Tests that a planned stop of a VM fails no request."""
+
 import os
 import socket
 import threading
@@ -12,10 +14,10 @@
 from standins.fleet import PORTS, Fleet, call, wait_for
 from standins.load import Load
 
-#: The upload must outlast the life of look-ups and the margin, 3 s, after the stop.
-PARTS = 30
-PART = os.urandom(20_000)
-#: With these the upload goes on for seconds after the VM has closed to callers.
+#: Long enough for an upload to outlast the TTL of lookups and the margin after a stop.
+UPLOAD_PARTS = 30
+UPLOAD_PART = os.urandom(20_000)
+#: Short TTL, so that the VM closes its listener while the upload still runs.
 SHORT_LOOKUPS = {"lookup_ttl_ms": 100}
 
 
@@ -29,9 +31,9 @@
 
 def slow_upload(host, results):
     def parts():
-        for _ in range(PARTS):
+        for _ in range(UPLOAD_PARTS):
             time.sleep(0.15)
-            yield PART
+            yield UPLOAD_PART
 
     results.append(
         call(host, PORTS["caller"], "PUT", "/s/intake/uploads/slow", parts())
@@ -62,7 +64,7 @@
     assert vm.process.wait(timeout=15) == 0
     status, _, body = results[0]
     assert status == 200
-    assert body.decode().split()[-1] == sha256(PART * PARTS).hexdigest()
+    assert body.decode().split()[-1] == sha256(UPLOAD_PART * UPLOAD_PARTS).hexdigest()
 
 
 def is_refused(host):
@@ -70,38 +72,38 @@
         return sock.connect_ex((host, PORTS["caller"])) == ECONNREFUSED
 
 
-def test_request_in_a_stop_is_not_taken_where_it_could_be_cut():
+def test_request_during_a_stop_is_not_accepted_where_it_could_be_cut():
     vms = {"north-a": 1}
     with Fleet(demo_text(), vms, subnet=22, settings=SHORT_LOOKUPS) as fleet:
         fleet.wait_ready()
         vm = fleet.vms["north-a-1"]
         upload = threading.Thread(target=slow_upload, args=(vm.host, results := []))
-        kept = HTTPConnection(vm.host, PORTS["caller"], timeout=10.0)
-        kept.request("GET", "/lookup?service=intake")
-        kept.getresponse().read()
+        persistent = HTTPConnection(vm.host, PORTS["caller"], timeout=10.0)
+        persistent.request("GET", "/lookup?service=intake")
+        persistent.getresponse().read()
         upload.start()
         wait_for(lambda: fleet.record("intake-north-a")["in_flight"])
         vm.process.terminate()
         wait_for(lambda: is_refused(vm.host))
-        assert kept.sock.recv(1) == b""
+        assert persistent.sock.recv(1) == b""
         assert upload.is_alive()
         upload.join()
     assert results[0][0] == 200
 
 
-def test_stopping_vm_is_not_named_in_look_ups(fleet):
+def test_stopping_vm_is_not_in_lookup_responses(fleet):
     leaving, other = fleet.vms["north-a-1"], fleet.vms["north-a-2"]
     leaving.process.terminate()
 
-    def named():
+    def is_in_lookup():
         path = "/lookup?service=style-lookup"
         _, _, body = call(other.host, PORTS["caller"], "GET", path)
         return leaving.host.encode() in body
 
-    wait_for(lambda: not named(), seconds=2.0)
+    wait_for(lambda: not is_in_lookup(), seconds=2.0)
 
 
-def test_vm_announced_as_leaving_by_the_list_leaves_by_itself(fleet):
+def test_vm_marked_as_leaving_in_the_vm_list_stops(fleet):
     vm = fleet.vms["north-a-1"]
     fleet.list_vm(vm, leaving=True)
     assert vm.process.wait(timeout=20) == 0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,3 +1,5 @@
+"""Tests of limits on retries, region shifts, traffic shares and body memory."""
+
 from random import Random
 
 import pytest
@@ -30,14 +32,14 @@
     assert 0 < total <= ratio * requests * vms + slack
 
 
-def test_budget_of_a_window_does_not_return_before_its_end():
+def test_budget_is_not_renewed_before_the_end_of_its_window():
     budget = RetryBudget(0.2, 20.0, 10.0, lambda: 1)
     assert spend_all(budget, 0.0) > 0
     assert spend_all(budget, 9.0) == 0
     assert spend_all(budget, 10.5) > 0
 
 
-def test_refunded_repeat_can_be_spent_again():
+def test_refunded_retry_can_be_spent_again():
     budget = RetryBudget(0.2, 20.0, 10.0, lambda: 1)
     spent = spend_all(budget, 0.0)
     budget.refund()
@@ -45,8 +47,11 @@
     assert spend_all(budget, 0.0) == 1
 
 
-def run_windows(limit, clock, wanted, windows, requests=100):
-    """Return the share moved in each window when ``wanted`` of the requests may."""
+def shares_moved(limit, clock, wanted, windows, requests=100):
+    """Return the share of requests moved in each window.
+
+    :param wanted: share of the requests that ask to move.
+    """
     shares = []
     for _ in range(windows):
         moved = 0
@@ -60,59 +65,61 @@
     return shares
 
 
-def test_first_requests_may_all_move():
+def test_shift_of_the_first_window_is_not_limited():
     clock = ManualClock()
-    shares = run_windows(RegionShiftLimit(0.15, clock), clock, 0.8, 1)
+    shares = shares_moved(RegionShiftLimit(0.15, clock), clock, 0.8, 1)
     assert shares == [0.8]
 
 
 @pytest.mark.parametrize(("before", "after"), [(0.0, 0.8), (0.8, 0.0)])
-def test_share_changes_slowly_both_ways(before, after):
+def test_change_of_the_share_is_limited_both_ways(before, after):
     clock = ManualClock()
     limit = RegionShiftLimit(0.15, clock)
-    shares = run_windows(limit, clock, before, 3) + run_windows(limit, clock, after, 20)
+    shares = shares_moved(limit, clock, before, 3) + shares_moved(
+        limit, clock, after, 20
+    )
     pairs = [(shares[i] + shares[i + 1]) / 2 for i in range(len(shares) - 1)]
     changes = [abs(pairs[i + 2] - pairs[i]) for i in range(len(pairs) - 2)]
     assert max(changes) <= 0.15
     assert shares[-1] == pytest.approx(after, abs=0.06)
 
 
-def test_repeat_is_told_by_the_time_that_is_left():
-    repeats = RetryDetector()
-    assert repeats.elapsed("r1", 1.2) == 0.0
-    assert 0.2 < repeats.elapsed("r1", 0.9) <= 0.3
-    assert repeats.elapsed("r1", 1.2) == 0.0
-    assert repeats.elapsed("r2", 0.9) == 0.0
+def test_retry_is_detected_by_its_remaining_time():
+    detector = RetryDetector()
+    assert detector.elapsed("r1", 1.2) == 0.0
+    assert 0.2 < detector.elapsed("r1", 0.9) <= 0.3
+    assert detector.elapsed("r1", 1.2) == 0.0
+    assert detector.elapsed("r2", 0.9) == 0.0
 
 
 @pytest.mark.parametrize("spread", [0.0, 0.15])
-def test_first_requests_of_clients_that_wait_unequally_are_no_repeats(spread):
-    """With a bound of 97% of the longest wait 80% of them were taken for repeats."""
-    repeats, random = RetryDetector(), Random(5)
+def test_first_requests_with_varying_timeouts_are_no_retries(spread):
+    """Small differences between timeouts must not look like time already spent."""
+    detector, random = RetryDetector(), Random(5)
 
     def first():
         return 4.0 * (1.0 - spread * random.random())
 
     for _ in range(100):
-        repeats.elapsed("r1", first())
-    taken = sum(repeats.elapsed("r1", first()) > 0.0 for _ in range(1000))
-    assert taken <= 10
-    later = [repeats.elapsed("r1", first() - 0.8) for _ in range(300)]
-    assert sum(each > 0.0 for each in later) >= 270
-    assert max(later) <= 0.8
+        detector.elapsed("r1", first())
+    retries = sum(detector.elapsed("r1", first()) > 0.0 for _ in range(1000))
+    assert retries <= 10
+    retry_times = [detector.elapsed("r1", first() - 0.8) for _ in range(300)]
+    assert sum(each > 0.0 for each in retry_times) >= 270
+    assert max(retry_times) <= 0.8
 
 
-def test_split_is_exact_over_any_run():
+def test_split_matches_its_weights():
     splitter = Splitter((ServiceShare("a", 90.0), ServiceShare("b", 10.0)))
-    chosen = [splitter.next() for _ in range(100)]
-    assert chosen.count("b") == 10
-    assert chosen[:20].count("b") == 2
-
-
-def test_bodies_take_their_part_of_the_memory_and_no_more():
-    bodies = BodyMemory(1000 / BODY_MEMORY_SHARE)
-    assert bodies.take(600)
-    assert not bodies.take(600)
-    bodies.give(600)
-    assert bodies.take(1000)
-    assert bodies.held == 1000
+    selected = [splitter.next() for _ in range(100)]
+    assert selected.count("b") == 10
+    assert selected[:20].count("b") == 2
+
+
+def test_bodies_cannot_exceed_their_share_of_memory():
+    memory = BodyMemory(1000 / BODY_MEMORY_SHARE)
+    assert memory.take(600)
+    assert not memory.take(600)
+    memory.give(600)
+    assert memory.take(1000)
+    assert memory.held == 1000
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,3 +1,5 @@
+"""Tests of the log writer: library errors are logged and idle writers do not wake."""
+
 import io
 import json
 from logging import getLogger
@@ -10,7 +12,7 @@
 
 
 def lines_of(log):
-    """Return what a writer has written after ``log()``."""
+    """Return the lines that a writer has written after ``log()``."""
     stream = io.StringIO()
     writer = LogWriter("INFO", stream)
     writer.start()
@@ -19,29 +21,29 @@
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_errors_of_the_library_are_lines_like_others():
+def test_library_errors_are_logged_as_json():
     (line,) = lines_of(lambda: getLogger("curio.kernel").error("task %s crashed", 7))
     assert (line["level"], line["message"]) == ("ERROR", "task 7 crashed")
 
 
 @pytest.mark.parametrize("level", ["info", "warning"])
-def test_warnings_of_the_library_are_left_out(level):
+def test_library_messages_below_error_are_dropped(level):
     assert lines_of(lambda: getattr(getLogger("curio.time"), level)("late")) == []
 
 
-def test_writer_rests_until_there_is_a_line():
+def test_writer_is_idle_until_there_is_a_line():
     stream = io.StringIO()
     writer = LogWriter("INFO", stream)
-    takes = []
+    pops = []
     pop_all = writer._handler.pop_all
-    writer._handler.pop_all = lambda: takes.append(1) or pop_all()
+    writer._handler.pop_all = lambda: pops.append(1) or pop_all()
     writer.start()
     sleep(4 * WRITE_INTERVAL_SECONDS)
-    assert takes == []
+    assert pops == []
     for _ in range(3):
         Journal("vm-1", "north-a").write(Event.VM_STARTED)
     sleep(4 * WRITE_INTERVAL_SECONDS)
     assert len(stream.getvalue().splitlines()) == 3
-    assert len(takes) == 1
+    assert len(pops) == 1
     writer.stop()
     assert not writer._thread.is_alive()
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -1,4 +1,4 @@
-"""Whom look-ups name: near VMs first, no VM to more clients than it can bear."""
+"""Tests that lookups name near VMs first and overload none of them."""
 
 import random
 from collections import Counter
@@ -20,10 +20,9 @@
 
 PORT = 8381
 LOOKUPS = 400
-#: Seconds between the starts of two VMs that come back, and for which clients at most
-#: keep an answer.
-RETURN_SECONDS = 2.0
-KEPT_SECONDS = 3 * LOOKUP_TTL
+#: Seconds between two restarts of VMs, and for which clients cache a lookup at most.
+RESTART_INTERVAL_SECONDS = 2.0
+MAX_CACHE_SECONDS = 3 * LOOKUP_TTL
 
 
 @pytest.fixture(autouse=True)
@@ -32,7 +31,10 @@
 
 
 class FakeMembers:
-    """So many VMs in each failure domain of one region."""
+    """Members of one region.
+
+    :param counts: the number of VMs of each failure domain.
+    """
 
     def __init__(self, counts):
         self.own = Member("vm-0", "10.0.0.1", "a", "north")
@@ -55,18 +57,18 @@
     return Directory(FakeMembers(counts), regions, PORT, 5.0, clock or ManualClock())
 
 
-def named(counts, domain):
-    """Return the IP numbers that one look-up names."""
+def lookup_ips(counts, domain):
+    """Return the IP addresses that one lookup names."""
     addresses = directory(counts).lookup("north", domain).addresses
     return [each.partition(":")[0] for each in addresses]
 
 
 def over_share(counts):
-    """Return how many times its even share of the clients each VM is named for."""
+    """Return the ratio of each VM's share of the clients to an even share."""
     loads = Counter()
     for domain in counts:
         for _ in range(LOOKUPS):
-            addresses = named(counts, domain)
+            addresses = lookup_ips(counts, domain)
             for ip in addresses:
                 loads[ip] += 1 / len(addresses) / LOOKUPS
     share = len(counts) / sum(counts.values())
@@ -76,63 +78,66 @@
 @pytest.mark.parametrize(
     "counts", [{"a": 3, "b": 3, "c": 3}, {"a": 2, "b": 3, "c": 3}, {"a": 4, "b": 8}]
 )
-def test_clients_are_named_the_vms_of_their_failure_domain(counts):
+def test_lookup_names_the_vms_of_the_failure_domain_of_the_client(counts):
     here = {f"10.0.0.{number}" for number in range(counts["a"])}
-    assert set(named(counts, "a")) == here
+    assert set(lookup_ips(counts, "a")) == here
 
 
 @pytest.mark.parametrize("others", [3, 12, 25])
 @pytest.mark.parametrize("domains", [2, 4])
 @pytest.mark.parametrize("here", [0, 1, 2, 3])
-def test_first_vms_back_in_a_failure_domain_do_not_get_all_its_clients(
+def test_first_restarted_vms_of_a_failure_domain_do_not_get_all_its_clients(
     here, domains, others
 ):
     counts = {"a": here, **{f"b{number}": others for number in range(1, domains)}}
-    # Some look-ups name others at random: 400 of them spread by a few percent.
+    # The margin allows for lookups that select VMs at random.
     assert max(over_share(counts).values()) <= MAX_OVER_SHARE * 1.1
 
 
-def test_vms_of_the_own_failure_domain_are_named_to_all_its_clients():
+def test_every_lookup_names_all_vms_of_a_small_failure_domain():
     counts = {"a": 2, "b": 25, "c": 25}
     for _ in range(LOOKUPS):
-        assert {"10.0.0.0", "10.0.0.1"} <= set(named(counts, "a"))
+        assert {"10.0.0.0", "10.0.0.1"} <= set(lookup_ips(counts, "a"))
 
 
-def test_no_more_vms_are_named_than_an_answer_holds():
-    assert len(named({"a": 100, "b": 100}, "a")) == MAX_ADDRESSES
+def test_lookup_names_a_limited_number_of_vms():
+    assert len(lookup_ips({"a": 100, "b": 100}, "a")) == MAX_ADDRESSES
 
 
-def test_vm_that_has_just_started_answers_for_a_short_time():
+def test_lookup_at_a_starting_vm_has_a_short_ttl():
     clock = ManualClock()
-    answers = directory({"a": 3}, clock)
-    assert answers.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
+    vm_directory = directory({"a": 3}, clock)
+    assert vm_directory.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
     clock.time += START_SECONDS
-    assert answers.lookup("north", "a").ttl == LOOKUP_TTL
+    assert vm_directory.lookup("north", "a").ttl == LOOKUP_TTL
 
 
-def test_vm_that_leaves_answers_for_a_short_time():
+def test_lookup_at_a_leaving_vm_has_a_short_ttl():
     clock = ManualClock()
     members = FakeMembers({"a": 3})
-    answers = Directory(members, {"a": "north"}, PORT, 5.0, clock)
+    vm_directory = Directory(members, {"a": "north"}, PORT, 5.0, clock)
     clock.time += START_SECONDS
     members.own.stage = Stage.LEAVING
-    assert answers.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
+    assert vm_directory.lookup("north", "a").ttl == SHORT_LOOKUP_TTL_SECONDS
+
 
+def restart_one_by_one(fleet):
+    """Stop a failure domain at once and restart its VMs one after another.
 
-def return_one_by_one(fleet):
-    """Stop a failure domain at once; its VMs come back one after the other."""
+    Return the seconds until no client uses a lookup from before the last restart.
+    """
     domain = next(iter(fleet.regions))
     stopped = [vm for vm in fleet.serving() if vm.domain == domain]
     for number, vm in enumerate(stopped):
-        fleet.stop(vm, STOP_SECONDS + RETURN_SECONDS * number)
-    return STOP_SECONDS + RETURN_SECONDS * len(stopped) + KEPT_SECONDS
+        fleet.stop(vm, STOP_SECONDS + RESTART_INTERVAL_SECONDS * number)
+    return STOP_SECONDS + RESTART_INTERVAL_SECONDS * len(stopped) + MAX_CACHE_SECONDS
 
 
-def test_clients_of_a_failure_domain_that_returns_are_spread():
+def test_clients_of_a_restarted_failure_domain_are_spread():
     fleet = settled(30, loss=0.1)
     clients = SimulatedClients(fleet, 60)
-    clients.run(KEPT_SECONDS)
-    seconds = return_one_by_one(fleet)
-    for _ in range(int(seconds / RETURN_SECONDS)):
-        clients.run(RETURN_SECONDS)
+    clients.run(MAX_CACHE_SECONDS)
+    seconds = restart_one_by_one(fleet)
+    for _ in range(int(seconds / RESTART_INTERVAL_SECONDS)):
+        clients.run(RESTART_INTERVAL_SECONDS)
         assert max(clients.over_share(clients.drawn()).values()) <= MAX_OVER_SHARE
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,3 +1,5 @@
+"""Tests of the failure detector and of the right of a VM to act as a home."""
+
 from math import ceil
 
 import pytest
@@ -56,11 +58,11 @@
     return Heartbeat(vm, incarnation, 1, 0, 0, 0)
 
 
-def acknowledged(vm, membership, clock):
+def send_heartbeat(vm, membership, clock):
     run(make_heartbeats(vm, membership, clock).send, "north-a-2", "127.0.0.2")
 
 
-def test_vm_alone_may_act_once_it_has_settled(vm, clock):
+def test_single_vm_may_act_after_the_settle_time(vm, clock):
     membership = Membership(vm, FakeLinks(), clock)
     assert not membership.may_act()
     clock.time += SETTLE_SECONDS
@@ -68,10 +70,10 @@
     assert membership.may_act()
 
 
-def test_right_to_act_lapses_without_acknowledgements(vm, clock):
+def test_right_to_act_expires_without_acknowledgements(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
-    acknowledged(vm, membership, clock)
+    send_heartbeat(vm, membership, clock)
     assert membership.may_act()
     for _ in range(5):
         clock.time += HOME_LEASE_SECONDS / 4
@@ -79,7 +81,7 @@
     assert not membership.may_act()
 
 
-def test_paused_vm_may_not_act_before_it_has_looked_around(vm, clock):
+def test_paused_vm_may_not_act_before_it_settles_again(vm, clock):
     membership = make_membership(vm, clock)
     dropped = []
     membership.on_new_incarnation(lambda: dropped.append(True))
@@ -91,26 +93,26 @@
     assert not membership.may_act()
 
 
-def test_lease_lapses_before_a_monitor_presumes_death():
+def test_home_lease_expires_before_a_monitor_declares_death():
     assert HOME_LEASE_SECONDS < DEAD_AFTER_SECONDS
 
 
-def test_silent_member_is_presumed_dead_only_by_its_monitor_and_in_time(vm, clock):
+def test_silent_member_is_declared_dead_after_the_timeout(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
 
-    def judge_after(seconds):
+    def live_after(seconds):
         clock.time += seconds
         tick(membership)
         run(make_heartbeats(vm, membership, clock).detect_failures)
         return membership.live()
 
-    assert "north-a-2" in judge_after(0.7)
-    assert "north-a-2" in judge_after(0.7)
-    assert "north-a-2" not in judge_after(0.2)
+    assert "north-a-2" in live_after(0.7)
+    assert "north-a-2" in live_after(0.7)
+    assert "north-a-2" not in live_after(0.2)
 
 
-def test_pause_of_the_monitor_starts_its_observation_again(vm, clock):
+def test_pause_of_the_monitor_restarts_its_observation(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
     clock.time += 10
@@ -121,7 +123,7 @@
     assert "north-a-2" in membership.live()
 
 
-def test_monitor_that_stalls_often_takes_the_place_of_a_silent_member(vm, clock):
+def test_monitor_that_stalls_often_still_declares_a_silent_member_dead(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record())
     for _ in range(1 + ceil(DEAD_AFTER_SECONDS / SETTLE_SECONDS)):
@@ -134,7 +136,7 @@
     assert "north-a-2" not in membership.live()
 
 
-def test_record_that_presumes_this_vm_dead_is_refuted(vm, clock):
+def test_record_of_the_death_of_this_vm_is_refuted(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record(vm="north-a-1", incarnation=1, state="dead"))
     assert vm.incarnation == 2
@@ -145,7 +147,7 @@
     ("incarnation", "state", "live"),
     [(1, "live", False), (0, "live", False), (2, "live", True), (1, "leaving", False)],
 )
-def test_only_a_later_incarnation_returns_from_death(
+def test_only_a_later_incarnation_is_live_after_a_death(
     vm, clock, incarnation, state, live
 ):
     membership = make_membership(vm, clock)
@@ -154,7 +156,7 @@
     assert ("north-a-2" in membership.live()) is live
 
 
-def test_heartbeat_of_a_dead_incarnation_is_accused(vm, clock):
+def test_heartbeat_ack_reports_a_dead_incarnation(vm, clock):
     membership = make_membership(vm, clock)
     membership.record(record(state="dead"))
     assert membership.record_heartbeat(heartbeat()) is True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats of many VMs in one process, over a network that loses and cuts."""
+"""Tests that VMs agree on the membership by heartbeats over a lossy network."""
 
 import random
 
@@ -25,21 +25,21 @@
 from tests.steering_parts import Parts, beat
 
 SMALL, LARGE = 8, 60
-#: VMs of which a VM that starts greets some only.
-HUGE = 2000
-#: VMs of a fleet that are strong enough to carry requests, and the others.
+#: Size of a fleet of which a starting VM greets only a part.
+VERY_LARGE = 2000
+#: Numbers of VMs that are strong enough to serve requests, and of the others.
 STRONG, WEAK = 21, 63
-#: Seconds for a fleet to find itself, and to agree on a death or a return.
+#: Seconds for a fleet to form, and to agree on a death or a restart.
 START_SECONDS = 4.0
 AGREE_SECONDS = 4.0
 
 
 @pytest.fixture(autouse=True)
 def _seed():
-    """The same choices of VMs in each run.
+    """Select the same VMs in each run.
 
-    With this seed a cut half turns into a small fleet while it still believes in some
-    VMs of the other half; it took 5 s to drop them when it told no more news then.
+    With this seed a cut half shrinks to a full mesh while it still lists VMs of the
+    other half as live.
     """
     random.seed(5)
 
@@ -53,18 +53,18 @@
 
 
 def disagreeing(network):
-    """Return the VMs that do not take exactly the running ones as serving."""
+    """Return the VMs whose serving members differ from the running VMs."""
     expected = {vm.name for vm in network.running()}
     return [vm.name for vm in network.running() if vm.known != expected]
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_all_vms_find_each_other(count, loss):
+def test_all_vms_discover_each_other(count, loss):
     assert disagreeing(start(count, loss)) == []
 
 
-def test_vms_that_are_started_together_find_each_other_soon():
+def test_vms_started_together_discover_each_other_soon():
     network = Network()
     vms = [SimulatedVm(network, number, alone=True) for number in range(SMALL)]
     network.run(0.3)
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("incarnation", [2, 0])
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_restarted_vm_is_back_also_with_an_earlier_time_of_day(count, incarnation):
+def test_restarted_vm_is_live_even_with_an_earlier_clock(count, incarnation):
     network = start(count)
     vm = list(network.vms.values())[3]
     vm.running = False
@@ -106,8 +106,8 @@
     assert disagreeing(network) == []
 
 
-def test_vms_that_know_different_ones_see_that_they_differ():
-    """A sum over CRCs is the same for both."""
+def test_different_memberships_have_different_digests():
+    """A sum of CRCs would be equal for these members."""
 
     def digest(*vms):
         parts = Parts()
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_vm_that_leaves_is_known_to_leave(count):
+def test_leaving_vm_is_known_to_leave(count):
     network = start(count)
     vm = list(network.vms.values())[3]
     vm.members.set_serving(False)
@@ -128,8 +128,8 @@
     assert all(vm.name not in each.known for each in network.running())
 
 
-def test_vm_that_leaves_is_known_to_leave_where_no_requests_are_carried():
-    network = start_mixed(SMALL, SMALL)
+def test_leaving_vm_is_known_to_leave_at_vms_without_requests():
+    network = start_with_idle_vms(SMALL, SMALL)
     vm = next(iter(network.vms.values()))
     vm.members.leave()
     drive(vm.gossip.leave())
@@ -138,16 +138,16 @@
 
 
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_vms_cut_off_by_region_find_each_other_again(count):
+def test_vms_cut_off_by_region_rejoin(count):
     network = start(count)
     network.is_cut = lambda one, other: (
         (one.domain == "south-a") != (other.domain == "south-a")
     )
     network.run(AGREE_SECONDS)
     for vm in network.running():
-        here = vm.domain == "south-a"
+        in_south = vm.domain == "south-a"
         assert all(
-            (each.domain == "south-a") == here
+            (each.domain == "south-a") == in_south
             for each in network.running()
             if each.name in vm.known
         )
@@ -156,19 +156,19 @@
     assert disagreeing(network) == []
 
 
-def test_vm_whose_link_to_one_other_is_cut_stays_known_to_the_rest():
+def test_vm_with_one_cut_link_stays_live_for_the_rest():
     network = start(LARGE)
     vm = next(iter(network.vms.values()))
-    pick = next(iter(vm.members.topology.monitored))
-    pair = {vm.name, pick}
+    monitored_name = next(iter(vm.members.topology.monitored))
+    pair = {vm.name, monitored_name}
     network.is_cut = lambda one, other: {one.name, other.name} == pair
     network.run(AGREE_SECONDS)
-    assert pick not in vm.known
+    assert monitored_name not in vm.known
     rest = [each for each in network.running() if each.name not in pair]
     assert all(pair <= each.known for each in rest)
 
 
-def test_paused_vm_that_wakes_up_is_back():
+def test_resumed_vm_is_live_again():
     network = start(LARGE)
     vm = list(network.vms.values())[3]
     vm.running = False
@@ -183,12 +183,12 @@
     network = start(count)
     network.sent.clear()
     network.run(3.0)
-    most = 3.0 / INTERVAL * 3 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-    assert max(network.sent.values()) < most
+    max_messages = 3.0 / INTERVAL * 3 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+    assert max(network.sent.values()) < max_messages
 
 
-def start_alone(rows):
-    """Start a VM that learns from the store of VMs none of which answers."""
+def start_without_peers(rows):
+    """Start a VM whose peers from the store never answer."""
     network = Network()
     vm = SimulatedVm(network, 0, alone=True)
     for number in range(1, rows):
@@ -197,21 +197,23 @@
 
 
 def test_vm_that_starts_in_a_large_fleet_is_not_silent_for_long():
-    # Others take it for dead, and it takes itself for paused.
-    assert drive(start_alone(HUGE).gossip.round()) < min(SILENCE_SECONDS, PAUSE_SECONDS)
+    # A longer silence would be detected as a death, or as a pause of this VM.
+    assert drive(start_without_peers(VERY_LARGE).gossip.round()) < min(
+        SILENCE_SECONDS, PAUSE_SECONDS
+    )
 
 
 def test_greetings_of_a_vm_that_starts_do_not_grow_with_the_fleet():
-    sent = []
-    for rows in (HUGE, 2 * HUGE):
-        vm = start_alone(rows)
+    greeting_counts = []
+    for rows in (VERY_LARGE, 2 * VERY_LARGE):
+        vm = start_without_peers(rows)
         vm.network.run(START_SECONDS)
-        sent.append(vm.network.sent[vm.name])
-    assert sent[0] == sent[1]
+        greeting_counts.append(vm.network.sent[vm.name])
+    assert greeting_counts[0] == greeting_counts[1]
 
 
 def test_vm_that_hears_many_before_its_first_greeting_greets_the_rest():
-    vm = start_alone(LARGE)
+    vm = start_without_peers(LARGE)
     network = vm.network
     for number in range(1, MAX_MESH_SIZE + 2):
         other = SimulatedVm(network, number, alone=True)
@@ -225,7 +227,7 @@
     assert network.sent[vm.name] >= unheard
 
 
-def test_vm_that_greets_some_others_only_is_told_of_the_rest(monkeypatch):
+def test_vm_that_greets_only_some_others_learns_of_the_rest(monkeypatch):
     network = start(LARGE)
     monkeypatch.setattr(gossip, "MOST_GREETED", 2)
     newcomer = SimulatedVm(network, LARGE)
@@ -234,7 +236,7 @@
     assert disagreeing(network) == []
 
 
-def test_vm_that_carries_no_requests_takes_no_owner_for_known():
+def test_vm_without_requests_does_not_count_as_informed_of_owners():
     network = Network()
     weak = SimulatedVm(network, 0, strength=0.01)
     strong = [SimulatedVm(network, number) for number in range(1, SMALL)]
@@ -244,13 +246,13 @@
     assert all(strong[0].rooms.is_known(vm.name) for vm in strong[1:])
 
 
-def test_small_fleet_tells_no_news():
+def test_small_fleet_sends_no_membership_updates():
     network = start(MAX_MESH_SIZE)
     assert all(vm.members.news(INTERVAL) == [] for vm in network.running())
 
 
-def start_mixed(strong, weak, loss=0.0):
-    """Start a fleet of which a part is strong enough to carry requests."""
+def start_with_idle_vms(strong, weak, loss=0.0):
+    """Start a fleet in which only ``strong`` VMs can serve requests."""
     network = Network(loss)
     for number in range(strong + weak):
         SimulatedVm(network, number, strength=1.0 if number < strong else 0.1)
@@ -259,39 +261,39 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_vms_that_carry_no_requests_learn_of_deaths_as_well(loss):
-    network = start_mixed(STRONG, WEAK, loss)
+def test_vms_without_requests_learn_of_deaths(loss):
+    network = start_with_idle_vms(STRONG, WEAK, loss)
     for vm in list(network.vms.values())[1:3]:
         vm.running = False
     network.run(AGREE_SECONDS + 2 * IDLE_INTERVAL)
     assert disagreeing(network) == []
 
 
-def test_heartbeats_of_a_vm_that_carries_no_requests_are_few():
-    network = start_mixed(STRONG, WEAK)
+def test_vm_without_requests_sends_few_heartbeats():
+    network = start_with_idle_vms(STRONG, WEAK)
     network.sent.clear()
     network.run(3.6)
     weak = [vm.name for vm in network.running() if vm.members.own.strength < 1.0]
-    # Each 0.9 s to four picks, and to those among them that have to be answered.
+    # Four rounds to four monitored VMs, and as many answers.
     assert max(network.sent[name] for name in weak) <= 4 * 2 * 4
 
 
-def test_news_is_told_to_each_vm_a_few_times_only():
-    network = start_mixed(STRONG, WEAK)
+def test_update_is_sent_to_each_vm_a_few_times_only():
+    network = start_with_idle_vms(STRONG, WEAK)
     network.run(4.0)
     network.told.clear()
     dead = list(network.vms.values())[1]
     dead.running = False
     network.run(AGREE_SECONDS)
-    partners = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-    idle = (IDLE_MONITORED_IN_REGION + IDLE_MONITORED_OUTSIDE_REGION) * 2
-    # Of a death two things may be told, that it is doubted and that it is believed.
-    most = 3 * 2 * (STRONG * partners + WEAK * idle)
-    assert 0 < network.told[dead.name] <= most
+    monitored_by_serving = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+    idle_monitored = (IDLE_MONITORED_IN_REGION + IDLE_MONITORED_OUTSIDE_REGION) * 2
+    # A death causes up to two updates: suspected and dead.
+    max_messages = 3 * 2 * (STRONG * monitored_by_serving + WEAK * idle_monitored)
+    assert 0 < network.told[dead.name] <= max_messages
 
 
-def test_owners_are_worked_out_anew_only_when_a_vm_that_carries_requests_changes():
-    network = start_mixed(STRONG, WEAK)
+def test_owners_are_recomputed_only_when_a_vm_with_requests_changes():
+    network = start_with_idle_vms(STRONG, WEAK)
     observer, dead, *_ = network.running()
     weak = network.running()[-1]
     changes = []
@@ -305,15 +307,15 @@
     assert len(changes) == 1
 
 
-def test_only_partners_are_told_news():
+def test_updates_are_sent_to_gossip_partners_only():
     network = Network()
-    strangers = []
+    non_partners = []
 
     def is_cut(sender, receiver):
         if Heartbeat.of(first_object(network.datagram)).news:
             known = sender.members.find(receiver.name)
             if not sender.gossip._is_partner(known):
-                strangers.append(receiver.name)
+                non_partners.append(receiver.name)
         return False
 
     network.is_cut = is_cut
@@ -321,4 +323,4 @@
         SimulatedVm(network, number, strength=1.0 if number < STRONG else 0.1)
     network.run(START_SECONDS)
     assert sum(network.told.values()) > 0
-    assert strangers == []
+    assert non_partners == []
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -1,4 +1,4 @@
-"""Where the requests for an object go, over all regions."""
+"""Tests that affinity targets of objects are spread over all regions by capacity."""
 
 from collections import Counter
 
@@ -26,10 +26,10 @@
 SLOTS = 4
 
 
-class Scene:
-    """A region with few targets beside one with many; all slots are free."""
+class DestinationScene:
+    """A region with few targets and one with many; all slots are free."""
 
-    def __init__(self, trip=0.07, work=0.1, answers=MAX_SAMPLES):
+    def __init__(self, round_trip=0.07, run_seconds=0.1, samples=MAX_SAMPLES):
         entries = [entry(f"n{number}", slots=SLOTS) for number in range(NEAR)]
         entries += [
             entry(f"s{number}", domain="south-a", slots=SLOTS) for number in range(FAR)
@@ -37,24 +37,26 @@
         self.parts = parts = Parts(entries)
         clock, members = parts.clock, parts.members
         members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
-        self.rooms = rooms = CapacityReports(clock)
+        self.capacity_reports = reports = CapacityReports(clock)
         self.report(SLOTS)
         times = ResponseTimes()
-        for _ in range(answers):
-            times.record("r1", work, True)
-        pressure = LossRates()
-        view = TargetView(members, parts.registry, parts.owners, parts.ledger, rooms)
+        for _ in range(samples):
+            times.record("r1", run_seconds, True)
+        loss_rates = LossRates()
+        view = TargetView(members, parts.registry, parts.owners, parts.ledger, reports)
         admission = Admission(parts.ledger, members.region_of, clock)
-        estimates = Estimates(members, admission, rooms, lambda vm: trip, times, clock)
-        losses = RegionLossRates(members, rooms, pressure, clock)
+        estimates = Estimates(
+            members, admission, reports, lambda vm: round_trip, times, clock
+        )
+        region_loss_rates = RegionLossRates(members, reports, loss_rates, clock)
         shift = RegionShiftLimit(0.15, clock)
-        self.places = DestinationSelector(
-            view, members, estimates, losses, shift, clock
+        self.selector = DestinationSelector(
+            view, members, estimates, region_loss_rates, shift, clock
         )
 
     def report(self, free):
-        rooms = [[f"s{number}", free, SLOTS, 0] for number in range(FAR)]
-        self.rooms.record_report("vm-3", rooms, [["s1", 0.0, 0.0]], [])
+        reports = [[f"s{number}", free, SLOTS, 0] for number in range(FAR)]
+        self.capacity_reports.record_report("vm-3", reports, [["s1", 0.0, 0.0]], [])
 
     def call(self, number=0, **fields):
         made = call(
@@ -64,82 +66,90 @@
         made.affinity_until = made.soft_deadline
         return made
 
-    def place(self, made):
-        return self.places.select_free(made, frozenset(), frozenset())
+    def select(self, made):
+        return self.selector.select_free(made, frozenset(), frozenset())
 
-    def regions(self, **fields):
-        """Return how many of the objects have their home in each region."""
+    def region_counts(self, **fields):
+        """Return the number of objects whose affinity target is in each region."""
         made = [self.call(number, **fields) for number in range(OBJECTS)]
-        return Counter(self.place(each).target[0] for each in made)
+        return Counter(self.select(each).target[0] for each in made)
 
 
-def test_region_with_few_targets_keeps_its_share_of_the_objects():
-    """Homes in each region gave its 2 targets all 240 objects, five times the mean."""
-    assert Scene().regions()["n"] == pytest.approx(
+def test_region_with_few_targets_gets_its_share_of_the_objects():
+    """Affinity targets must not be limited to the region of the request."""
+    assert DestinationScene().region_counts()["n"] == pytest.approx(
         OBJECTS * NEAR / (NEAR + FAR), rel=0.4
     )
 
 
 def test_every_target_gets_its_share_of_the_objects():
-    scene = Scene()
-    homes = Counter(scene.place(scene.call(each)).target for each in range(OBJECTS))
-    assert len(homes) == NEAR + FAR
-    assert max(homes.values()) <= 2 * OBJECTS / (NEAR + FAR)
+    scene = DestinationScene()
+    targets = Counter(scene.select(scene.call(each)).target for each in range(OBJECTS))
+    assert len(targets) == NEAR + FAR
+    assert max(targets.values()) <= 2 * OBJECTS / (NEAR + FAR)
 
 
 @pytest.mark.parametrize(
-    ("trip", "work", "moves"),
+    ("round_trip", "run_seconds", "uses_far_region"),
     [(0.07, 0.1, True), (0.25, 0.1, False), (0.07, 0.25, False)],
 )
-def test_object_stays_where_a_far_answer_would_be_late(trip, work, moves):
-    assert (Scene(trip, work).regions()["s"] > 0) is moves
+def test_object_stays_near_where_a_far_response_would_be_late(
+    round_trip, run_seconds, uses_far_region
+):
+    assert (
+        DestinationScene(round_trip, run_seconds).region_counts()["s"] > 0
+    ) is uses_far_region
 
 
-@pytest.mark.parametrize("answers", [0, 5, 50])
-def test_homes_stay_while_their_objects_are_learned(answers):
-    """The first answers take three times as long; homes moved when they were over."""
-    scene = Scene(work=0.1)
-    before = scene.regions()
-    assert Scene(work=0.3, answers=answers).regions() == before
+@pytest.mark.parametrize("samples", [0, 5, 50])
+def test_affinity_targets_do_not_move_with_the_first_response_times(samples):
+    """Slow first responses must not move affinity targets."""
+    scene = DestinationScene(run_seconds=0.1)
+    before = scene.region_counts()
+    assert DestinationScene(run_seconds=0.3, samples=samples).region_counts() == before
 
 
 def test_object_stays_in_the_regions_of_its_route():
-    assert Scene().regions(regions=["north"]) == {"n": OBJECTS}
+    assert DestinationScene().region_counts(regions=["north"]) == {"n": OBJECTS}
 
 
-def test_large_body_stays():
-    scene = Scene()
+def test_request_with_a_large_body_stays_near():
+    scene = DestinationScene()
     made = [scene.call(number) for number in range(OBJECTS)]
     for each in made:
         each.body = b"x" * LARGE_BODY_BYTES
-    assert {scene.place(each).target[0] for each in made} == {"n"}
+    assert {scene.select(each).target[0] for each in made} == {"n"}
 
 
 def far_call(scene):
-    """Return a call whose object has its home in the other region."""
+    """Return a call whose affinity target is in the other region."""
     calls = (scene.call(number) for number in range(OBJECTS))
-    return next(each for each in calls if scene.place(each).is_remote)
+    return next(each for each in calls if scene.select(each).is_remote)
 
 
-def test_request_waits_at_its_far_home():
-    scene = Scene()
+def test_request_waits_at_its_far_affinity_target():
+    scene = DestinationScene()
     made = far_call(scene)
     scene.report(0)
-    assert scene.place(made) is None
-    place = scene.places.select_queue(made, frozenset(), frozenset())
-    assert (place.vm, place.target, place.is_remote) == ("vm-3", None, True)
+    assert scene.select(made) is None
+    destination = scene.selector.select_queue(made, frozenset(), frozenset())
+    assert (destination.vm, destination.target, destination.is_remote) == (
+        "vm-3",
+        None,
+        True,
+    )
 
 
-def test_late_request_takes_an_idle_target_near():
-    scene = Scene()
+def test_late_request_uses_a_free_target_near():
+    scene = DestinationScene()
     made = far_call(scene)
     scene.report(0)
     scene.parts.clock.time = made.affinity_until + 0.01
-    assert not scene.place(made).is_remote
+    assert not scene.select(made).is_remote
 
 
-def test_object_of_an_unreachable_home_has_another():
-    scene = Scene()
+def test_object_of_an_unreachable_vm_gets_another_target():
+    scene = DestinationScene()
     made = far_call(scene)
-    place = scene.places.select_free(made, frozenset(), {"vm-3"})
-    assert not place.is_remote
+    destination = scene.selector.select_free(made, frozenset(), {"vm-3"})
+    assert not destination.is_remote
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -572,7 +572,7 @@
         "",
         "tests/test_handing_over.py",
         "-k",
-        "owner_before_it",
+        "slots_of_the_previous_owner",
     ),
     Mutation(
         "HANDOVER-owner-before-untold",
@@ -611,7 +611,7 @@
         "        live = []\n",
         "tests/test_handing_over.py",
         "-k",
-        "is_told_though_it_is_no_partner",
+        "without_being_a_gossip_partner",
     ),
     Mutation(
         "HANDOVER-hold-ends",
@@ -638,7 +638,7 @@
         "        return self.active()\n",
         "tests/test_handing_over.py",
         "-k",
-        "goes_on_hearing",
+        "still_receives_reports",
     ),
     Mutation(
         "SIZE-end-of-one-that-stops",
@@ -647,7 +647,7 @@
         "            if True:\n",
         "tests/test_handing_over.py",
         "-k",
-        "no_further_picks",
+        "adds_no_monitored_vms",
     ),
     Mutation(
         "BUDGET-vms-that-stop",
