--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -236,7 +236,7 @@
     assert disagreeing(network) == []
 
 
-def test_vm_without_requests_does_not_count_as_informed_of_owners():
+def test_vm_without_requests_receives_no_capacity_reports():
     network = Network()
     weak = SimulatedVm(network, 0, strength=0.01)
     strong = [SimulatedVm(network, number) for number in range(1, SMALL)]
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,3 +1,5 @@
+"""Tests that no request runs twice, and none reported as not run ever runs."""
+
 import pytest
 from curio import run, spawn
 from hypothesis import settings
@@ -43,7 +45,7 @@
     ["", "x", "!!", issue_ticket(OTHER_KEYS, "", "", "", 0, 1)],
     ids=["empty", "short", "not base64", "other key"],
 )
-def test_ticket_of_a_stranger_is_refused(text):
+def test_ticket_with_an_invalid_signature_is_refused(text):
     with pytest.raises(HeathercleatError) as caught:
         read_ticket(KEYS, text)
     assert caught.value.code is ResultCode.TICKET_INVALID
@@ -55,67 +57,67 @@
 
 
 def test_same_key_with_another_request_is_refused():
-    ledger = DeduplicationTable(ManualClock())
-    ledger.begin(make_ticket(), "k", b"one")
+    table = DeduplicationTable(ManualClock())
+    table.begin(make_ticket(), "k", b"one")
     with pytest.raises(HeathercleatError) as caught:
-        ledger.begin(make_ticket(), "k", b"two")
+        table.begin(make_ticket(), "k", b"two")
     assert caught.value.code is ResultCode.KEY_REUSED
 
 
 def test_closed_key_never_runs():
-    ledger = DeduplicationTable(ManualClock())
-    assert ledger.close_out("ticket", "k", 160.0).state is EntryState.CLOSED
+    table = DeduplicationTable(ManualClock())
+    assert table.close_out("ticket", "k", 160.0).state is EntryState.CLOSED
     with pytest.raises(HeathercleatError) as caught:
-        ledger.begin(make_ticket(), "k", b"one")
+        table.begin(make_ticket(), "k", b"one")
     assert caught.value.code is ResultCode.TICKET_CLOSED
 
 
-def test_expired_ticket_runs_nothing_new_but_repeats_what_ran():
+def test_expired_ticket_only_returns_recorded_outcomes():
     clock = ManualClock()
-    ledger = DeduplicationTable(clock)
-    entry, first = ledger.begin(make_ticket(), "ran", b"x")
-    run(ledger.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
+    table = DeduplicationTable(clock)
+    entry, first = table.begin(make_ticket(), "ran", b"x")
+    run(table.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
     clock.time = 161.0
-    again, first = ledger.begin(make_ticket(), "ran", b"x")
+    again, first = table.begin(make_ticket(), "ran", b"x")
     assert again.outcome.body == b"done" and not first
     with pytest.raises(HeathercleatError) as caught:
-        ledger.begin(make_ticket(), "new", b"x")
+        table.begin(make_ticket(), "new", b"x")
     assert caught.value.code is ResultCode.TICKET_EXPIRED
 
 
-def test_ticket_older_than_the_memory_is_never_called_not_run():
+def test_ticket_older_than_the_retention_has_an_unknown_outcome():
     clock = ManualClock()
-    ledger = DeduplicationTable(clock)
+    table = DeduplicationTable(clock)
     clock.time = 100_000.0
     with pytest.raises(HeathercleatError) as caught:
-        ledger.begin(make_ticket(), "k", b"x")
+        table.begin(make_ticket(), "k", b"x")
     assert caught.value.code is ResultCode.OUTCOME_UNKNOWN
 
 
-def test_key_that_ran_is_never_closed_as_not_run_once_it_is_forgotten():
+def test_expired_key_is_never_closed_out_as_not_run():
     clock = ManualClock()
-    ledger = DeduplicationTable(clock)
-    entry, _ = ledger.begin(make_ticket(), "ran", b"x")
-    run(ledger.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
+    table = DeduplicationTable(clock)
+    entry, _ = table.begin(make_ticket(), "ran", b"x")
+    run(table.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
     clock.time = 160.0 + RETENTION_SECONDS
-    ledger.begin(Ticket("other", "vm", "p1", "rules", True, 9000.0), "k", b"x")
+    table.begin(Ticket("other", "vm", "p1", "rules", True, 9000.0), "k", b"x")
     with pytest.raises(HeathercleatError) as caught:
-        ledger.close_out("ticket", "ran", 160.0)
+        table.close_out("ticket", "ran", 160.0)
     assert caught.value.code is ResultCode.OUTCOME_UNKNOWN
 
 
-def test_closed_key_is_remembered_as_long_as_its_ticket_may_run():
+def test_closed_key_is_retained_while_its_ticket_is_valid():
     clock = ManualClock()
-    ledger = DeduplicationTable(clock)
+    table = DeduplicationTable(clock)
     long_ticket = Ticket("ticket", "vm", "p1", "rules", True, 100.0 + 3600)
-    ledger.close_out("ticket", "k", long_ticket.expires_at)
+    table.close_out("ticket", "k", long_ticket.expires_at)
     clock.time = 100.0 + 2 * RETENTION_SECONDS
     with pytest.raises(HeathercleatError) as caught:
-        ledger.begin(long_ticket, "k", b"x")
+        table.begin(long_ticket, "k", b"x")
     assert caught.value.code is ResultCode.TICKET_CLOSED
 
 
-def test_claim_and_closing_exclude_each_other():
+def test_claim_and_close_out_exclude_each_other():
     platform = FakePlatform()
     owner, other = ClaimTable(platform, "p1"), ClaimTable(platform, "p2")
 
@@ -148,7 +150,7 @@
         run(with_claims, claims, lambda: claims.claim(make_ticket(), "k"))
 
 
-def test_claims_that_come_together_share_a_transaction():
+def test_concurrent_claims_share_a_transaction():
     platform = FakePlatform()
     claims = ClaimTable(platform, "p1")
 
@@ -171,20 +173,20 @@
     async def act():
         await with_claims(other, lambda: other.close_out(make_ticket(), "k1"))
 
-        async def both():
+        async def claim_both():
             tasks = [
                 await spawn(owner.claim, make_ticket(), key) for key in ("k1", "k2")
             ]
             return [await task.join() for task in tasks]
 
-        return await with_claims(owner, both)
+        return await with_claims(owner, claim_both)
 
     states = [row.state for row in run(act)]
     assert states == [RowState.CLOSED, RowState.CLAIMED]
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """An owner and two other processes race over one key, with replies lost."""
+    """An owner and two other processes race for one key; replies may be lost."""
 
     def __init__(self):
         super().__init__()
@@ -192,10 +194,10 @@
         self.owner = ClaimTable(self.platform, "owner")
         self.others = [ClaimTable(self.platform, name) for name in ("b", "c")]
         self.may_run = False
-        self.said_not_run = False
+        self.reported_not_run = False
 
     @rule(before=st.integers(0, 1), after=st.integers(0, 1), down=st.booleans())
-    def fault(self, before, after, down):
+    def set_faults(self, before, after, down):
         self.platform.fail_before = before
         self.platform.fail_after = after
         self.platform.down = down
@@ -219,11 +221,11 @@
         except PlatformError:
             return
         if row.state is RowState.CLOSED:
-            self.said_not_run = True
+            self.reported_not_run = True
 
     @invariant()
-    def what_was_called_not_run_never_runs(self):
-        assert not (self.may_run and self.said_not_run)
+    def request_reported_as_not_run_never_runs(self):
+        assert not (self.may_run and self.reported_not_run)
 
 
 TestClaims = ClaimsMachine.TestCase
--- a/tests/test_once_failures.py
+++ b/tests/test_once_failures.py
@@ -1,3 +1,5 @@
+"""Tests that edits run at most once while VMs, targets and the platform fail."""
+
 import random
 import signal
 import threading
@@ -29,14 +31,14 @@
 
 
 class Editor:
-    """Sends edits one after the other, and each unsure one again elsewhere."""
+    """Sends edits in sequence and retries those of unknown outcome at other VMs."""
 
     def __init__(self, fleet, number):
         self._fleet = fleet
         self._number = number
         self._caller = Caller([vm.host for vm in fleet.vms.values()], timeout=2.0)
         self._random = random.Random(number)
-        self.answers = {}
+        self.outcomes = {}
 
     def run(self, until):
         edit = 0
@@ -53,15 +55,15 @@
         if not lookup["ticket"]:
             return
         headers = {"heathercleat-ticket": lookup["ticket"], "idempotency-key": key}
-        for host in self._places(lookup):
-            answer = self._send(host, headers)
-            if answer is not None:
-                self.answers[key] = answer
-            if answer in ("run", "not-run"):
+        for host in self._destinations(lookup):
+            outcome = self._send(host, headers)
+            if outcome is not None:
+                self.outcomes[key] = outcome
+            if outcome in ("run", "not-run"):
                 return
         self._caller.forget()
 
-    def _places(self, lookup):
+    def _destinations(self, lookup):
         owner = lookup["ticket_vm"]["address"]
         others = [vm.host for vm in self._fleet.vms.values() if vm.host != owner]
         return [owner, owner, *others]
@@ -70,14 +72,19 @@
         path = f"/s/{SERVICE}/rules"
         port = PORTS["caller"]
         try:
-            _, given, _ = call(host, port, "POST", path, b"{}", headers, timeout=2.0)
+            _, response_headers, _ = call(
+                host, port, "POST", path, b"{}", headers, timeout=2.0
+            )
         except (OSError, HTTPException):
             return None
-        return given.get("heathercleat-run")
+        return response_headers.get("heathercleat-run")
 
 
 def sweep(fleet, fault):
-    """Send edits while ``fault`` strikes; return answers and runs by key."""
+    """Send edits while ``fault`` is called again and again.
+
+    Return the last outcome and the number of runs by key.
+    """
     until = time.monotonic() + SWEEP_SECONDS
     editors = [Editor(fleet, number) for number in range(CALLERS)]
     threads = [threading.Thread(target=each.run, args=(until,)) for each in editors]
@@ -87,79 +94,81 @@
         fault()
     for thread in threads:
         thread.join()
-    answers = {key: said for each in editors for key, said in each.answers.items()}
+    outcomes = {
+        key: outcome for each in editors for key, outcome in each.outcomes.items()
+    }
     runs = Counter(run[2] for run in fleet.runs() if run[2].startswith("edit-"))
-    return answers, runs
+    return outcomes, runs
 
 
-def check(answers, runs):
-    doubled = [key for key, count in runs.items() if count > 1]
+def check_outcomes(outcomes, runs):
+    run_twice = [key for key, count in runs.items() if count > 1]
     false_not_run = [
-        key for key, said in answers.items() if said == "not-run" and runs[key]
+        key for key, outcome in outcomes.items() if outcome == "not-run" and runs[key]
     ]
     false_run = [
-        key for key, said in answers.items() if said == "run" and not runs[key]
+        key for key, outcome in outcomes.items() if outcome == "run" and not runs[key]
     ]
-    assert (doubled, false_not_run, false_run) == ([], [], [])
-    said = Counter(answers.values())
-    assert said["run"] > 50
-    print(f"edits by last answer: {dict(said)}, runs: {sum(runs.values())}")
+    assert (run_twice, false_not_run, false_run) == ([], [], [])
+    counts = Counter(outcomes.values())
+    assert counts["run"] > 50
+    print(f"edits by last outcome: {dict(counts)}, runs: {sum(runs.values())}")
 
 
-def kill_and_restart(fleet, chance):
-    vm = chance.choice(list(fleet.vms.values()))
-    time.sleep(chance.uniform(0.05, 0.4))
+def kill_and_restart(fleet, rng):
+    vm = rng.choice(list(fleet.vms.values()))
+    time.sleep(rng.uniform(0.05, 0.4))
     vm.process.kill()
     vm.process.wait()
-    time.sleep(chance.uniform(0.0, 0.5))
+    time.sleep(rng.uniform(0.0, 0.5))
     fleet.start_vm(vm)
     wait_for(lambda: fleet.version(vm) is not None)
 
 
-def pause_and_resume(fleet, chance):
-    vm = chance.choice(list(fleet.vms.values()))
-    time.sleep(chance.uniform(0.05, 0.3))
+def pause_and_resume(fleet, rng):
+    vm = rng.choice(list(fleet.vms.values()))
+    time.sleep(rng.uniform(0.05, 0.3))
     vm.process.send_signal(signal.SIGSTOP)
-    time.sleep(chance.uniform(0.2, 3.0))
+    time.sleep(rng.uniform(0.2, 3.0))
     vm.process.send_signal(signal.SIGCONT)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_kills_double_nothing(fleet, seed):
-    chance = random.Random(seed)
-    check(*sweep(fleet, lambda: kill_and_restart(fleet, chance)))
+def test_kills_run_no_edit_twice(fleet, seed):
+    rng = random.Random(seed)
+    check_outcomes(*sweep(fleet, lambda: kill_and_restart(fleet, rng)))
 
 
-def test_pauses_double_nothing(fleet):
-    chance = random.Random(3)
-    check(*sweep(fleet, lambda: pause_and_resume(fleet, chance)))
+def test_pauses_run_no_edit_twice(fleet):
+    rng = random.Random(3)
+    check_outcomes(*sweep(fleet, lambda: pause_and_resume(fleet, rng)))
 
 
-def test_kills_without_the_platform_double_nothing(fleet):
-    chance = random.Random(4)
+def test_pauses_without_the_platform_run_no_edit_twice(fleet):
+    rng = random.Random(4)
     fleet.switch_platform(down=True)
     time.sleep(1.5)
     fleet.vms["north-a-1"].process.send_signal(signal.SIGCONT)
 
     def fault():
         vm = fleet.vms["north-b-1"]
-        time.sleep(chance.uniform(0.2, 0.6))
+        time.sleep(rng.uniform(0.2, 0.6))
         vm.process.send_signal(signal.SIGSTOP)
-        time.sleep(chance.uniform(0.2, 2.0))
+        time.sleep(rng.uniform(0.2, 2.0))
         vm.process.send_signal(signal.SIGCONT)
 
-    check(*sweep(fleet, fault))
+    check_outcomes(*sweep(fleet, fault))
 
 
-def test_lost_replies_of_the_platform_double_nothing(fleet):
+def test_lost_replies_of_the_platform_run_no_edit_twice(fleet):
     def fault():
         fleet.switch_platform(lose_replies=2)
         time.sleep(0.1)
 
-    check(*sweep(fleet, fault))
+    check_outcomes(*sweep(fleet, fault))
 
 
-def test_targets_that_cut_their_answers_double_nothing(fleet):
+def test_cut_responses_run_no_edit_twice(fleet):
     targets = [name for name in fleet.targets if name.startswith("rule")]
 
     def fault():
@@ -170,11 +179,11 @@
             fleet.switch_target(name, cut=False)
         time.sleep(1.0)
 
-    answers, runs = sweep(fleet, fault)
-    check(answers, runs)
+    outcomes, runs = sweep(fleet, fault)
+    check_outcomes(outcomes, runs)
 
 
-def test_a_key_whose_owner_is_gone_is_closed_out_truthfully(fleet):
+def test_key_of_a_dead_owner_is_closed_out_as_not_run(fleet):
     first = fleet.vms["north-a-1"]
     caller = Caller([first.host])
     lookup = caller.look_up(SERVICE)
@@ -186,15 +195,15 @@
     }
     path = f"/s/{SERVICE}/rules"
     for _ in range(2):
-        status, given, _ = call(
+        status, response_headers, _ = call(
             other.host, PORTS["caller"], "POST", path, b"{}", headers
         )
-        assert given["heathercleat-code"] == "4001"
-        assert given["heathercleat-run"] == "not-run"
+        assert response_headers["heathercleat-code"] == "4001"
+        assert response_headers["heathercleat-run"] == "not-run"
     assert not [run for run in fleet.runs() if run[2] == "never-sent-before"]
 
 
-def test_without_the_platform_a_gone_owner_leaves_the_outcome_unknown(fleet):
+def test_outcome_is_unknown_without_the_owner_and_the_platform(fleet):
     fleet.switch_platform(down=True)
     first = fleet.vms["north-a-1"]
 
@@ -208,5 +217,7 @@
     other = fleet.vms["north-a-2"]
     headers = {"heathercleat-ticket": lookup["ticket"], "idempotency-key": "k"}
     path = f"/s/{SERVICE}/rules"
-    _, given, _ = call(other.host, PORTS["caller"], "POST", path, b"{}", headers)
-    assert given["heathercleat-run"] == "unknown"
+    _, response_headers, _ = call(
+        other.host, PORTS["caller"], "POST", path, b"{}", headers
+    )
+    assert response_headers["heathercleat-run"] == "unknown"
--- a/tests/test_operator_edits.py
+++ b/tests/test_operator_edits.py
@@ -1,3 +1,5 @@
+"""Tests that edits made through a VM with an old configuration lose nothing."""
+
 import json
 
 import pytest
@@ -12,7 +14,7 @@
 
 
 class FakeConfiguration:
-    """The configuration in force at a VM that lags."""
+    """The configuration at a VM that may be older than the one of the platform."""
 
     def __init__(self, vm, platform):
         self._vm = vm
@@ -35,13 +37,13 @@
     return vm
 
 
-def post(vm, path, **call):
-    body = json.dumps({"author": "operator", **call}).encode()
+def post(vm, path, **arguments):
+    body = json.dumps({"author": "operator", **arguments}).encode()
     key = vm.settings.keys[0]
     token = operator_token(key, "POST", path, body, vm.clock.wall())
     message = Message("POST", path, headers={"authorization": token}, body=body)
-    answer = run(OperatorService(vm).handle, message)
-    return answer.status, json.loads(answer.body)
+    response = run(OperatorService(vm).handle, message)
+    return response.status, json.loads(response.body)
 
 
 def apply(vm, edit_id, base, comment=""):
@@ -49,47 +51,47 @@
     return post(vm, "/v1/apply", edit_id=edit_id, base_version=base, text=text)
 
 
-def lag(vm, version, drains):
-    """Let the VM have an older version in force than the platform's table."""
+def set_stale_version(vm, version, drains):
+    """Set the version in force at the VM, older than that of the platform."""
     vm.version = version
     vm.configuration.document = Document(json.dumps(make_text()), drains)
 
 
 def plan_drain(vm, base):
-    call = {"id": "d1", "scope": "target", "name": "t2", "at": 0.0}
+    arguments = {"id": "d1", "scope": "target", "name": "t2", "at": 0.0}
     path = "/v1/drain/plan"
-    return post(vm, path, edit_id="e-drain", base_version=base, **call)
+    return post(vm, path, edit_id="e-drain", base_version=base, **arguments)
 
 
-def test_edit_through_a_vm_that_lags_keeps_the_drains_of_its_base(vm):
-    lag(vm, 0, {})
+def test_edit_through_a_stale_vm_keeps_the_drains_of_its_base(vm):
+    set_stale_version(vm, 0, {})
     apply(vm, "e1", 0)
     assert plan_drain(vm, 1)[0] == 200
-    lag(vm, 1, {})
+    set_stale_version(vm, 1, {})
     assert apply(vm, "e3", 2, "new") == (200, {"version": 3})
     assert "d1" in run(vm.editor.show, 3).drains
 
 
-def test_drain_through_a_vm_that_lags_keeps_the_text_of_its_base(vm):
-    lag(vm, 0, {})
+def test_drain_through_a_stale_vm_keeps_the_text_of_its_base(vm):
+    set_stale_version(vm, 0, {})
     apply(vm, "e1", 0)
     apply(vm, "e2", 1, "second")
-    lag(vm, 1, {})
+    set_stale_version(vm, 1, {})
     assert plan_drain(vm, 2)[0] == 200
     assert run(vm.editor.show, 3).source.startswith("// second")
 
 
-def test_vm_follows_the_edit_that_came_first_when_it_tells_of_a_conflict(vm):
-    lag(vm, 0, {})
+def test_vm_adopts_the_winning_edit_when_it_reports_a_conflict(vm):
+    set_stale_version(vm, 0, {})
     apply(vm, "e1", 0)
     apply(vm, "e2", 1, "theirs")
-    lag(vm, 1, {})
-    status, answer = apply(vm, "e3", 1, "mine")
-    assert (status, answer["code"]) == (409, 5002)
+    set_stale_version(vm, 1, {})
+    status, response = apply(vm, "e3", 1, "mine")
+    assert (status, response["code"]) == (409, 5002)
     assert vm.version == 2
 
 
-def test_edit_of_a_version_that_never_was_is_refused(vm):
-    lag(vm, 0, {})
-    status, answer = apply(vm, "e1", 7)
-    assert (status, answer["messages"]) == (404, ["there is no version 7"])
+def test_edit_of_a_nonexistent_version_is_refused(vm):
+    set_stale_version(vm, 0, {})
+    status, response = apply(vm, "e1", 7)
+    assert (status, response["messages"]) == (404, ["there is no version 7"])
--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -1,3 +1,5 @@
+"""Tests that an owner never uses more slots of a target than it may."""
+
 import pytest
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -6,13 +8,13 @@
 from tests.steering_parts import COLD_RATE, Parts, entry
 
 
-def owned(parts, id="t1"):
+def owned_target(parts, id="t1"):
     return next(each for each in parts.ledger.all() if each.entry.id == id)
 
 
 def test_slots_are_counted_exactly():
     parts = Parts([entry("t1", slots=2)])
-    target = owned(parts)
+    target = owned_target(parts)
     first = target.claim(parts.clock.now())
     target.claim(parts.clock.now())
     assert target.free(parts.clock.now()) == 0
@@ -22,7 +24,7 @@
 
 def test_releasing_twice_frees_one_slot():
     parts = Parts([entry("t1", slots=2)])
-    target = owned(parts)
+    target = owned_target(parts)
     use = target.claim(parts.clock.now())
     target.claim(parts.clock.now())
     parts.ledger.release(use)
@@ -30,9 +32,9 @@
     assert target.free(parts.clock.now()) == 1
 
 
-def test_requests_of_a_former_owner_count_for_a_while():
+def test_requests_of_a_former_owner_count_for_a_limited_time():
     parts = Parts([entry("t1", slots=3)])
-    target = owned(parts)
+    target = owned_target(parts)
     now = parts.clock.now()
     target.claim(now)
     target.record_reported_load(2, 1, now)
@@ -40,9 +42,9 @@
     assert target.free(now + 0.5) == 2
 
 
-def test_cold_target_gets_a_share_of_the_rate_it_stands():
+def test_cold_target_gets_its_share_of_the_cold_rate():
     parts = Parts([entry("t1", slots=1000, cold=5.0)])
-    target = owned(parts)
+    target = owned_target(parts)
     sent = 0
     while target.free(parts.clock.now()):
         parts.ledger.release(target.claim(parts.clock.now()))
@@ -52,49 +54,49 @@
     assert target.free(parts.clock.now()) > 0
 
 
-def test_target_that_comes_back_to_its_owner_keeps_its_counts():
+def test_target_that_returns_to_its_owner_keeps_its_counts():
     parts = Parts([entry("t1", slots=1000, cold=5.0)])
-    target = owned(parts)
+    target = owned_target(parts)
     while target.free(parts.clock.now()):
         target.claim(parts.clock.now())
     parts.members.set_serving(False)
     assert list(parts.ledger.all()) == []
     parts.members.set_serving(True)
-    assert owned(parts).free(parts.clock.now()) == 0
-    assert len(owned(parts).uses) == len(target.uses) > 0
+    assert owned_target(parts).free(parts.clock.now()) == 0
+    assert len(owned_target(parts).uses) == len(target.uses) > 0
 
 
-def fail_until_it_rests(target, now):
+def fail_until_ejected(target, now):
     while not target.health.record_failure(now, now):
         pass
 
 
-def test_requests_cut_at_the_same_time_make_one_rest():
+def test_requests_cut_at_the_same_time_cause_one_ejection():
     parts = Parts([entry("t1", slots=4)])
-    target = owned(parts)
+    target = owned_target(parts)
     started_at = parts.clock.now()
     parts.clock.time += 0.1
-    fail_until_it_rests(target, parts.clock.now())
+    fail_until_ejected(target, parts.clock.now())
     ejected_until = target.health.ejected_until
     parts.clock.time += 0.01
     assert not target.health.record_failure(parts.clock.now(), started_at)
     assert target.health.ejected_until == ejected_until
 
 
-def test_trial_that_fails_makes_a_longer_rest():
+def test_failed_trial_request_lengthens_the_ejection():
     parts = Parts([entry("t1", slots=4)])
-    target = owned(parts)
-    fail_until_it_rests(target, parts.clock.now())
+    target = owned_target(parts)
+    fail_until_ejected(target, parts.clock.now())
     first = target.health.ejected_until - parts.clock.now()
     parts.clock.time += 1.0
     assert target.health.record_failure(parts.clock.now(), parts.clock.now())
     assert target.health.ejected_until - parts.clock.now() > first
 
 
-def test_failing_target_rests_and_is_tried_by_one_request():
+def test_failing_target_is_ejected_and_then_half_open():
     parts = Parts([entry("t1", slots=4)])
-    target = owned(parts)
-    fail_until_it_rests(target, parts.clock.now())
+    target = owned_target(parts)
+    fail_until_ejected(target, parts.clock.now())
     assert target.free(parts.clock.now()) == 0
     parts.clock.time += 5.0
     assert target.free(parts.clock.now()) == 1
@@ -102,28 +104,28 @@
     assert target.free(parts.clock.now()) == 4
 
 
-def test_silent_target_gets_no_more_requests():
+def test_unresponsive_target_gets_no_more_requests():
     parts = Parts([entry("t1", slots=4)])
-    target = owned(parts)
+    target = owned_target(parts)
     target.claim(parts.clock.now())
     assert target.free(parts.clock.now() + 0.5) == 3
     assert target.free(parts.clock.now() + 2.0) == 0
 
 
 @pytest.mark.parametrize(("latency", "slow"), [(0.1, False), (0.9, True)])
-def test_target_that_is_much_slower_than_the_others_takes_one_request(latency, slow):
+def test_slow_target_takes_one_request(latency, slow):
     parts = Parts([entry(f"t{number}", slots=4) for number in range(5)])
     for target in parts.ledger.all():
         target.health.record_success(0.1)
-    odd = owned(parts, "t3")
-    odd.health.latency = latency
+    slow_target = owned_target(parts, "t3")
+    slow_target.health.latency = latency
     parts.ledger.update_slow_targets()
-    assert odd.is_slow is slow
-    assert odd.free(parts.clock.now()) == (1 if slow else 4)
+    assert slow_target.is_slow is slow
+    assert slow_target.free(parts.clock.now()) == (1 if slow else 4)
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Targets change owners and state while requests come and go."""
+    """Targets change owners and state while requests start and end."""
 
     def __init__(self):
         super().__init__()
@@ -131,7 +133,7 @@
         self.uses = []
 
     @rule(number=st.integers(0, 2))
-    def take(self, number):
+    def claim(self, number):
         now = self.parts.clock.now()
         for target in self.parts.ledger.all():
             if target.entry.id == f"t{number}" and target.free(now):
@@ -144,12 +146,12 @@
             self.parts.ledger.release(use)
 
     @rule(number=st.integers(0, 2), draining=st.booleans())
-    def change(self, number, draining):
+    def update_entry(self, number, draining):
         changed = entry(f"t{number}", slots=2, draining=draining)
         self.parts.registry.update([changed], [])
 
     @rule(serving=st.booleans())
-    def serve(self, serving):
+    def set_serving(self, serving):
         self.parts.members.set_serving(serving)
 
     @rule(seconds=st.floats(0.0, 2.0))
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,10 +1,12 @@
+"""Tests that each target has exactly one owner, as near and strong as possible."""
+
 from tests.steering_parts import Parts, beat, entry
 
 TARGETS = [entry(f"t{number}") for number in range(8)]
 
 
-def pass_time(parts, seconds):
-    """Let time pass with regular checks, as a process that runs makes them."""
+def advance(parts, seconds):
+    """Advance the time with the regular checks of a running process."""
     for _ in range(int(seconds * 10)):
         parts.clock.time += 0.1
         parts.members.check()
@@ -24,7 +26,7 @@
     assert owners.count("vm-1") == owners.count("vm-2") == len(TARGETS) // 2
 
 
-def test_vm_of_another_domain_owns_only_what_has_no_nearer_vm():
+def test_vm_owns_targets_of_another_domain_only_without_a_nearer_vm():
     parts = Parts([entry("t1"), entry("t2", domain="south-a")])
     parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
     assert parts.owners.owner_of("t1") == "vm-1"
@@ -36,7 +38,7 @@
 def test_silent_vm_loses_its_targets():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
-    pass_time(parts, 2.0)
+    advance(parts, 2.0)
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
@@ -71,7 +73,7 @@
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
-def test_weak_vms_take_over_when_the_strong_ones_are_gone():
+def test_weak_vms_own_targets_without_strong_ones():
     parts = Parts(TARGETS, serving=False)
     parts.members.record_heartbeat(beat("vm-2", strength=2.0))
     parts.members.record_heartbeat(beat("vm-3", strength=0.3))
@@ -80,7 +82,7 @@
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-3"}
 
 
-def test_all_vms_are_used_where_the_strong_ones_are_too_few():
+def test_all_vms_own_targets_where_strong_ones_are_too_few():
     parts = Parts(TARGETS, serving=False)
     parts.members.record_heartbeat(beat("vm-2", strength=1.0))
     for number in range(3, 13):
@@ -88,19 +90,19 @@
     assert len({parts.owners.owner_of(each.id) for each in TARGETS}) > 1
 
 
-def test_pause_of_this_process_is_no_silence_of_the_others():
+def test_pause_of_this_process_does_not_declare_others_dead():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
     parts.clock.time += 5.0
     parts.members.check()
     assert parts.members.live("vm-2") is not None
-    pass_time(parts, 2.0)
+    advance(parts, 2.0)
     assert parts.members.live("vm-2") is None
 
 
-def test_vm_whose_clock_was_set_back_is_heard_again_after_its_restart():
+def test_vm_with_a_clock_set_back_is_live_again_after_its_restart():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2", incarnation=5))
-    pass_time(parts, 2.0)
+    advance(parts, 2.0)
     assert parts.members.record_heartbeat(beat("vm-2", incarnation=3)) is not None
     assert parts.members.live("vm-2").incarnation == 3
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,3 +1,5 @@
+"""Tests of the request path: lookups, uploads, errors and deadlines."""
+
 import json
 import os
 import socket
@@ -23,22 +25,22 @@
     with socket.create_connection((vm.host, PORTS["caller"]), timeout=5) as sock:
         sock.sendall(data)
         sock.shutdown(socket.SHUT_WR)
-        answer = b""
+        response = b""
         while part := sock.recv(65536):
-            answer += part
-    return answer
+            response += part
+    return response
 
 
-def code_of(answer):
-    return json.loads(answer[2])["code"]
+def code_of(response):
+    return json.loads(response[2])["code"]
 
 
-def test_lookup_names_near_vms_first_and_until_when(fleet, vm):
+def test_lookup_names_near_vms_first_with_a_max_age(fleet, vm):
     status, headers, body = call(
         vm.host, PORTS["caller"], "GET", "/lookup?service=style-lookup"
     )
-    answer = json.loads(body)
-    domains = [each["failure_domain"] for each in answer["vms"]]
+    response = json.loads(body)
+    domains = [each["failure_domain"] for each in response["vms"]]
     assert status == 200
     assert domains[:2] == ["north-a", "north-a"]
     assert set(domains) == {"north-a", "north-b", "south-a", "south-b"}
@@ -77,10 +79,10 @@
         ("/lookup?service=style-lookup&client=nowhere", "GET", 1001),
     ],
 )
-def test_wrong_calls_get_a_numbered_error(vm, path, method, code):
-    answer = call(vm.host, PORTS["caller"], method, path)
-    assert code_of(answer) == code
-    assert answer[1]["heathercleat-run"] == "not-run"
+def test_invalid_requests_get_an_error_code(vm, path, method, code):
+    response = call(vm.host, PORTS["caller"], method, path)
+    assert code_of(response) == code
+    assert response[1]["heathercleat-run"] == "not-run"
 
 
 @pytest.mark.parametrize(
@@ -111,29 +113,29 @@
         ),
     ],
 )
-def test_bad_input_gets_a_numbered_error(vm, data, code):
+def test_malformed_requests_get_an_error_code(vm, data, code):
     assert f'"code": {code}'.encode() in send_raw(vm, data)
 
 
-def test_forward_address_refuses_strangers(vm):
-    answer = call(vm.host, PORTS["forward"], "GET", "/s/style-lookup/")
-    assert code_of(answer) == 1001
+def test_forward_address_refuses_clients(vm):
+    response = call(vm.host, PORTS["forward"], "GET", "/s/style-lookup/")
+    assert code_of(response) == 1001
 
 
-def test_operator_address_refuses_calls_without_a_key(vm):
-    answer = call(vm.host, PORTS["operator"], "GET", "/v1/status")
-    assert code_of(answer) == 1001
+def test_operator_address_refuses_requests_without_a_key(vm):
+    response = call(vm.host, PORTS["operator"], "GET", "/v1/status")
+    assert code_of(response) == 1001
 
 
-def test_passed_deadline_is_refused_before_the_run(vm, fleet):
+def test_request_past_its_deadline_does_not_run(vm, fleet):
     before = len(fleet.runs())
-    answer = call(
+    response = call(
         vm.host,
         PORTS["caller"],
         "GET",
         "/s/style-lookup/late",
         headers={"heathercleat-deadline": "1000000000"},
     )
-    assert code_of(answer) in (2002, 1006)
-    assert answer[1]["heathercleat-run"] == "not-run"
+    assert code_of(response) in (2002, 1006)
+    assert response[1]["heathercleat-run"] == "not-run"
     assert len(fleet.runs()) == before
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that a client sends before the answers to earlier ones."""
+"""Tests of pipelined requests: order, concurrency and shutdown of a connection."""
 
 import socket
 import time
@@ -37,16 +37,16 @@
 from heathercleat.steering.version.routing import Limits, RoutingTable, Service
 from tests.steering_parts import route
 
-#: Seconds in which the system has to hand on what was sent on this machine.
-DELIVER_SECONDS = 5.0
+#: Seconds for the kernel to deliver data over the loopback interface.
+DELIVERY_TIMEOUT_SECONDS = 5.0
 #: Seconds from the stop signal to the kill.
-GRACE = 60.0
-#: Turns of the loop in which all that can happen without the network has happened.
+GRACE_SECONDS = 60.0
+#: Rounds of the event loop after which all tasks wait for input.
 SETTLE_ROUNDS = 6
 
 
-class Wait:
-    """A wait that ends when the client leaves."""
+class FakeInterrupter:
+    """Interrupts the wait of a request when the client disconnects."""
 
     def __init__(self, signal):
         self._signal = signal
@@ -56,7 +56,7 @@
 
 
 class FakeNode:
-    """Answers calls when the test says so; all else is real."""
+    """A node whose requests finish on demand; its other parts are real."""
 
     def __init__(self):
         self.clock = SystemClock()
@@ -70,19 +70,19 @@
         self.started = True
         self.leaving = False
         self.pending = {}
-        self.lost = []
+        self.disconnected = []
 
     def stop(self):
-        """Be told to stop so long ago that connections are not kept any more."""
+        """Begin a stop whose keep-alive period is already over."""
         self.leaving = True
-        self.shutdown.begin(self.clock.now() - KEEP_ALIVE_SECONDS, GRACE)
+        self.shutdown.begin(self.clock.now() - KEEP_ALIVE_SECONDS, GRACE_SECONDS)
 
     def choose_service(self, route):
         return "s1"
 
     async def steer(self, call):
         signal = self.pending[call.id] = Signal()
-        call.on_disconnect = Wait(signal)
+        call.on_disconnect = FakeInterrupter(signal)
         await signal.wait()
         del self.pending[call.id]
         if call.is_disconnected:
@@ -91,18 +91,18 @@
             200, [(b"request-id", call.id.encode())], call.id.encode()
         )
 
-    def answered(self, call, answer, now):
+    def answered(self, call, response, now):
         pass
 
     def refused(self, call, error, now):
         pass
 
     def left(self, call, now):
-        self.lost.append(call.id)
+        self.disconnected.append(call.id)
 
 
-class Line:
-    """A client and the connection that serves it, in one thread."""
+class PipelinedConnection:
+    """A client and its server connection in one thread."""
 
     def __init__(self):
         self.kernel = Kernel()
@@ -114,7 +114,7 @@
         self.reader = h11.Connection(h11.CLIENT)
         self.server = Socket(server)
         self.sent = []
-        self.got = []
+        self.received = []
         self.closed = False
         self.kernel.run(self._start)
 
@@ -129,7 +129,7 @@
             await self.server.close()
 
     def send(self, method="GET"):
-        """Send a request without waiting for the answers before it."""
+        """Send a request without waiting for earlier responses."""
         name = f"q{len(self.sent)}"
         self.sent.append((name, method))
         head = f"{method} /x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {name}\r\n"
@@ -138,8 +138,8 @@
         wait_delivered(self.client)
         self.settle()
 
-    def answer(self, name):
-        """Let the request of a name have its answer."""
+    def respond(self, name):
+        """Finish the request with the given name."""
         self.kernel.run(self.node.pending[name].set)
         self.settle()
 
@@ -151,9 +151,9 @@
         self.kernel.run(wait)
         if not self.task.terminated:
             wait_delivered(self.server)
-        self.read()
+        self.read_responses()
 
-    def look_for_leavers(self):
+    def detect_disconnects(self):
         async def look():
             task = await spawn(self.node.active_requests.run, daemon=True)
             await sleep(0.02)
@@ -161,25 +161,25 @@
 
         self.kernel.run(look)
 
-    def read(self):
-        """Take the answers that have arrived."""
+    def read_responses(self):
+        """Read the responses that have arrived."""
         self.client.setblocking(False)
         try:
             while data := self.client.recv(1 << 16):
-                self._take(data)
+                self._receive(data)
             self.closed = True
         except BlockingIOError:
             pass
         finally:
             self.client.settimeout(5.0)
 
-    def _take(self, data):
+    def _receive(self, data):
         if self.reader.our_state is h11.IDLE:
             self._expect()
         self.reader.receive_data(data)
         while (event := self.reader.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Data):
-                self.got.append(bytes(event.data).decode())
+                self.received.append(bytes(event.data).decode())
             elif isinstance(event, h11.EndOfMessage):
                 if self.reader.states[h11.SERVER] is not h11.DONE:
                     return
@@ -191,254 +191,255 @@
         self.reader.send(request)
         self.reader.send(h11.EndOfMessage())
 
-    def end(self):
+    def tear_down(self):
         self.client.close()
         self.kernel.run(self.task.cancel)
         self.kernel.run(shutdown=True)
 
 
 def wait_delivered(sock):
-    """Wait until all that was sent has arrived at the other end.
+    """Wait until the peer's kernel has received all sent data.
 
-    On a busy machine the system hands it on later, and the same steps would lead to
-    another state.
+    A late delivery on a busy machine would make the steps of a test nondeterministic.
     """
-    patience = time.monotonic() + DELIVER_SECONDS
+    deadline = time.monotonic() + DELIVERY_TIMEOUT_SECONDS
     while unpack("i", ioctl(sock.fileno(), TIOCOUTQ, bytes(4)))[0]:
-        assert time.monotonic() < patience, "what was sent does not arrive"
+        assert time.monotonic() < deadline, "sent data was not delivered"
         time.sleep(0.0005)
 
 
 @pytest.fixture
-def line():
-    made = Line()
+def pipelined():
+    made = PipelinedConnection()
     yield made
-    made.end()
+    made.tear_down()
 
 
-def test_requests_sent_ahead_are_served_at_the_same_time(line):
+def test_pipelined_requests_are_served_concurrently(pipelined):
     for _ in range(3):
-        line.send()
-    assert set(line.node.pending) == {"q0", "q1", "q2"}
+        pipelined.send()
+    assert set(pipelined.node.pending) == {"q0", "q1", "q2"}
 
 
-def test_answers_come_in_the_order_of_the_requests(line):
+def test_responses_are_sent_in_request_order(pipelined):
     for _ in range(3):
-        line.send()
-    line.answer("q2")
-    line.answer("q1")
-    assert line.got == []
-    line.answer("q0")
-    assert line.got == ["q0", "q1", "q2"]
-
-
-def test_request_that_changes_something_waits_for_those_before_it(line):
-    line.send()
-    line.send("POST")
-    line.send()
-    assert set(line.node.pending) == {"q0"}
-    line.answer("q0")
-    assert set(line.node.pending) == {"q1"}
-    line.answer("q1")
-    assert set(line.node.pending) == {"q2"}
-
-
-def test_requests_beyond_the_bound_stay_unread(line):
+        pipelined.send()
+    pipelined.respond("q2")
+    pipelined.respond("q1")
+    assert pipelined.received == []
+    pipelined.respond("q0")
+    assert pipelined.received == ["q0", "q1", "q2"]
+
+
+def test_exclusive_request_waits_for_earlier_ones(pipelined):
+    pipelined.send()
+    pipelined.send("POST")
+    pipelined.send()
+    assert set(pipelined.node.pending) == {"q0"}
+    pipelined.respond("q0")
+    assert set(pipelined.node.pending) == {"q1"}
+    pipelined.respond("q1")
+    assert set(pipelined.node.pending) == {"q2"}
+
+
+def test_requests_beyond_the_limit_are_not_read(pipelined):
     for _ in range(MAX_PIPELINED_REQUESTS + 3):
-        line.send()
-    assert len(line.node.pending) == MAX_PIPELINED_REQUESTS
-    line.answer("q0")
-    assert len(line.node.pending) == MAX_PIPELINED_REQUESTS
+        pipelined.send()
+    assert len(pipelined.node.pending) == MAX_PIPELINED_REQUESTS
+    pipelined.respond("q0")
+    assert len(pipelined.node.pending) == MAX_PIPELINED_REQUESTS
 
 
-def test_client_that_leaves_frees_all_its_requests(line):
+def test_disconnect_cancels_all_requests_of_the_client(pipelined):
     for _ in range(3):
-        line.send()
-    line.client.close()
-    line.look_for_leavers()
-    assert sorted(line.node.lost) == ["q0", "q1", "q2"]
-    assert not line.connection.is_busy
+        pipelined.send()
+    pipelined.client.close()
+    pipelined.detect_disconnects()
+    assert sorted(pipelined.node.disconnected) == ["q0", "q1", "q2"]
+    assert not pipelined.connection.is_busy
 
 
-def test_stop_answers_all_that_were_read_and_then_closes(line):
+def test_stop_responds_to_all_read_requests_and_closes(pipelined):
     for _ in range(3):
-        line.send()
-    line.node.leaving = True
-    line.connection.close_idle()
+        pipelined.send()
+    pipelined.node.leaving = True
+    pipelined.connection.close_idle()
     for name in ("q1", "q2", "q0"):
-        line.answer(name)
-    assert line.got == ["q0", "q1", "q2"]
-    assert line.closed
+        pipelined.respond(name)
+    assert pipelined.received == ["q0", "q1", "q2"]
+    assert pipelined.closed
 
 
-def test_request_behind_a_closing_answer_is_not_taken(line):
-    line.send()
-    line.node.leaving = True
-    line.answer("q0")
-    line.send()
-    assert line.node.pending == {}
-    assert line.got == ["q0"]
+def test_request_after_a_closing_response_is_not_read(pipelined):
+    pipelined.send()
+    pipelined.node.leaving = True
+    pipelined.respond("q0")
+    pipelined.send()
+    assert pipelined.node.pending == {}
+    assert pipelined.received == ["q0"]
 
 
-def test_client_that_always_sends_ahead_is_told_to_close_in_a_stop(line):
-    line.send()
-    line.send()
-    line.node.stop()
-    line.send()
+def test_client_that_always_pipelines_is_closed_in_a_stop(pipelined):
+    pipelined.send()
+    pipelined.send()
+    pipelined.node.stop()
+    pipelined.send()
     for name in ("q0", "q1"):
-        line.answer(name)
-    assert line.node.pending == {}
-    assert line.got == ["q0", "q1"]
-    assert line.closed
-
-
-def test_request_that_waits_for_those_before_it_is_answered_in_a_stop(line):
-    line.send()
-    line.send("POST")
-    line.node.leaving = True
-    line.answer("q0")
-    line.answer("q1")
-    assert line.got == ["q0", "q1"]
-    assert line.closed
-
-
-def test_head_that_cannot_be_read_after_a_request_alone_closes_in_a_stop(line):
-    line.send("POST")
-    line.answer("q0")
-    line.node.leaving = True
-    line.client.sendall(b"\x00 bad\r\n\r\n")
-    line.settle()
-    assert line.connection._is_closed
-    assert line.closed
-
-
-def test_end_of_the_process_sends_no_answer_in_the_place_of_another(line):
-    """Seen once in eight plays of a day: the answer that was ready went first."""
-    line.send()
-    line.send()
-    line.answer("q1")
-    line.kernel.run(line.task.cancel)
-    line.settle()
-    assert line.got == []
-    assert line.closed
-
-
-def test_ready_answers_are_sent_before_the_process_ends(line):
-    """The request before them is given up; without it they were lost as well."""
+        pipelined.respond(name)
+    assert pipelined.node.pending == {}
+    assert pipelined.received == ["q0", "q1"]
+    assert pipelined.closed
+
+
+def test_request_that_waits_for_earlier_ones_is_served_in_a_stop(pipelined):
+    pipelined.send()
+    pipelined.send("POST")
+    pipelined.node.leaving = True
+    pipelined.respond("q0")
+    pipelined.respond("q1")
+    assert pipelined.received == ["q0", "q1"]
+    assert pipelined.closed
+
+
+def test_malformed_head_after_an_exclusive_request_closes_in_a_stop(pipelined):
+    pipelined.send("POST")
+    pipelined.respond("q0")
+    pipelined.node.leaving = True
+    pipelined.client.sendall(b"\x00 bad\r\n\r\n")
+    pipelined.settle()
+    assert pipelined.connection._is_closed
+    assert pipelined.closed
+
+
+def test_cancelled_connection_sends_no_response_out_of_order(pipelined):
+    """A ready response must not be sent in place of an earlier one."""
+    pipelined.send()
+    pipelined.send()
+    pipelined.respond("q1")
+    pipelined.kernel.run(pipelined.task.cancel)
+    pipelined.settle()
+    assert pipelined.received == []
+    assert pipelined.closed
+
+
+def test_ready_responses_are_sent_before_the_process_ends(pipelined):
+    """Only the request that blocks the ready responses is given up."""
     for _ in range(4):
-        line.send()
-    line.answer("q1")
-    line.answer("q2")
-    line.kernel.run(line.connection.cancel_blocking_requests)
-    line.settle()
-    assert line.got == ["3002 answer_lost\n", "q1", "q2"]
-    assert set(line.node.pending) == {"q0", "q3"}
+        pipelined.send()
+    pipelined.respond("q1")
+    pipelined.respond("q2")
+    pipelined.kernel.run(pipelined.connection.cancel_blocking_requests)
+    pipelined.settle()
+    assert pipelined.received == ["3002 answer_lost\n", "q1", "q2"]
+    assert set(pipelined.node.pending) == {"q0", "q3"}
 
 
-def test_unexpected_error_of_a_request_ends_the_connection(line):
+def test_unexpected_error_of_a_request_closes_the_connection(pipelined):
     async def fail(call):
         raise RuntimeError("broken")
 
-    line.node.steer = fail
-    line.send()
-    assert line.closed
+    pipelined.node.steer = fail
+    pipelined.send()
+    assert pipelined.closed
     with pytest.raises(TaskError) as caught:
-        line.kernel.run(line.task.join)
+        pipelined.kernel.run(pipelined.task.join)
     assert isinstance(caught.value.__cause__, RuntimeError)
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_turn_comes_only_after_the_answer_before_it(sent):
-    before, turn = PipelinedRequest(None, None, 0.0), PipelinedRequest(None, None, 0.0)
-    before.is_sent, turn.previous = sent, before
+def test_response_waits_for_the_previous_one(sent):
+    first, second = PipelinedRequest(None, None, 0.0), PipelinedRequest(None, None, 0.0)
+    first.is_sent, second.previous = sent, first
 
-    async def come():
-        await before.finished.set()
-        await turn.wait_for_turn()
+    async def wait_second():
+        await first.finished.set()
+        await second.wait_for_turn()
         return True
 
     if sent:
-        assert run(come)
+        assert run(wait_second)
         return
     with pytest.raises(EOFError):
-        run(come)
+        run(wait_second)
 
 
 class PipeliningMachine(RuleBasedStateMachine):
-    """Any order of requests and answers on one connection."""
+    """Requests and responses in any order on one connection."""
 
     @initialize()
     def connect(self):
-        self.line = Line()
-        self.taken = None
-        self.answered = 0
+        self.pipelined = PipelinedConnection()
+        self.accepted_at_stop = None
+        self.responded = 0
 
-    @precondition(lambda self: self.taken is None)
+    @precondition(lambda self: self.accepted_at_stop is None)
     @rule()
     def stop(self):
-        self.line.node.stop()
-        self.taken = set(self.line.node.pending) | set(self._waiting())
+        self.pipelined.node.stop()
+        self.accepted_at_stop = set(self.pipelined.node.pending) | set(self._waiting())
 
     def _waiting(self):
-        """Return the name of a request that was read and waits to be served alone."""
-        pending = self.line.node.pending
-        served = self.answered + len(pending)
-        following = self.line.sent[served : served + 1]
-        methods = dict(self.line.sent)
+        """Return the name of a read exclusive request that waits, in a list."""
+        pending = self.pipelined.node.pending
+        served = self.responded + len(pending)
+        following = self.pipelined.sent[served : served + 1]
+        methods = dict(self.pipelined.sent)
         if any(methods[name] == "POST" for name in pending):
             return []
         return [name for name, method in following if method == "POST"]
 
-    @precondition(lambda self: self.line.closed)
+    @precondition(lambda self: self.pipelined.closed)
     @rule()
     def connect_again(self):
-        self.line.end()
+        self.pipelined.tear_down()
         self.connect()
 
-    @precondition(lambda self: not self.line.closed)
+    @precondition(lambda self: not self.pipelined.closed)
     @rule(method=st.sampled_from(["GET", "GET", "HEAD", "POST"]))
     def send(self, method):
-        self.line.send("GET" if method == "HEAD" else method)
+        self.pipelined.send("GET" if method == "HEAD" else method)
 
-    @precondition(lambda self: self.line.node.pending)
+    @precondition(lambda self: self.pipelined.node.pending)
     @rule(data=st.data())
-    def answer(self, data):
-        self.answered += 1
-        self.line.answer(data.draw(st.sampled_from(sorted(self.line.node.pending))))
+    def respond(self, data):
+        self.responded += 1
+        self.pipelined.respond(
+            data.draw(st.sampled_from(sorted(self.pipelined.node.pending)))
+        )
 
     @invariant()
-    def answers_are_in_order(self):
-        names = [name for name, _ in self.line.sent]
-        assert self.line.got == names[: len(self.line.got)]
+    def responses_are_in_order(self):
+        names = [name for name, _ in self.pipelined.sent]
+        assert self.pipelined.received == names[: len(self.pipelined.received)]
 
     @invariant()
-    def no_more_than_the_bound_are_served(self):
-        assert len(self.line.node.pending) <= MAX_PIPELINED_REQUESTS
+    def number_of_served_requests_is_limited(self):
+        assert len(self.pipelined.node.pending) <= MAX_PIPELINED_REQUESTS
 
     @invariant()
-    def requests_that_change_something_are_served_alone(self):
-        methods = dict(self.line.sent)
-        pending = [methods[name] for name in self.line.node.pending]
+    def exclusive_requests_are_served_alone(self):
+        methods = dict(self.pipelined.sent)
+        pending = [methods[name] for name in self.pipelined.node.pending]
         assert "POST" not in pending or len(pending) == 1
 
     @invariant()
-    def something_is_served_while_answers_are_due(self):
-        due = len(self.line.got) < len(self.line.sent)
-        closed = self.taken is not None and self.line.closed
-        assert not due or self.line.node.pending or closed
+    def a_request_is_served_while_responses_are_due(self):
+        due = len(self.pipelined.received) < len(self.pipelined.sent)
+        closed = self.accepted_at_stop is not None and self.pipelined.closed
+        assert not due or self.pipelined.node.pending or closed
 
     @invariant()
-    def nothing_runs_whose_answer_cannot_be_sent(self):
-        assert not (self.line.closed and self.line.node.pending)
+    def no_request_runs_on_a_closed_connection(self):
+        assert not (self.pipelined.closed and self.pipelined.node.pending)
 
     @invariant()
-    def stop_takes_no_request_behind_others(self):
-        if self.taken:
-            assert self.taken.issuperset(self.line.node.pending)
+    def stop_accepts_no_pipelined_request(self):
+        if self.accepted_at_stop:
+            assert self.accepted_at_stop.issuperset(self.pipelined.node.pending)
 
     def teardown(self):
-        if hasattr(self, "line"):
-            self.line.end()
+        if hasattr(self, "pipelined"):
+            self.pipelined.tear_down()
 
 
 PipeliningMachine.TestCase.settings = settings(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,3 +1,5 @@
+"""Tests that every target has one home and homes are spread evenly over VMs."""
+
 import json
 
 import pytest
@@ -43,12 +45,12 @@
     return loads
 
 
-def test_few_slots_of_a_service_share_one_home():
+def test_service_with_few_slots_has_one_home():
     services, placement = make_placement([4, 4, 3])
     assert len(placement.homes_of(services["s0"], DOMAIN, VMS)) == 1
 
 
-def test_many_slots_of_a_service_have_several_homes():
+def test_service_with_many_slots_has_several_homes():
     services, placement = make_placement([6] * 12)
     assert len(placement.homes_of(services["s0"], DOMAIN, VMS)) == len(VMS)
 
@@ -71,19 +73,19 @@
     assert placement.homes(DOMAIN, VMS) == other.homes(DOMAIN, VMS[::-1])
 
 
-@pytest.mark.parametrize("gone", VMS)
-def test_targets_of_the_vms_that_stay_mostly_stay(gone):
+@pytest.mark.parametrize("removed", VMS)
+def test_targets_of_the_remaining_vms_mostly_stay(removed):
     _, placement = make_placement(*([6] * 2 for _ in range(30)))
     before = placement.homes(DOMAIN, VMS)
-    after = placement.homes(DOMAIN, [vm for vm in VMS if vm != gone])
-    kept = [name for name, home in before.items() if home != gone]
-    moved = [name for name in kept if after[name] != before[name]]
-    assert len(moved) <= len(kept) / 4
+    after = placement.homes(DOMAIN, [vm for vm in VMS if vm != removed])
+    staying = [name for name, home in before.items() if home != removed]
+    moved = [name for name in staying if after[name] != before[name]]
+    assert len(moved) <= len(staying) / 4
 
 
 @given(st.lists(st.lists(st.integers(1, 8), min_size=1, max_size=8), min_size=1))
 @settings(max_examples=60, deadline=None)
-def test_every_target_has_a_home_and_no_vm_has_much_more_than_its_part(sizes):
+def test_every_target_has_a_home_and_loads_are_balanced(sizes):
     services, placement = make_placement(*sizes)
     loads = loads_of(services, placement.homes(DOMAIN, VMS))
     total = sum(map(sum, sizes))
--- a/tests/test_planned_stops.py
+++ b/tests/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""What callers of a VM get that was told to stop, over the network."""
+"""Tests that a stop of a VM cuts no request of its clients."""
 
 import threading
 import time
@@ -13,16 +13,16 @@
 
 DOMAINS = {"north-a": "north", "north-b": "north"}
 TARGETS = {"i-1": ("s1", "north-a", 8)}
-#: Seconds that a request takes which keeps the VM busy, and a later one.
-LONG, WORK = 4.6, 2.6
-#: Path of a request that may run more than once, and of one that may not.
+#: Seconds that the request runs that keeps the VM busy, and that later ones run.
+LONG_RUN_SECONDS, LATE_RUN_SECONDS = 4.6, 2.6
+#: Paths of an idempotent request and of one that may run at most once.
 PATHS = {"safe": "/one/two/x", "once": "/one/x"}
-#: Seconds after the signal at which the later one is sent.
-LATE = 3.2
+#: Seconds from the stop signal to the later requests.
+LATE_SEND_SECONDS = 3.2
 
 
 def long_config():
-    """Return a configuration with time for long requests."""
+    """Return a configuration with a long request timeout."""
     document = config()
     for path in document["hosts"][0]["paths"]:
         path["timeout"] = "8000ms"
@@ -42,10 +42,10 @@
     return fleet.vms["north-a-1"]
 
 
-class Kept:
-    """A client that keeps its connection.
+class PersistentClient:
+    """A client with a persistent connection.
 
-    :param wait_ms: milliseconds for which it waits for an answer.
+    :param wait_ms: the deadline that it sends, in milliseconds from the request.
     """
 
     def __init__(self, vm, wait_ms=8000):
@@ -53,7 +53,7 @@
         self._wait_ms = wait_ms
 
     def send(self, method, path, request_id):
-        """Return the status of the answer, ``None`` where the connection ended."""
+        """Return the status of the response, or ``None`` if the connection ended."""
         headers = {
             "Host": "a.example",
             "Request-Id": request_id,
@@ -74,10 +74,10 @@
 
 
 def stop_while_busy(fleet, vm):
-    """Tell a VM to stop that has a long request under way; return its thread."""
-    fleet.switch_target("i-1", work_s=LONG)
+    """Stop a VM while it serves a long request; return the thread of the client."""
+    fleet.switch_target("i-1", work_s=LONG_RUN_SECONDS)
     args = ("GET", PATHS["safe"], "long")
-    thread = threading.Thread(target=Kept(vm).send, args=args)
+    thread = threading.Thread(target=PersistentClient(vm).send, args=args)
     thread.start()
     wait_for(lambda: any(run[0] == "long" for run in fleet.runs()))
     fleet.stop_vm(vm)
@@ -85,7 +85,7 @@
 
 
 def send_at_once(clients):
-    """Send a request of each kind; return the statuses by kind."""
+    """Send a request of each kind concurrently; return the statuses by kind."""
     statuses = {}
 
     def send(kind):
@@ -100,36 +100,38 @@
     return statuses
 
 
-@pytest.mark.parametrize("known", [0, 40])
-def test_request_taken_late_in_a_stop_is_not_cut(fleet, vm, known):
-    """Quick runs before say nothing of a long one."""
-    before = Kept(vm)
-    for number in range(known):
-        before.send("GET", PATHS["safe"], f"before-{number}")
-        before.send("POST", PATHS["once"], f"before-{number}-once")
-    clients = {"safe": Kept(vm), "once": Kept(vm)}
+@pytest.mark.parametrize("earlier_runs", [0, 40])
+def test_request_accepted_late_in_a_stop_is_not_cut(fleet, vm, earlier_runs):
+    """Short earlier runs must not limit the expected duration of a later one."""
+    earlier_client = PersistentClient(vm)
+    for number in range(earlier_runs):
+        earlier_client.send("GET", PATHS["safe"], f"before-{number}")
+        earlier_client.send("POST", PATHS["once"], f"before-{number}-once")
+    clients = {"safe": PersistentClient(vm), "once": PersistentClient(vm)}
     stop_while_busy(fleet, vm)
     stopped_at = time.monotonic()
-    fleet.switch_target("i-1", work_s=WORK)
-    time.sleep(max(0.0, stopped_at + LATE - time.monotonic()))
+    fleet.switch_target("i-1", work_s=LATE_RUN_SECONDS)
+    time.sleep(max(0.0, stopped_at + LATE_SEND_SECONDS - time.monotonic()))
     statuses = send_at_once(clients)
     vm.process.wait(10)
     assert set(statuses.values()) <= {200, 503}
-    answered = {name for name, status in statuses.items() if status == 200}
-    assert {run[0] for run in fleet.runs()} & set(clients) == answered
+    served = {name for name, status in statuses.items() if status == 200}
+    assert {run[0] for run in fleet.runs()} & set(clients) == served
 
 
-def test_kept_connection_without_a_request_is_closed_long_before_the_end(fleet, vm):
-    kept = Kept(vm)
-    kept.send("GET", PATHS["safe"], "first")
+def test_idle_persistent_connection_is_closed_early_in_a_stop(fleet, vm):
+    persistent = PersistentClient(vm)
+    persistent.send("GET", PATHS["safe"], "first")
     long_request = stop_while_busy(fleet, vm)
-    kept.wait_closed()
+    persistent.wait_closed()
     assert long_request.is_alive()
 
 
-def test_request_that_ends_before_the_vm_is_served(fleet, vm):
-    kept = Kept(vm, wait_ms=1500)
+def test_short_request_during_a_stop_is_served(fleet, vm):
+    persistent = PersistentClient(vm, wait_ms=1500)
     stop_while_busy(fleet, vm)
     fleet.switch_target("i-1", work_s=0.1)
     ids = (f"short-{number}" for number in count())
-    wait_for(lambda: kept.send("GET", PATHS["safe"], next(ids)) == 200, seconds=2.0)
+    wait_for(
+        lambda: persistent.send("GET", PATHS["safe"], next(ids)) == 200, seconds=2.0
+    )
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -1,3 +1,5 @@
+"""Tests that configuration, settings and headers of the platform are decoded."""
+
 import json
 
 import pytest
@@ -27,12 +29,12 @@
 @pytest.mark.parametrize(
     ("text", "expected"), [("1500ms", 1.5), ("2.5s", 2.5), ("0ms", 0.0)]
 )
-def test_times_have_a_unit(text, expected):
+def test_durations_have_a_unit(text, expected):
     assert parse_duration(text) == expected
 
 
 @pytest.mark.parametrize("text", ["12", "3m", "", "xms"])
-def test_malformed_times_are_named(text):
+def test_malformed_durations_are_refused(text):
     with pytest.raises(ValueError):
         parse_duration(text)
 
@@ -52,7 +54,7 @@
     assert table.match("b.example", "/one/x") is None
 
 
-def test_route_keeps_what_operators_demand():
+def test_route_has_the_configured_values():
     table = decode_config(json.dumps(config()).encode())
     route = table.match("a.example", "/one/x")
     assert (route.kind, route.timeout, route.latency_objective) == (
@@ -83,14 +85,14 @@
         decode_config(json.dumps(document).encode())
 
 
-def test_operator_rows_tell_configuration_and_evacuations():
+def test_operator_rows_hold_configuration_and_evacuations():
     rows = [row("config", config()), row("evacuate/north-a", {}), row("other", {})]
     table, evacuated = decode_operator_rows(rows)
     assert table.version == 7
     assert evacuated == {"north-a"}
 
 
-def test_client_head_with_a_malformed_wait_has_the_usual_one():
+def test_client_head_with_a_malformed_timeout_has_the_default():
     head = parse_client_head([(b"deadline-ms", b"soon"), (b"cookie", b"a=1")])
     assert head.timeout == 30.0
     assert head.affinity is None
@@ -106,15 +108,15 @@
     assert (head.request_id, head.timeout, head.affinity) == ("r1", 1.2, "17")
 
 
-def test_headers_of_the_system_replace_those_of_the_client():
-    sent = dict(
+def test_target_headers_replace_those_of_the_client():
+    headers = dict(
         target_request_headers(
             [(b"deadline-ms", b"9999"), (b"expected-instance", b"x"), (b"a", b"b")],
             0.25,
             "i-1",
         )
     )
-    assert sent == {
+    assert headers == {
         b"a": b"b",
         b"deadline-ms": b"250",
         b"expected-instance": b"i-1",
@@ -130,7 +132,7 @@
         (500, [], False, False),
     ],
 )
-def test_only_a_refusal_says_that_a_request_has_not_run(
+def test_only_a_refusal_implies_that_a_request_has_not_run(
     status, headers, not_run, implies_not_run
 ):
     head = parse_response_head(status, headers)
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize("load", [b"3", b"a,b,c", b"1,2,3,4"])
-def test_malformed_load_is_no_load(load):
+def test_malformed_load_is_ignored(load):
     assert parse_response_head(200, [(b"server-load", load)]).running is None
 
 
@@ -150,7 +152,7 @@
     assert settings.memory == 300 << 20
 
 
-def test_all_missing_settings_are_reported_at_once():
+def test_all_invalid_settings_are_reported_at_once():
     broken = {name: value for name, value in SETTINGS.items() if name != "ip"}
     broken["listen"] = {"front": "nonsense"}
     broken["bounds"] = ["grace=soon"]
@@ -160,7 +162,7 @@
     assert {"/ip", "/listen/front", "/listen/ready", "/bounds"} <= pointers
 
 
-def test_unreadable_settings_are_named(tmp_path):
+def test_unreadable_settings_file_is_named_in_the_error(tmp_path):
     with pytest.raises(HeathercleatError, match="nowhere"):
         load_node_settings(str(tmp_path / "nowhere.yaml"))
 
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -1,4 +1,4 @@
-"""What operators see and do with ``heathercleat quarantine``."""
+"""Tests of the ``heathercleat quarantine`` command."""
 
 import json
 import time
@@ -18,11 +18,11 @@
     send_again_and_again,
 )
 
-#: Seconds in which the VM that saw the third end has written the row.
-WRITTEN_SECONDS = 2.0
+#: Upper bound of the time from the third crash to the write of the row.
+ROW_WRITE_SECONDS = 2.0
 
 
-def told(capsys, *words):
+def run_quarantine(capsys, *words):
     """Run the command and return the JSON that it prints."""
     main(["quarantine", *words, "--json"])
     return json.loads(capsys.readouterr().out)
@@ -31,20 +31,22 @@
 def test_operators_list_show_and_lift_a_quarantine(fleet, capsys):  # noqa: F811
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
     send_again_and_again(fleet, "POST", "/one/fatal", attempts=8)
-    time.sleep(WRITTEN_SECONDS)
+    time.sleep(ROW_WRITE_SECONDS)
     fleet.set_fatal([], DOWN_SECONDS)
     settings = "--settings", next(iter(fleet.vms.values())).settings
-    (listed,) = told(capsys, "list", *settings)
+    (listed,) = run_quarantine(capsys, "list", *settings)
     assert (listed["route"], listed["service"]) == ("one", "s1")
     assert listed["seen_by"] in fleet.vms
     assert len(listed["ends"]) >= 3
     fingerprint = listed["fingerprint"]
-    assert told(capsys, "show", fingerprint, *settings) == listed
-    assert told(capsys, "lift", fingerprint, *settings) == {"lifted": fingerprint}
+    assert run_quarantine(capsys, "show", fingerprint, *settings) == listed
+    assert run_quarantine(capsys, "lift", fingerprint, *settings) == {
+        "lifted": fingerprint
+    }
     time.sleep(STABLE_SECONDS)
     statuses = send_again_and_again(fleet, "POST", "/one/fatal", attempts=6)
     assert set(statuses) == {200}
-    assert told(capsys, "list", *settings) == []
+    assert run_quarantine(capsys, "list", *settings) == []
     with pytest.raises(SystemExit) as caught:
         main(["quarantine", "lift", fingerprint, *settings])
     assert caught.value.code == 2
@@ -52,7 +54,7 @@
 
 
 @pytest.mark.parametrize("words", [["list"], ["show", "f"], ["lift", "f"]])
-def test_store_that_does_not_answer_is_named(words, tmp_path, capsys):
+def test_unavailable_store_is_reported(words, tmp_path, capsys):
     path = tmp_path / "node.json"
     platform = {"address": "127.0.9.250:9"}
     path.write_text(json.dumps({**SETTINGS, "platform": platform}))
@@ -62,12 +64,12 @@
     assert "error 5004" in capsys.readouterr().err
 
 
-def test_row_that_cannot_be_read_is_listed_as_such():
-    damaged = _unpack_row(StoreRow("f", b"\xc1", 1))
-    lines = list(_list_lines([_describe("f", damaged)]))
+def test_unreadable_row_is_listed_as_unreadable():
+    unreadable = _unpack_row(StoreRow("f", b"\xc1", 1))
+    lines = list(_list_lines([_describe("f", unreadable)]))
     assert "cannot be read" in lines[1]
 
 
-def test_row_without_the_fields_for_operators_is_read():
+def test_row_without_optional_fields_is_read():
     row = QuarantineRow.unpack(msgpack.packb([1.0, ["i-1"]]))
     assert (row.until, row.ends, row.route, row.vm) == (1.0, ["i-1"], None, None)
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -1,3 +1,5 @@
+"""Tests that callers are sent to domains near the service and its dependencies."""
+
 import json
 
 import pytest
@@ -7,7 +9,7 @@
 from heathercleat.version.text import Drain, DrainScope
 from tests.test_text import make_text
 
-FD_MS = 2.0
+FAILURE_DOMAIN_MS = 2.0
 REGION_MS = 50.0
 
 
@@ -24,7 +26,7 @@
 
 @pytest.fixture
 def text():
-    """Intake everywhere calls lookup and rules; three regions of two domains."""
+    """Return three regions of two domains; intake depends on lookup and rules."""
     document = make_text()
     kinds = document["services"]["lookup"]["requests"]
     domains = [f"{region}-{side}" for region in ("x", "y", "z") for side in "ab"]
@@ -32,7 +34,10 @@
         region: {"failure_domains": [f"{region}-a", f"{region}-b"]}
         for region in ("x", "y", "z")
     }
-    document["latency"] = {"failure_domains_ms": FD_MS, "regions_ms": REGION_MS}
+    document["latency"] = {
+        "failure_domains_ms": FAILURE_DOMAIN_MS,
+        "regions_ms": REGION_MS,
+    }
     document["services"] = {
         name: {"requests": kinds, "targets": make_targets(name, domains)}
         for name in ("lookup", "rules", "intake")
@@ -46,47 +51,47 @@
         text.drains[name] = Drain(name, DrainScope.TARGET, name, 0.0)
 
 
-def order(text, service, domain):
+def rank_domains(text, service, domain):
     return DomainRanking(text, 1.0).rank_domains(text.services[service], domain)
 
 
 def test_nearest_domain_comes_first(text):
-    assert order(text, "intake", "x-b")[:2] == ["x-b", "x-a"]
+    assert rank_domains(text, "intake", "x-b")[:2] == ["x-b", "x-a"]
 
 
-def test_domain_near_to_its_dependencies_goes_before_the_nearest_one(text):
+def test_domain_near_its_dependencies_comes_before_the_nearest(text):
     drain(text, "lookup-x-a", "lookup-x-b", "rules-x-a", "rules-x-b")
-    assert order(text, "intake", "x-a")[0] == "y-a"
-    assert order(text, "lookup", "x-a")[0] == "y-a"
+    assert rank_domains(text, "intake", "x-a")[0] == "y-a"
+    assert rank_domains(text, "lookup", "x-a")[0] == "y-a"
 
 
-def test_one_far_dependency_is_no_reason_to_go_as_far(text):
+def test_one_far_dependency_does_not_change_the_first_domain(text):
     drain(text, "lookup-x-a", "lookup-x-b")
-    assert order(text, "intake", "x-a")[0] == "x-a"
+    assert rank_domains(text, "intake", "x-a")[0] == "x-a"
 
 
 def test_dependency_in_the_other_domain_of_the_region_adds_little(text):
     drain(text, "lookup-x-a")
-    reach = DomainRanking(text, 1.0)
-    assert reach.dependency_latency(text.services["intake"], "x-a") == pytest.approx(
-        FD_MS / 1000
+    ranking = DomainRanking(text, 1.0)
+    assert ranking.dependency_latency(text.services["intake"], "x-a") == pytest.approx(
+        FAILURE_DOMAIN_MS / 1000
     )
-    assert order(text, "intake", "x-a")[0] == "x-a"
+    assert rank_domains(text, "intake", "x-a")[0] == "x-a"
 
 
 def test_domain_without_targets_of_the_service_comes_last(text):
     drain(text, "intake-x-a")
-    assert order(text, "intake", "x-a")[0] == "x-b"
-    assert order(text, "intake", "x-a")[-1] == "x-a"
+    assert rank_domains(text, "intake", "x-a")[0] == "x-b"
+    assert rank_domains(text, "intake", "x-a")[-1] == "x-a"
 
 
-def test_dependency_that_nothing_serves_changes_no_order(text):
-    before = order(text, "intake", "x-a")
+def test_dependency_without_targets_does_not_change_the_order(text):
+    before = rank_domains(text, "intake", "x-a")
     drain(text, *text.services["lookup"].targets)
-    assert order(text, "intake", "x-a") == before
+    assert rank_domains(text, "intake", "x-a") == before
 
 
-def test_drain_that_has_not_begun_changes_nothing(text):
+def test_drain_that_has_not_begun_is_ignored(text):
     name = "lookup-x-a"
     text.drains[name] = Drain(name, DrainScope.TARGET, name, 5.0)
     assert (
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,3 +1,5 @@
+"""Tests that callers avoid a failure domain until its homes can serve them."""
+
 import json
 
 import pytest
@@ -23,7 +25,7 @@
 
 SLOTS = 8
 MANY_VMS = 9
-NEAR = "127.0.0.2"
+NEIGHBOR = "127.0.0.2"
 
 
 def make_service_text():
@@ -38,16 +40,16 @@
 class Parts:
     """A VM that is the home of one target, with a VM in the next failure domain."""
 
-    def __init__(self, told=None):
+    def __init__(self, peer_response=None):
         self.clock = ManualClock()
-        self.links = FakeLinks(lambda host, item: told)
+        self.links = FakeLinks(lambda host, item: peer_response)
         self.vm = vm = FakeVm()
         vm.text = make_service_text()
         vm.version = 1
         vm.directory = Directory()
         entries = (
             VmEntry(vm.name, "127.0.0.1", "north-a", False),
-            VmEntry("north-b-1", NEAR, "north-b", False),
+            VmEntry("north-b-1", NEIGHBOR, "north-b", False),
         )
         vm.directory.adopt(VmList(1, entries))
         self.ledger = SlotLedger(self.clock)
@@ -57,7 +59,7 @@
         vm.homes = HomeManager(
             vm, self.membership, self.ledger, self.links, None, None, self.clock
         )
-        self.board = ReadinessTracker(
+        self.tracker = ReadinessTracker(
             vm, self.ledger, self.membership, self.links, self.clock
         )
         self.service = vm.text.services["lookup"]
@@ -66,8 +68,8 @@
         target = self.service.targets["t1"]
         self.ledger.adopt(target, [Hold(self.clock.time + 5.0)] * held)
 
-    def ask_homes(self):
-        run(self.board._poll_homes)
+    def poll_homes(self):
+        run(self.tracker._poll_homes)
         self.clock.time += SHARE_CACHE_TTL_SECONDS
 
 
@@ -77,105 +79,105 @@
 def test_share_falls_with_the_slots_that_earlier_requests_hold(held, share):
     parts = Parts()
     parts.adopt(held)
-    assert parts.board.share(parts.service) == pytest.approx(share)
+    assert parts.tracker.share(parts.service) == pytest.approx(share)
 
 
-def test_share_returns_as_the_holds_lapse():
+def test_share_recovers_as_the_holds_expire():
     parts = Parts()
     parts.adopt(SLOTS)
-    assert parts.board.share(parts.service) == 0
+    assert parts.tracker.share(parts.service) == 0
     parts.clock.time += 5.1
     parts.membership.record_tick()
     parts.clock.time += SETTLE_SECONDS
     parts.membership.record_tick()
-    assert parts.board.share(parts.service) == 1
+    assert parts.tracker.share(parts.service) == 1
 
 
 def test_target_that_is_not_adopted_yet_is_not_ready():
     parts = Parts()
-    assert parts.board.share(parts.service) == 0
+    assert parts.tracker.share(parts.service) == 0
 
 
-def test_vm_that_starts_before_the_home_of_its_domain_sends_callers_elsewhere():
-    parts = Parts(told=Readiness({"lookup": SLOTS}))
+def test_vm_without_a_home_in_its_domain_sends_callers_elsewhere():
+    parts = Parts(peer_response=Readiness({"lookup": SLOTS}))
     here = parts.vm.settings.failure_domain
     for number in range(2, MANY_VMS):
         host = f"127.0.1.{number}"
         record = MemberRecord(f"{here}-{number}", host, here, 0, "live")
         parts.membership.record(record)
     assert not parts.vm.homes.desired()
-    assert parts.board.share(parts.service) == 0
-    parts.ask_homes()
-    assert parts.board.share(parts.service) == 1
+    assert parts.tracker.share(parts.service) == 0
+    parts.poll_homes()
+    assert parts.tracker.share(parts.service) == 1
 
 
-def test_look_ups_wait_until_homes_were_asked_once():
+def test_lookups_wait_for_the_first_poll_of_homes():
     parts = Parts()
 
     async def act():
-        waiting = await spawn(parts.board.wait_first_round)
+        waiting = await spawn(parts.tracker.wait_first_round)
         await sleep(0)
         assert not waiting.terminated
-        await parts.board._poll_homes()
+        await parts.tracker._poll_homes()
         await waiting.join()
 
     run(act)
 
 
-@pytest.mark.parametrize(("avoided", "weighs"), [((), True), (("north-b",), False)])
-def test_vm_of_a_domain_that_cannot_serve_is_the_last_to_fall_back_on(avoided, weighs):
+@pytest.mark.parametrize(("avoided", "has_weight"), [((), True), (("north-b",), False)])
+def test_vm_of_an_avoided_domain_gets_no_weight(avoided, has_weight):
     domains = [
-        DomainVms(name, [(VmEntry(f"{name}-1", NEAR, name, False), SLOTS)], [SLOTS])
+        DomainVms(name, [(VmEntry(f"{name}-1", NEIGHBOR, name, False), SLOTS)], [SLOTS])
         for name in ("north-a", "north-b")
     ]
     (_, first), (_, other) = _select(domains, avoided)
     assert first == SLOTS
-    assert bool(other) is weighs
+    assert bool(other) is has_weight
 
 
-def test_drained_targets_are_no_reason_to_send_callers_away():
+def test_drained_targets_do_not_reduce_the_share():
     parts = Parts()
     parts.vm.text.drains["d"] = Drain("d", DrainScope.TARGET, "t1", 0.0)
-    assert parts.board.share(parts.service) == 1
+    assert parts.tracker.share(parts.service) == 1
 
 
 def test_callers_beyond_the_share_avoid_the_domain():
-    parts = Parts(told=Readiness({"lookup": SLOTS}))
+    parts = Parts(peer_response=Readiness({"lookup": SLOTS}))
     parts.adopt(held=6)
-    parts.ask_homes()
-    assert parts.board.avoided(parts.service, 0.4) == frozenset()
-    assert parts.board.avoided(parts.service, 0.6) == {"north-a"}
+    parts.poll_homes()
+    assert parts.tracker.avoided(parts.service, 0.4) == frozenset()
+    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
 
 
-def test_short_handover_sends_nobody_away():
+def test_short_handover_does_not_divert_callers():
     parts = Parts()
     parts.adopt()
-    assert parts.board.share(parts.service) == 1
+    assert parts.tracker.share(parts.service) == 1
     parts.ledger.drop_all()
     parts.clock.time += DIVERT_DELAY_SECONDS - 0.1
-    assert parts.board.avoided(parts.service, 0.6) == frozenset()
+    assert parts.tracker.avoided(parts.service, 0.6) == frozenset()
     parts.clock.time += 0.2
-    assert parts.board.avoided(parts.service, 0.6) == {"north-a"}
+    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
 
 
-def test_other_domain_that_came_back_as_lately_is_avoided_too():
-    parts = Parts(told=Readiness({"lookup": 0}))
-    parts.ask_homes()
-    assert parts.board.avoided(parts.service, 0.6) == {"north-a", "north-b"}
+def test_other_unready_domain_is_avoided_too():
+    parts = Parts(peer_response=Readiness({"lookup": 0}))
+    parts.poll_homes()
+    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a", "north-b"}
 
 
-def test_domain_that_does_not_answer_counts_as_ready():
-    parts = Parts(told=None)
-    parts.ask_homes()
-    assert parts.board.avoided(parts.service, 0.6) == {"north-a"}
+def test_unresponsive_domain_counts_as_ready():
+    parts = Parts(peer_response=None)
+    parts.poll_homes()
+    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
 
 
-def test_others_are_asked_only_while_this_domain_is_not_ready():
-    parts = Parts(told=Readiness({}))
+def test_other_domains_are_polled_only_while_this_one_is_unready():
+    parts = Parts(peer_response=Readiness({}))
     parts.adopt()
-    parts.ask_homes()
+    parts.poll_homes()
     assert parts.links.calls == []
     parts.ledger.drop_all()
     parts.clock.time += SHARE_CACHE_TTL_SECONDS
-    parts.ask_homes()
-    assert [host for host, _ in parts.links.calls] == [NEAR]
+    parts.poll_homes()
+    assert [host for host, _ in parts.links.calls] == [NEIGHBOR]
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -178,7 +178,7 @@
         "                pass",
         "tests/test_planned_stops.py",
         "-k",
-        "kept_connection",
+        "persistent_connection",
     ),
     Mutation(
         "LOST-sent-ahead",
@@ -187,7 +187,7 @@
         "if False:",
         "tests/test_pipelining.py",
         "-k",
-        "always_sends_ahead",
+        "always_pipelines",
     ),
     Mutation(
         "LOST-waits-alone",
@@ -196,7 +196,7 @@
         "if False:",
         "tests/test_pipelining.py",
         "-k",
-        "waits_for_those",
+        "waits_for_earlier_ones",
     ),
     Mutation(
         "MIXED-order",
@@ -728,7 +728,7 @@
         "is_partner and bool(self._suspects.digest))",
         "tests/test_quarantine_spread.py",
         "-k",
-        "nothing_is_told",
+        "no_updates_are_sent",
     ),
     Mutation(
         "QUARANTINE-look-after-wait",
