--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ended", "expected"),
+    ("result", "expected"),
     [
         (make_result(), "in aim"),
         (make_result(seconds=0.4), "late"),
