--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -116,9 +116,9 @@
             parts.members.record_heartbeat(each)
         views.append({each.id: parts.owners.owner_of(each.id) for each in TARGETS})
     assert views[0] == views[1] == views[2]
-    least = Stage.SERVING if serving else LEAVING
+    best_stage = Stage.SERVING if serving else LEAVING
     owners = {parts.members.live(vm).stage for vm in views[0].values()}
-    assert owners == {least}
+    assert owners == {best_stage}
 
 
 def lookup(parts):
@@ -285,13 +285,13 @@
     def owners_have_the_best_known_stage(self):
         for parts in self.views:
             known = {each.vm: each.stage for each in parts.members.live_others()}
-            least = Stage.SERVING
-            if least not in known.values():
-                least = LEAVING
-            expected = least in known.values()
+            best_stage = Stage.SERVING
+            if best_stage not in known.values():
+                best_stage = LEAVING
+            expected = best_stage in known.values()
             for owner in self.owners(parts).values():
                 assert (owner is not None) == expected
-                assert owner is None or known[owner] == least
+                assert owner is None or known[owner] == best_stage
 
     @rule()
     def check_agreement(self):
@@ -426,7 +426,7 @@
 
     def longest_unowned_seconds(self, seconds):
         """Advance the time; return the longest time that a target had no owner."""
-        most, since = 0.0, {}
+        longest, unowned_since = 0.0, {}
         end = self.network.clock.time + seconds
         while self.network.clock.time < end:
             self.network.run(0.05)
@@ -438,10 +438,12 @@
             }
             for each in self.network.entries:
                 if each.id in owned:
-                    since.pop(each.id, None)
+                    unowned_since.pop(each.id, None)
                 else:
-                    most = max(most, now - since.setdefault(each.id, now - 0.05))
-        return most
+                    longest = max(
+                        longest, now - unowned_since.setdefault(each.id, now - 0.05)
+                    )
+        return longest
 
 
 @pytest.mark.parametrize(
@@ -491,9 +493,9 @@
     vm = fleet.vms[0]
     vm.members.leave()
     drive(vm.gossip.notify())
-    near = [each for each in fleet.vms[1:] if each.domain == vm.domain]
-    assert len(near) > MONITORED_IN_REGION
-    assert all(each.members.live(vm.name).stage == LEAVING for each in near)
+    same_domain = [each for each in fleet.vms[1:] if each.domain == vm.domain]
+    assert len(same_domain) > MONITORED_IN_REGION
+    assert all(each.members.live(vm.name).stage == LEAVING for each in same_domain)
 
 
 def test_successor_is_notified_at_once_of_released_slots():
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -38,7 +38,7 @@
         self.unanswered_calls = 0
         self.released = []
         self.handed_over = {TARGET: [[7, self.clock.time + 5.0, None]]}
-        links = FakeLinks(self.answer)
+        links = FakeLinks(self.respond)
         self.membership = Membership(vm, links, self.clock)
         self.clock.time += SETTLE_SECONDS
         self.membership.record_tick()
@@ -53,7 +53,7 @@
         name = f"north-a-{host[-1]}"
         self.membership.record(MemberRecord(name, host, "north-a", 1, state))
 
-    def answer(self, host, item):
+    def respond(self, host, item):
         self.calls.append(item)
         if host == UNRESPONSIVE or self.unanswered_calls > len(self.calls):
             return None
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -63,14 +63,14 @@
     assert ledger.claim_leased(lease.id, clock.time + 1) is None
 
 
-def make_holder(answers):
-    """Return a lease holder whose peers answer from a list, then accept everything."""
+def make_holder(responses):
+    """Return a lease holder whose peers send the listed responses, then accept all."""
     vm, clock = FakeVm(), SystemClock()
     vm.text = parse_text(json.dumps(make_text()))
     vm.local_homes = lambda service: []
     directory = Directory()
     directory.adopt(VmList(1, (VmEntry("vm", "127.0.0.2", "north-b", False),)))
-    links = FakeLinks(lambda host, item: answers.pop(0) if answers else Accepted())
+    links = FakeLinks(lambda host, item: responses.pop(0) if responses else Accepted())
     return vm.text.services["lookup"], links, LeaseHolder(vm, links, directory, clock)
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -35,8 +35,8 @@
     return None
 
 
-def make_membership(vm, clock, answer=acknowledge):
-    membership = Membership(vm, FakeLinks(answer), clock)
+def make_membership(vm, clock, respond=acknowledge):
+    membership = Membership(vm, FakeLinks(respond), clock)
     clock.time += SETTLE_SECONDS
     tick(membership)
     return membership
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -59,20 +59,20 @@
         self.capacity_reports.record_report("vm-3", reports, [["s1", 0.0, 0.0]], [])
 
     def call(self, number=0, **fields):
-        made = call(
+        request = call(
             self.parts.clock, route(sticky=True, **fields), affinity=f"o{number}"
         )
-        made.give_up_at = made.deadline
-        made.affinity_until = made.soft_deadline
-        return made
+        request.give_up_at = request.deadline
+        request.affinity_until = request.soft_deadline
+        return request
 
-    def select(self, made):
-        return self.selector.select_free(made, frozenset(), frozenset())
+    def select(self, request):
+        return self.selector.select_free(request, frozenset(), frozenset())
 
     def region_counts(self, **fields):
         """Return the number of objects whose affinity target is in each region."""
-        made = [self.call(number, **fields) for number in range(OBJECTS)]
-        return Counter(self.select(each).target[0] for each in made)
+        requests = [self.call(number, **fields) for number in range(OBJECTS)]
+        return Counter(self.select(each).target[0] for each in requests)
 
 
 def test_region_with_few_targets_gets_its_share_of_the_objects():
@@ -115,10 +115,10 @@
 
 def test_request_with_a_large_body_stays_near():
     scene = DestinationScene()
-    made = [scene.call(number) for number in range(OBJECTS)]
-    for each in made:
+    requests = [scene.call(number) for number in range(OBJECTS)]
+    for each in requests:
         each.body = b"x" * LARGE_BODY_BYTES
-    assert {scene.select(each).target[0] for each in made} == {"n"}
+    assert {scene.select(each).target[0] for each in requests} == {"n"}
 
 
 def far_call(scene):
@@ -129,10 +129,10 @@
 
 def test_request_waits_at_its_far_affinity_target():
     scene = DestinationScene()
-    made = far_call(scene)
+    request = far_call(scene)
     scene.report(0)
-    assert scene.select(made) is None
-    destination = scene.selector.select_queue(made, frozenset(), frozenset())
+    assert scene.select(request) is None
+    destination = scene.selector.select_queue(request, frozenset(), frozenset())
     assert (destination.vm, destination.target, destination.is_remote) == (
         "vm-3",
         None,
@@ -142,14 +142,14 @@
 
 def test_late_request_uses_a_free_target_near():
     scene = DestinationScene()
-    made = far_call(scene)
+    request = far_call(scene)
     scene.report(0)
-    scene.parts.clock.time = made.affinity_until + 0.01
-    assert not scene.select(made).is_remote
+    scene.parts.clock.time = request.affinity_until + 0.01
+    assert not scene.select(request).is_remote
 
 
 def test_object_of_an_unreachable_vm_gets_another_target():
     scene = DestinationScene()
-    made = far_call(scene)
-    destination = scene.selector.select_free(made, frozenset(), {"vm-3"})
+    request = far_call(scene)
+    destination = scene.selector.select_free(request, frozenset(), {"vm-3"})
     assert not destination.is_remote
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -210,9 +210,9 @@
 
 @pytest.fixture
 def pipelined():
-    made = PipelinedConnection()
-    yield made
-    made.tear_down()
+    connection = PipelinedConnection()
+    yield connection
+    connection.tear_down()
 
 
 def test_pipelined_requests_are_served_concurrently(pipelined):
