--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -42,7 +42,7 @@
 STOP_GRACE_SECONDS, KEEP_ALIVE_SECONDS = 5.3, 2.5
 #: Upper bound of the duration of a simulated request.
 MAX_RUN_SECONDS = 3.5
-#: Time for VMs to agree on the owner of a target: three heartbeats.
+#: Longest time in which VMs may differ on the owner of a target: three heartbeats.
 AGREE_SECONDS = 3 * INTERVAL
 NO_TABLES = SimpleNamespace(
     operator=SimpleNamespace(told=0),
--- a/tests/test_planned_stops.py
+++ b/tests/test_planned_stops.py
@@ -13,7 +13,7 @@
 
 DOMAINS = {"north-a": "north", "north-b": "north"}
 TARGETS = {"i-1": ("s1", "north-a", 8)}
-#: Seconds that the request runs that keeps the VM busy, and that later ones run.
+#: Run times of the request that keeps the VM busy and of later ones, in seconds.
 LONG_RUN_SECONDS, LATE_RUN_SECONDS = 4.6, 2.6
 #: Paths of an idempotent request and of one that may run at most once.
 PATHS = {"safe": "/one/two/x", "once": "/one/x"}
