--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -178,7 +178,7 @@
         "                pass",
         "tests/test_planned_stops.py",
         "-k",
-        "kept_connection",
+        "persistent_connection",
     ),
     Mutation(
         "LOST-pipelined",
@@ -187,7 +187,7 @@
         "if False:",
         "tests/test_pipelining.py",
         "-k",
-        "always_sends_ahead",
+        "always_pipelines",
     ),
     Mutation(
         "LOST-exclusive-request",
@@ -196,7 +196,7 @@
         "if False:",
         "tests/test_pipelining.py",
         "-k",
-        "waits_for_those",
+        "waits_for_earlier_ones",
     ),
     Mutation(
         "MIXED-order",
@@ -572,7 +572,7 @@
         "",
         "tests/test_handing_over.py",
         "-k",
-        "owner_before_it",
+        "slots_of_the_previous_owner",
     ),
     Mutation(
         "HANDOVER-previous-owner-without-report",
@@ -611,7 +611,7 @@
         "        live = []\n",
         "tests/test_handing_over.py",
         "-k",
-        "is_told_though_it_is_no_partner",
+        "without_being_a_gossip_partner",
     ),
     Mutation(
         "HANDOVER-hold-ends",
@@ -638,7 +638,7 @@
         "        return self.active()\n",
         "tests/test_handing_over.py",
         "-k",
-        "goes_on_hearing",
+        "still_receives_reports",
     ),
     Mutation(
         "SIZE-exit-of-stopping-vm",
@@ -647,7 +647,7 @@
         "            if True:\n",
         "tests/test_handing_over.py",
         "-k",
-        "no_further_picks",
+        "adds_no_monitored_vms",
     ),
     Mutation(
         "BUDGET-stopping-vms",
@@ -728,7 +728,7 @@
         "is_partner and bool(self._suspects.digest)\n",
         "tests/test_quarantine_spread.py",
         "-k",
-        "nothing_is_told",
+        "no_updates_are_sent",
     ),
     Mutation(
         "QUARANTINE-check-after-wait",
