--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -8,7 +8,7 @@
     return sorted(each.id for each in parts.registry.of_service(service))
 
 
-def test_entries_come_and_go():
+def test_update_adds_and_removes_entries():
     parts = Parts([entry("t1"), entry("t2")])
     assert ids(parts) == ["t1", "t2"]
     parts.registry.update([entry("t3")], ["t1"])
@@ -22,7 +22,7 @@
     assert parts.registry.get("t1") is None
 
 
-def test_evacuated_domain_gets_no_requests_until_it_is_taken_back():
+def test_evacuated_domain_gets_no_requests_until_evacuation_ends():
     parts = Parts([entry("t1"), entry("t2", domain="north-b")])
     parts.registry.evacuate(frozenset(["north-b"]))
     assert ids(parts) == ["t1"]
@@ -30,14 +30,14 @@
     assert ids(parts) == ["t1", "t2"]
 
 
-def returned(parts):
-    """Let the store return after it was away for all."""
+def end_store_outage(parts):
+    """Report the end of a store outage that affected all VMs."""
     parts.registry.store_returned(parts.clock.now())
 
 
-def test_entry_that_lapsed_with_the_store_is_kept_until_it_is_back():
+def test_entry_removed_in_a_store_outage_is_kept_until_it_returns():
     parts = Parts([entry("t1"), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     parts.registry.update([], ["t1"])
     assert ids(parts) == ["t1", "t2"]
     parts.clock.time += 1.0
@@ -47,9 +47,9 @@
     assert ids(parts) == ["t1", "t2"]
 
 
-def test_entry_that_stays_away_after_the_stores_return_is_gone():
+def test_entry_that_does_not_return_after_a_store_outage_is_removed():
     parts = Parts([entry("t1"), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     parts.registry.update([], ["t1"])
     parts.clock.time += LAPSE_GRACE_SECONDS - 0.01
     parts.registry.expire()
@@ -59,29 +59,29 @@
     assert ids(parts) == ["t2"]
 
 
-def test_whole_list_read_after_an_outage_keeps_lapsed_entries_for_a_while():
+def test_full_list_read_after_an_outage_keeps_lapsing_entries():
     parts = Parts([entry("t1"), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     parts.registry.replace([entry("t2")])
     assert ids(parts) == ["t1", "t2"]
 
 
-def test_entry_that_lapses_matters_to_other_vms_once():
+def test_lapsing_entry_is_reported_as_a_change_once():
     parts = Parts([entry("t1"), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     assert parts.registry.update([], ["t1"])
     assert not parts.registry.update([], ["t1"])
 
 
-def test_target_that_said_that_it_leaves_does_not_lapse():
+def test_draining_target_is_removed_without_a_lapse():
     parts = Parts([entry("t1", draining=True), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     parts.registry.update([], ["t1"])
     assert parts.registry.lapsing() == {}
     assert not parts.registry.knows("t1")
 
 
-def test_list_of_another_vm_tells_for_how_long_entries_lapse():
+def test_lapse_times_are_taken_from_the_list_of_another_vm():
     parts = Parts([entry("t1"), entry("t2"), entry("t3")])
     parts.registry.replace([entry("t3")], {"t1": 1.5})
     assert ids(parts) == ["t1", "t3"]
@@ -90,9 +90,9 @@
     assert ids(parts) == ["t3"]
 
 
-def test_own_grace_does_not_keep_what_another_vm_knows_to_be_gone():
+def test_target_that_another_vm_knows_to_be_removed_does_not_lapse():
     parts = Parts([entry("t1"), entry("t2")])
-    returned(parts)
+    end_store_outage(parts)
     parts.registry.replace([entry("t2")], {})
     assert ids(parts) == ["t2"]
 
@@ -105,20 +105,20 @@
     assert parts.registry.lapsing() == {"t1": 0.5}
 
 
-def test_target_that_is_gone_is_not_brought_back_by_another_vms_lapse():
+def test_removed_target_is_not_restored_by_another_vms_lapse():
     parts = Parts([entry("t1"), entry("t2")])
     parts.registry.update([], ["t1"])
     parts.registry.replace([entry("t2")], {"t1": 2.0})
     assert ids(parts) == ["t2"]
 
 
-def test_replaced_target_is_forgotten():
+def test_replaced_target_is_removed():
     parts = Parts([entry("t1")])
     parts.registry.remove_replaced("t1", "another incarnation answered")
     assert ids(parts) == []
 
 
-def test_old_entry_of_a_replaced_target_does_not_bring_it_back():
+def test_old_entry_does_not_restore_a_replaced_target():
     parts = Parts([entry("t1", version=7)])
     parts.registry.remove_replaced("t1", "another incarnation answered")
     parts.registry.replace([entry("t1", version=7)])
@@ -128,12 +128,12 @@
 
 
 @pytest.mark.parametrize(("cold", "expected"), [(0.0, 0.0), (2.0, 102.0)])
-def test_cold_time_counts_from_the_entry(cold, expected):
+def test_cold_time_starts_when_the_entry_is_read(cold, expected):
     parts = Parts([entry("t1", cold=cold)])
     assert parts.registry.cold_until("t1") == expected
 
 
-def test_first_table_is_one_line_and_later_targets_are_a_line_each(caplog):
+def test_first_table_is_logged_in_one_line_and_later_targets_one_by_one(caplog):
     parts = Parts()
     with caplog.at_level("INFO", "heathercleat"):
         parts.registry.replace([entry("t1"), entry("t2"), entry("t3", service="s2")])
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""Targets that fail rest, but not so many that nobody serves their service."""
+"""Failing targets are ejected, but never so many that their service stops."""
 
 import pytest
 
@@ -11,18 +11,18 @@
 
 
 class Scene:
-    """The targets of one service, all owned here."""
+    """The targets of one service, all owned by this VM."""
 
     def __init__(self, targets=TARGETS):
         self.parts = parts = Parts([entry(f"t{each}") for each in range(targets)])
-        rooms = CapacityReports(parts.clock)
+        reports = CapacityReports(parts.clock)
         view = TargetView(
-            parts.members, parts.registry, parts.owners, parts.ledger, rooms
+            parts.members, parts.registry, parts.owners, parts.ledger, reports
         )
         self.limit = EjectionLimit(view, parts.clock)
 
-    def fail(self, share):
-        """Have requests of all targets fail with a share, ten of each target."""
+    def record_results(self, share):
+        """Record ten requests per target, of which a share from 0 to 1 fails."""
         now = self.parts.clock.now()
         for number in range(10):
             for target in self.parts.ledger.all():
@@ -32,27 +32,27 @@
                 else:
                     target.health.record_success(0.1)
 
-    def at_work(self):
+    def usable_count(self):
         now = self.parts.clock.now()
         return sum(each.limit(now) > 0 for each in self.parts.ledger.all())
 
 
-def test_service_whose_targets_all_fail_alike_goes_on():
-    """Without the limit every target rested and nothing was served."""
+def test_service_keeps_targets_when_all_fail_alike():
+    """Without the limit, all targets would be ejected."""
     scene = Scene()
-    scene.fail(0.6)
-    assert scene.at_work() == TARGETS - TARGETS // 3
+    scene.record_results(0.6)
+    assert scene.usable_count() == TARGETS - TARGETS // 3
 
 
 @pytest.mark.parametrize("targets", [1, 2, 3])
-def test_one_target_of_a_small_service_may_rest(targets):
+def test_one_target_of_a_small_service_can_be_ejected(targets):
     scene = Scene(targets)
     assert scene.limit.may_eject("s1")
-    scene.fail(1.0)
-    assert scene.at_work() == targets - 1
+    scene.record_results(1.0)
+    assert scene.usable_count() == targets - 1
 
 
-def test_target_on_trial_that_may_not_rest_takes_its_slots_again():
+def test_half_open_target_that_cannot_be_ejected_regains_its_slots():
     scene = Scene()
     target = next(iter(scene.parts.ledger.all()))
     now = scene.parts.clock.now()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals reach the task that waits for them."""
+"""Signals must reach the task that waits for them, in order and without blocking."""
 
 import os
 from signal import SIGHUP, SIGTERM, SIGUSR1
@@ -11,26 +11,26 @@
 
 
 @pytest.mark.parametrize("sent", [[SIGTERM], [SIGHUP, SIGTERM], [SIGTERM] * 3])
-def test_signals_come_in_their_order(sent):
+def test_signals_are_delivered_in_order(sent):
     async def main():
         watch = SignalWatch(ManualClock(), SIGTERM, SIGHUP)
-        taken = []
+        received = []
 
-        async def take():
-            while len(taken) < len(sent):
-                taken.append(await watch.next())
+        async def receive():
+            while len(received) < len(sent):
+                received.append(await watch.next())
 
-        task = await spawn(take)
+        task = await spawn(receive)
         for number in sent:
             await sleep(0.01)
             os.kill(os.getpid(), number)
         await task.join()
-        return taken
+        return received
 
     assert run(main) == sent
 
 
-def test_more_signals_than_are_read_do_not_block():
+def test_unread_signals_do_not_block():
     async def main():
         watch = SignalWatch(ManualClock(), SIGUSR1)
         for _ in range(2000):
@@ -40,7 +40,7 @@
     assert run(main) is SIGUSR1
 
 
-def test_time_in_which_nobody_reads_a_signal_counts():
+def test_received_at_is_the_arrival_of_a_signal_that_waits():
     clock = ManualClock()
     received_at = clock.now()
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -9,7 +9,7 @@
 
 LIMIT = 4
 CAP = 2
-WINDOW = 10.0
+WINDOW_SECONDS = 10.0
 HOME = "north-a"
 DOMAINS = (HOME, "north-b", "south-a")
 
@@ -24,15 +24,15 @@
         slots=slots,
         connections=400,
         region_share=slots,
-        shift_cap=ShiftCap(cap, WINDOW) if cap is not None else None,
+        shift_cap=ShiftCap(cap, WINDOW_SECONDS) if cap is not None else None,
     )
 
 
 class SlotsMachine(RuleBasedStateMachine):
-    """Drives a ledger the way its own VM, lease holders and time do.
+    """Applies claims, leases, handovers and the passage of time to a ledger.
 
-    ``running`` counts what the target really carries: a cancelled request keeps its
-    slot for up to ``CANCEL_GRACE_SECONDS`` seconds.
+    ``lingering`` has the instants until which cancelled requests, or those admitted
+    before the ledger adopted the target, may still occupy a slot.
     """
 
     def __init__(self):
@@ -46,7 +46,7 @@
         self.foreign_levels = [(self.clock.time, 0)]
 
     @rule()
-    def take(self):
+    def claim_slot(self):
         use = self.ledger.claim(self.entry, self.clock.time + 30)
         if use is not None:
             self.uses.append(use)
@@ -54,29 +54,29 @@
     @rule(
         domain=st.sampled_from(DOMAINS),
         want=st.integers(1, LIMIT),
-        life=st.floats(0.1, 3),
+        ttl_seconds=st.floats(0.1, 3),
     )
-    def grant(self, domain, want, life):
-        expires_at = self.clock.time + life
+    def grant_lease(self, domain, want, ttl_seconds):
+        expires_at = self.clock.time + ttl_seconds
         lease = self.ledger.grant(self.entry, "vm", domain, want, expires_at)
         if lease is not None:
             self.leases.append(lease)
-        self.note_foreign()
+        self.record_foreign_slots()
 
     @precondition(lambda self: self.leases)
     @rule(data=st.data())
-    def enter(self, data):
+    def claim_leased_slot(self, data):
         lease = data.draw(st.sampled_from(self.leases))
         use = self.ledger.claim_leased(lease.id, self.clock.time + 30)
         if use is not None:
             self.uses.append(use)
 
     @precondition(lambda self: self.leases)
-    @rule(data=st.data(), life=st.floats(0.1, 3))
-    def renew(self, data, life):
+    @rule(data=st.data(), ttl_seconds=st.floats(0.1, 3))
+    def renew_lease(self, data, ttl_seconds):
         lease = data.draw(st.sampled_from(self.leases))
-        self.ledger.renew(lease.id, self.clock.time + life)
-        self.note_foreign()
+        self.ledger.renew(lease.id, self.clock.time + ttl_seconds)
+        self.record_foreign_slots()
 
     @precondition(lambda self: self.leases)
     @rule(data=st.data())
@@ -84,37 +84,39 @@
         lease = data.draw(st.sampled_from(self.leases))
         self.leases.remove(lease)
         self.ledger.return_lease(lease.id)
-        self.note_foreign()
+        self.record_foreign_slots()
 
     @precondition(lambda self: self.uses)
     @rule(data=st.data(), certain=st.booleans())
-    def release(self, data, certain):
+    def release_slot(self, data, certain):
         use = data.draw(st.sampled_from(self.uses))
         self.uses.remove(use)
         self.ledger.release(use, certain)
-        self.note_foreign()
+        self.record_foreign_slots()
         if not certain:
             self.lingering.append(self.clock.time + CANCEL_GRACE_SECONDS)
 
     @rule(seconds=st.floats(0.01, 4))
     def wait(self, seconds):
         self.clock.time += seconds
-        self.note_foreign()
+        self.record_foreign_slots()
 
     @rule()
     def hand_over_and_adopt(self):
-        """The home moves to another VM, which knows only what it is told."""
-        told = self.ledger.hand_over("t", "other")
-        self.entry = self.ledger.adopt(make_target(), told.holds, levels=told.levels)
+        """Move the target to a new home, which knows only the handover."""
+        handover = self.ledger.hand_over("t", "other")
+        self.entry = self.ledger.adopt(
+            make_target(), handover.holds, levels=handover.levels
+        )
         self.leases = []
-        self.note_foreign()
+        self.record_foreign_slots()
 
     @rule(cap=st.integers(0, CAP))
-    def take_a_new_version_of_the_text(self, cap):
+    def adopt_new_version(self, cap):
         self.ledger.update(make_target(cap=cap), {})
 
-    def note_foreign(self):
-        """Note the slots leased to others here, or in use under an earlier home."""
+    def record_foreign_slots(self):
+        """Record the slots leased to other domains, now or by an earlier home."""
         now = self.clock.time
         leases = self.entry.leases
         leased = sum(
@@ -132,14 +134,16 @@
         self.foreign_levels.append((now, leased + earlier))
 
     @invariant()
-    def target_is_never_pushed_past_its_slots(self):
+    def target_never_exceeds_its_slots(self):
         self.lingering = [at for at in self.lingering if at > self.clock.time]
         assert len(self.uses) + len(self.lingering) <= LIMIT
 
     @invariant()
     def spill_never_rises_by_more_than_the_cap_within_a_window(self):
         now, level = self.foreign_levels[-1]
-        recent = [each for at, each in self.foreign_levels if at >= now - WINDOW]
+        recent = [
+            each for at, each in self.foreign_levels if at >= now - WINDOW_SECONDS
+        ]
         assert level - min(recent) <= CAP
 
 
@@ -160,22 +164,22 @@
     assert window.headroom(2, now=10.1) == 2
 
 
-def test_spill_goes_on_at_its_level_after_a_handover():
+def test_spill_level_survives_a_handover():
     clock = ManualClock()
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(), [])
     for _ in range(2):
-        ledger.grant(entry, "vm", "south-a", CAP, clock.time + 3 * WINDOW)
-        clock.time += WINDOW
-    told = ledger.hand_over("t", "other")
-    entry = ledger.adopt(make_target(), told.holds, levels=told.levels)
+        ledger.grant(entry, "vm", "south-a", CAP, clock.time + 3 * WINDOW_SECONDS)
+        clock.time += WINDOW_SECONDS
+    handover = ledger.hand_over("t", "other")
+    entry = ledger.adopt(make_target(), handover.holds, levels=handover.levels)
     assert entry.foreign(clock.time) == 2 * CAP
-    clock.time += WINDOW + 1
+    clock.time += WINDOW_SECONDS + 1
     assert entry.foreign(clock.time) == CAP
     assert entry.grantable("south-a", clock.time) == CAP
 
 
-def test_new_cap_counts_what_has_risen_so_far():
+def test_new_cap_includes_the_spill_so_far():
     clock = ManualClock()
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(), [])
@@ -199,7 +203,7 @@
     assert limits == [1, 1, 2, 3, 4]
 
 
-def test_blocked_target_honours_no_lease():
+def test_blocked_target_rejects_leases():
     clock = ManualClock()
     ledger = SlotLedger(clock)
     entry = ledger.adopt(make_target(), [])
--- a/tests/test_slow_targets.py
+++ b/tests/test_slow_targets.py
@@ -16,13 +16,13 @@
 from tests.test_admission import FakeMembership, make_call
 from tests.test_text import make_text
 
-FAST = 0.1
-SLOW = 1.0
+FAST_SECONDS = 0.1
+SLOW_SECONDS = 1.0
 SLOTS = 2
 
 
 class Parts:
-    """A home of three targets of which one has become slow."""
+    """The home VM of three targets, of which ``t3`` is slow."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -55,20 +55,20 @@
         )
         for target in self.targets.values():
             self.ledger.adopt(target, [])
-        self.answer("t1", FAST)
-        self.answer("t2", FAST)
-        self.answer("t3", SLOW)
+        self.record_responses("t1", FAST_SECONDS)
+        self.record_responses("t2", FAST_SECONDS)
+        self.record_responses("t3", SLOW_SECONDS)
 
     @property
     def targets(self):
         return self.vm.text.services["lookup"].targets
 
-    def answer(self, name, seconds, times=30):
+    def record_responses(self, name, seconds, times=30):
         for _ in range(times):
             self.health.record_success(self.targets[name], seconds)
 
-    def place(self, seconds=5.0):
-        """Return the target that a request goes to."""
+    def admit(self, seconds=5.0):
+        """Admit a request and return the name of its target."""
         permit = run(self.admission.acquire, make_call(self.vm, seconds, self.clock))
         return permit.target.name
 
@@ -81,49 +81,49 @@
     return Parts()
 
 
-def test_target_that_is_far_slower_than_the_others_is_slow(parts):
+def test_target_far_slower_than_the_others_is_slow(parts):
     assert [parts.is_slow(name) for name in ("t1", "t2", "t3")] == [False, False, True]
 
 
-def test_service_that_is_slow_as_a_whole_has_no_slow_target(parts):
-    parts.answer("t1", SLOW)
-    parts.answer("t2", SLOW)
-    parts.answer("t3", SLOW)
+def test_uniformly_slow_service_has_no_slow_target(parts):
+    parts.record_responses("t1", SLOW_SECONDS)
+    parts.record_responses("t2", SLOW_SECONDS)
+    parts.record_responses("t3", SLOW_SECONDS)
     assert not any(parts.is_slow(name) for name in ("t1", "t2", "t3"))
 
 
-def test_slow_target_is_used_last_rather_than_a_refusal(parts):
-    assert {parts.place() for _ in range(2 * SLOTS)} == {"t1", "t2"}
-    assert [parts.place() for _ in range(SLOTS)] == ["t3"] * SLOTS
+def test_slow_target_is_used_before_requests_are_refused(parts):
+    assert {parts.admit() for _ in range(2 * SLOTS)} == {"t1", "t2"}
+    assert [parts.admit() for _ in range(SLOTS)] == ["t3"] * SLOTS
     with pytest.raises(HeathercleatError):
-        parts.place()
+        parts.admit()
 
 
 def test_use_of_a_slow_target_is_not_logged_as_a_refusal(parts):
     for _ in range(2 * SLOTS):
-        parts.place()
-    assert parts.place() == "t3"
+        parts.admit()
+    assert parts.admit() == "t3"
     events = [event for event, _ in parts.vm.journal.events]
     assert Event.ROUTE_REFUSED not in events
 
 
-def test_slow_target_is_not_used_when_its_answer_would_come_too_late(parts):
+def test_slow_target_is_not_used_when_its_response_would_be_late(parts):
     for _ in range(2 * SLOTS):
-        parts.place()
+        parts.admit()
     with pytest.raises(HeathercleatError):
-        parts.place(seconds=SLOW / 2)
+        parts.admit(seconds=SLOW_SECONDS / 2)
 
 
-def test_slow_target_is_tried_now_and_then(parts):
+def test_slow_target_gets_a_trial_request_per_interval(parts):
     parts.clock.time += TRIAL_INTERVAL_SECONDS
-    assert parts.place() == "t3"
-    assert parts.place() != "t3"
+    assert parts.admit() == "t3"
+    assert parts.admit() != "t3"
     parts.clock.time += TRIAL_INTERVAL_SECONDS
-    assert parts.place() == "t3"
+    assert parts.admit() == "t3"
 
 
-def test_target_that_is_fast_again_warms_up(parts):
-    parts.answer("t3", FAST, times=1)
+def test_target_that_recovers_its_speed_warms_up(parts):
+    parts.record_responses("t3", FAST_SECONDS, times=1)
     assert not parts.is_slow("t3")
     assert parts.ledger.targets["t3"].limit(parts.clock.time) == 1
     assert Event.TARGET_FAST in [event for event, _ in parts.vm.journal.events]
@@ -135,7 +135,7 @@
     assert granted == {"t1", "t2", ""}
 
 
-def test_request_that_is_tried_again_avoids_the_target_even_as_a_trial(parts):
+def test_retry_avoids_a_target_even_as_a_trial(parts):
     parts.clock.time += TRIAL_INTERVAL_SECONDS
     permit = run(
         parts.admission.acquire,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 SECONDS = 4.0
 
 
-def sent(status, safe=False, **fields):
+def make_request(status, safe=False, **fields):
     request = Sent("q1", safe, b"")
     request.status = status
     for name, value in fields.items():
@@ -17,22 +17,22 @@
     return request
 
 
-def run(id="q1"):
+def make_run(id="q1"):
     return [id, "/one/x", 1000, ""]
 
 
 @pytest.mark.parametrize(
     ("request_", "runs", "broken"),
     [
-        (sent(502), [run()], False),
-        (sent(502), [run(), run()], True),
-        (sent(502, safe=True), [run(), run()], False),
-        (sent(503), [], False),
-        (sent(503), [run()], True),
-        (sent(200, headers={}), [run()], True),
+        (make_request(502), [make_run()], False),
+        (make_request(502), [make_run(), make_run()], True),
+        (make_request(502, safe=True), [make_run(), make_run()], False),
+        (make_request(503), [], False),
+        (make_request(503), [make_run()], True),
+        (make_request(200, headers={}), [make_run()], True),
     ],
 )
-def test_broken_promises_are_found(request_, runs, broken):
+def test_violations_are_found(request_, runs, broken):
     assert bool(list(check([request_], runs))) is broken
 
 
@@ -51,7 +51,7 @@
         (SAFE, 502, None, 0, False),
     ],
 )
-def test_broken_promises_on_kept_connections_are_found(
+def test_violations_on_persistent_connections_are_found(
     kind, status, answer_to, runs, broken
 ):
     attempt = Attempt("q1", "vm-1", kind, 8.0, 4.0, 0.0)
@@ -61,15 +61,14 @@
     assert bool(list(check_attempts([attempt], collect_runs(spans)))) is broken
 
 
-#: Seeds that failed once, and why: 12 and 14 stopped a VM twice, and the soak waited
-#: for the process that it had started in between.
-FAILED_SEEDS = [12, 14]
+#: Regression seeds: they stop a VM twice and restart it in between.
+REGRESSION_SEEDS = [12, 14]
 
 
-@pytest.mark.parametrize("seed", [1, *FAILED_SEEDS])
-def test_promises_hold_under_faults(seed):
-    # Those of the seeds that failed come from the faults alone.
-    with_stops = seed not in FAILED_SEEDS
-    broken, ends = run_seed(seed, SECONDS, config(), with_stops=with_stops)
+@pytest.mark.parametrize("seed", [1, *REGRESSION_SEEDS])
+def test_guarantees_hold_under_faults(seed):
+    # The regression seeds need only faults, without planned stops.
+    with_stops = seed not in REGRESSION_SEEDS
+    broken, status_counts = run_seed(seed, SECONDS, config(), with_stops=with_stops)
     assert broken == []
-    assert ends[200] > 0
+    assert status_counts[200] > 0
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -10,12 +10,12 @@
 SLOTS = 4
 TARGETS = 3
 WORK_SECONDS = 0.1
-CAP = 6
-WINDOW = 3.0
+CAP_SLOTS = 6
+WINDOW_SECONDS = 3.0
 DOMAINS = ("north-a", "north-b", "south-a")
-CAPACITY = SLOTS * TARGETS / WORK_SECONDS
+CAPACITY_PER_SECOND = SLOTS * TARGETS / WORK_SECONDS
 SAMPLE_SECONDS = 0.05
-PREFIX = f'heathercleat_foreign_slots{{service="{SERVICE}"}}'
+FOREIGN_SLOTS_METRIC = f'heathercleat_foreign_slots{{service="{SERVICE}"}}'
 
 
 def spill_text():
@@ -40,15 +40,15 @@
             SERVICE: {
                 "requests": [kind],
                 "targets": targets,
-                "shift_cap": {"slots": CAP, "window_s": WINDOW},
+                "shift_cap": {"slots": CAP_SLOTS, "window_s": WINDOW_SECONDS},
                 "queue": {"limit": 32, "wait_ms": 400},
             }
         },
     }
 
 
-class Watcher:
-    """Samples how many slots other failure domains hold at every VM."""
+class SpillSampler:
+    """Samples the number of slots held by other failure domains, over all VMs."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -67,20 +67,20 @@
     def _run(self):
         while not self._stopping:
             levels = [
-                (self._fleet.metrics(vm) or {}).get(PREFIX, 0.0)
+                (self._fleet.metrics(vm) or {}).get(FOREIGN_SLOTS_METRIC, 0.0)
                 for vm in self._fleet.vms.values()
             ]
             self.samples.append((time.monotonic(), sum(levels)))
             time.sleep(SAMPLE_SECONDS)
 
     def largest_rise(self):
-        """Return the largest rise within any window, over all receivers."""
+        """Return the largest rise within any window, in slots."""
         return max(
             (
                 level - earlier
                 for at, level in self.samples
-                for then, earlier in self.samples
-                if at - WINDOW < then <= at
+                for earlier_at, earlier in self.samples
+                if at - WINDOW_SECONDS < earlier_at <= at
             ),
             default=0.0,
         )
@@ -100,7 +100,7 @@
     return [vm.host for vm in fleet.vms.values() if vm.domain == domain]
 
 
-def overshoot(fleet):
+def count_overloads(fleet):
     return sum(fleet.record(name)["over"] for name in fleet.targets)
 
 
@@ -108,41 +108,46 @@
     return sum(1 for each in load.results if (each.target or "").startswith(domain))
 
 
-def test_surge_spills_within_the_cap_and_overloads_nobody(fleet):
-    with Watcher(fleet) as watcher:
-        with Load(hosts_in(fleet, "north-a"), SERVICE, rate=1.5 * CAPACITY) as load:
-            time.sleep(2.5 * WINDOW)
-    assert overshoot(fleet) == 0
-    assert watcher.largest_rise() <= CAP
+def test_surge_spills_within_the_cap_without_overload(fleet):
+    with SpillSampler(fleet) as sampler:
+        with Load(
+            hosts_in(fleet, "north-a"), SERVICE, rate=1.5 * CAPACITY_PER_SECOND
+        ) as load:
+            time.sleep(2.5 * WINDOW_SECONDS)
+    assert count_overloads(fleet) == 0
+    assert sampler.largest_rise() <= CAP_SLOTS
     assert served_in(load, "north-b") > 0
     refused = [each for each in load.results if each.status == 503]
     assert all(each.run == "not-run" for each in refused)
     assert {each.status for each in load.results} <= {200, 503}
 
 
-def test_loss_of_a_domain_moves_its_callers_within_the_cap(fleet):
+def test_loss_of_a_domain_spills_its_requests_within_the_cap(fleet):
     hosts = hosts_in(fleet, "north-a") + hosts_in(fleet, "north-b")
-    with Watcher(fleet) as watcher:
-        with Load(hosts, SERVICE, rate=0.5 * CAPACITY) as load:
+    with SpillSampler(fleet) as sampler:
+        with Load(hosts, SERVICE, rate=0.5 * CAPACITY_PER_SECOND) as load:
             time.sleep(1.0)
             for vm in fleet.vms.values():
                 if vm.domain == "north-a":
                     vm.process.kill()
             lost_at = time.time()
             time.sleep(6.0)
-    assert overshoot(fleet) == 0
-    assert watcher.largest_rise() <= CAP
+    assert count_overloads(fleet) == 0
+    assert sampler.largest_rise() <= CAP_SLOTS
     late = [each for each in load.results if each.sent_at > lost_at + 3.0]
     assert late
     assert all(each.status == 200 for each in late)
 
 
 def test_region_that_is_lost_and_returns_cold_overloads_nobody(fleet):
-    """North loses its VMs and targets, and comes back with cold targets."""
+    """All VMs and targets of the north fail, and restart with cold targets."""
     north = [vm for vm in fleet.vms.values() if vm.domain != "south-a"]
     targets = [name for name in fleet.targets if name.startswith("north")]
     hosts = [vm.host for vm in fleet.vms.values()]
-    with Watcher(fleet) as watcher, Load(hosts, SERVICE, rate=0.5 * CAPACITY) as load:
+    with (
+        SpillSampler(fleet) as sampler,
+        Load(hosts, SERVICE, rate=0.5 * CAPACITY_PER_SECOND) as load,
+    ):
         time.sleep(1.0)
         for vm in north:
             vm.process.kill()
@@ -156,52 +161,60 @@
         for vm in north:
             vm.process.wait()
             fleet.start_vm(vm)
-        back_at = time.time()
-        wait_for(lambda: sum(served_since(load, back_at, "north")) > 20)
+        restarted_at = time.time()
+        wait_for(lambda: sum(served_since(load, restarted_at, "north")) > 20)
         time.sleep(2.0)
-    assert overshoot(fleet) == 0
-    assert watcher.largest_rise() <= CAP
-    away = [each for each in load.results if lost_at + 2.0 < each.sent_at < back_at]
-    assert away
-    assert all(each.status == 200 and each.target[:5] == "south" for each in away)
-    returned = [each for each in load.results if each.sent_at > back_at]
-    assert sum(1 for each in returned if each.status == 200) > 0.98 * len(returned)
-    assert {each.run for each in returned if each.status == 503} <= {"not-run"}
+    assert count_overloads(fleet) == 0
+    assert sampler.largest_rise() <= CAP_SLOTS
+    during_loss = [
+        each for each in load.results if lost_at + 2.0 < each.sent_at < restarted_at
+    ]
+    assert during_loss
+    assert all(
+        each.status == 200 and each.target[:5] == "south" for each in during_loss
+    )
+    after_restart = [each for each in load.results if each.sent_at > restarted_at]
+    assert sum(1 for each in after_restart if each.status == 200) > 0.98 * len(
+        after_restart
+    )
+    assert {each.run for each in after_restart if each.status == 503} <= {"not-run"}
 
 
 def served_since(load, since, domain):
-    """Yield one for each request that a domain served since an instant."""
+    """Yield 1 for each request sent after ``since`` that ``domain`` served."""
     for each in list(load.results):
         if each.sent_at > since and (each.target or "").startswith(domain):
             yield 1
 
 
-def test_partition_with_both_sides_busy(fleet):
-    north = Load(hosts_in(fleet, "north-a"), SERVICE, rate=0.9 * CAPACITY)
-    south = Load(hosts_in(fleet, "south-a"), SERVICE, rate=0.5 * CAPACITY, seed=2)
+def test_partition_with_both_sides_busy_overloads_no_target(fleet):
+    north = Load(hosts_in(fleet, "north-a"), SERVICE, rate=0.9 * CAPACITY_PER_SECOND)
+    south = Load(
+        hosts_in(fleet, "south-a"), SERVICE, rate=0.5 * CAPACITY_PER_SECOND, seed=2
+    )
     with north, south:
         time.sleep(2.0)
         fleet.cut("south-a", ["north-a", "north-b"])
         cut_at = time.time()
         time.sleep(4.0)
-        mended_at = time.time()
+        healed_at = time.time()
         fleet.mend()
         time.sleep(2.0)
-    assert overshoot(fleet) == 0
-    during = [each for each in south.results if cut_at + 1 < each.sent_at < mended_at]
+    assert count_overloads(fleet) == 0
+    during = [each for each in south.results if cut_at + 1 < each.sent_at < healed_at]
     assert all(each.status == 200 for each in during)
     assert all(each.target.startswith("south") for each in during)
     inside = [
         each
         for each in north.results
-        if cut_at + 2 < each.sent_at and each.sent_at + each.seconds < mended_at
+        if cut_at + 2 < each.sent_at and each.sent_at + each.seconds < healed_at
     ]
     served = sum(1 for each in inside if each.status == 200)
     assert served > 0.85 * len(inside)
     assert not any((each.target or "").startswith("south") for each in inside)
 
 
-def test_cold_targets_come_back_one_slot_at_a_time(fleet):
+def test_targets_that_become_ready_warm_up_gradually(fleet):
     names = [name for name in fleet.targets if name.startswith("north-b")]
     for name in names:
         fleet.switch_target(name, health="starting")
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -8,7 +8,7 @@
     ("gap", "stalled"),
     [(TICK_SECONDS, 0), (MAX_TICK_GAP_SECONDS, 0), (MAX_TICK_GAP_SECONDS + 0.5, 0.5)],
 )
-def test_only_a_gap_beyond_the_usual_one_is_a_stall(gap, stalled):
+def test_only_a_gap_above_the_maximum_is_a_stall(gap, stalled):
     clock = ManualClock()
     stalls = Stalls(clock)
     clock.time += gap
@@ -17,11 +17,11 @@
     assert stalls.total_seconds() == pytest.approx(stalled)
 
 
-def test_running_clock_stands_still_in_each_stall():
+def test_active_time_excludes_stalls():
     clock = ManualClock()
     stalls = Stalls(clock)
-    began = stalls.active_time()
+    start = stalls.active_time()
     for _ in range(3):
         clock.time += MAX_TICK_GAP_SECONDS + 1.0
         stalls.tick()
-    assert stalls.active_time() - began == pytest.approx(3 * MAX_TICK_GAP_SECONDS)
+    assert stalls.active_time() - start == pytest.approx(3 * MAX_TICK_GAP_SECONDS)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What the start of a VM's process loads, and the settings and metrics that changed."""
+"""VMs start without operator modules; settings and metrics keep their form."""
 
 import json
 import subprocess
@@ -14,8 +14,8 @@
 from tests.platform_samples import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-#: Imports what ``heathercleat steer`` imports, and prints the names of all modules.
-START = """
+#: Imports what ``heathercleat steer`` imports and prints the names of loaded modules.
+STARTUP_SCRIPT = """
 import sys
 from heathercleat.cli._main import build_parser
 build_parser("steer")
@@ -26,10 +26,10 @@
 
 
 @pytest.fixture(scope="module")
-def loaded():
-    command = [sys.executable, "-c", START]
-    printed = subprocess.run(command, check=True, capture_output=True, text=True)
-    return set(printed.stdout.split())
+def loaded_modules():
+    command = [sys.executable, "-c", STARTUP_SCRIPT]
+    result = subprocess.run(command, check=True, capture_output=True, text=True)
+    return set(result.stdout.split())
 
 
 @pytest.mark.parametrize(
@@ -44,12 +44,12 @@
         "heathercleat.version.text",
     ],
 )
-def test_start_of_a_vm_loads_nothing_that_only_operators_use(loaded, module):
-    assert module not in loaded
+def test_start_of_a_vm_does_not_load_operator_modules(loaded_modules, module):
+    assert module not in loaded_modules
 
 
 @pytest.mark.parametrize("command", ["check", "apply", "trace", "--help", None])
-def test_every_command_is_listed_where_no_vm_is_started(command):
+def test_help_of_operator_commands_lists_every_command(command):
     text = build_parser(command).format_help()
     listed = {
         line[4:].split(" ")[0] for line in text.splitlines() if line[:4] == "    "
@@ -64,18 +64,18 @@
     assert load_node_settings(str(path)).path == str(path)
 
 
-def test_template_of_the_settings_asks_for_all_fields():
+def test_settings_template_renders_all_fields():
     assert (ROOT / "deploy" / "settings.json").read_text().strip() == "{{.|json}}"
 
 
-def test_settings_that_are_neither_json_nor_yaml_are_named(tmp_path):
+def test_error_for_invalid_settings_names_the_file(tmp_path):
     path = tmp_path / "node.json"
     path.write_text('{"node": [')
     with pytest.raises(HeathercleatError, match="node.json"):
         load_node_settings(str(path))
 
 
-def test_page_of_metrics_tells_requests_latencies_and_state():
+def test_metrics_page_has_requests_latencies_and_state():
     metrics = SteeringMetrics(lambda: {"members": 3})
     for seconds in (0.05, 0.06, 7.0):
         metrics.count("read", "in_time", seconds)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,7 +9,7 @@
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
 
 
-def test_table_is_the_same_after_its_way_between_vms():
+def test_table_survives_a_round_trip_between_vms():
     rows = [StoreRow("a", '{"slots": 3}', 4), StoreRow("b", None, 7)]
     state = unpack_state(pack_state(Snapshot(9, rows, 7, {"c": 1.5})))
     assert (state.version, state.changed) == (9, 7)
@@ -21,28 +21,28 @@
 
 
 @pytest.mark.parametrize("is_whole", [True, False])
-def test_table_tells_whether_it_is_whole(is_whole):
+def test_packed_table_keeps_is_whole(is_whole):
     state = unpack_state(pack_state(Snapshot(9, [], is_whole=is_whole)))
     assert state.is_whole is is_whole
 
 
-def test_call_for_a_table_names_it_and_a_version():
+def test_state_path_has_a_table_and_a_version():
     assert parse_state_path(state_path("servers", 17).encode()) == ("servers", 17)
 
 
 @pytest.mark.parametrize("path", [b"/state/servers", b"/state/servers/x", b"/state/"])
-def test_call_for_a_table_without_a_version_is_an_error(path):
+def test_state_path_without_a_version_is_an_error(path):
     with pytest.raises(ValueError):
         parse_state_path(path)
 
 
-def test_many_entries_are_sent_in_few_bytes():
+def test_packed_state_is_compressed():
     value = '{"service": "s1", "zone": "north-a", "slots": 6, "state": "ready"}'
     rows = [StoreRow(f"i-{number}", value, number) for number in range(400)]
     assert len(pack_state(Snapshot(400, rows))) < 400 * len(value) / 4
 
 
 @pytest.mark.parametrize("body", [b"", b"not compressed", b"x\x9cbroken"])
-def test_broken_state_is_an_error(body):
+def test_invalid_state_is_an_error(body):
     with pytest.raises(ValueError):
         unpack_state(body)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -36,12 +36,12 @@
 from tests.steering_parts import Parts, beat, call, entry, route
 
 NO_SLOT = "no free slot"
-#: Where the instant to wait until stands among the arguments of a try.
-UNTIL_HERE, UNTIL_THERE = 2, 3
+#: Index of the instant until which an attempt may wait, in the dispatcher's arguments.
+LOCAL_UNTIL_INDEX, FORWARD_UNTIL_INDEX = 2, 3
 
 
-class ScriptedTry:
-    """Answers tries with the next results of a list; records where they went."""
+class ScriptedDispatcher:
+    """Returns scripted results of attempts and records the attempts' arguments."""
 
     def __init__(self, clock, results):
         self.clock = clock
@@ -55,7 +55,7 @@
         if callable(result):
             return result(call)
         if result.reason == NO_SLOT:
-            until = where[UNTIL_HERE if len(where) == 3 else UNTIL_THERE]
+            until = where[LOCAL_UNTIL_INDEX if len(where) == 3 else FORWARD_UNTIL_INDEX]
             self.clock.time = max(self.clock.time, until)
         return result
 
@@ -66,8 +66,8 @@
     )
 
 
-def ended(end, target="t1", reason="why"):
-    return AttemptResult(end, target=target, reason=reason)
+def ended(outcome, target="t1", reason="why"):
+    return AttemptResult(outcome, target=target, reason=reason)
 
 
 def no_slot():
@@ -75,53 +75,53 @@
 
 
 class Scene:
-    """Steering with scripted tries at own and at other VMs' targets."""
+    """Steering with scripted attempts at targets of this VM and of other VMs."""
 
     def __init__(self, results, entries=None, forwarded=(), slack=60.0):
         entries = entries or [entry(f"t{number}") for number in range(1, 4)]
         self.parts = Parts(entries)
         clock, members = self.parts.clock, self.parts.members
-        self.local = ScriptedTry(clock, results)
-        self.forward = ScriptedTry(clock, forwarded)
-        self.rooms = CapacityReports(clock)
+        self.local = ScriptedDispatcher(clock, results)
+        self.forward = ScriptedDispatcher(clock, forwarded)
+        self.reports = CapacityReports(clock)
         self.shift = RegionShiftLimit(0.15, clock)
         self.response_times = ResponseTimes()
         self.budget = RetryBudget(0.0, slack, 10.0, lambda: 1)
-        self.pressure = pressure = LossRates()
+        self.own_loss_rates = own_loss_rates = LossRates()
         self.shutdown = Shutdown(RunTimes(clock), lambda: True)
         parts = self.parts
         self.view = view = TargetView(
-            members, parts.registry, parts.owners, parts.ledger, self.rooms
+            members, parts.registry, parts.owners, parts.ledger, self.reports
         )
         estimates = Estimates(
             members,
             Admission(parts.ledger, members.region_of, clock),
-            self.rooms,
+            self.reports,
             lambda vm: 0.11,
             self.response_times,
             clock,
         )
-        losses = RegionLossRates(members, self.rooms, pressure, clock)
+        losses = RegionLossRates(members, self.reports, own_loss_rates, clock)
         self.places = places = DestinationSelector(
             view, members, estimates, losses, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
         self.containment = Containment(self.suspects, clock)
-        tries = Dispatcher(
+        dispatcher = Dispatcher(
             self.local,
             self.forward,
             members,
-            self.rooms,
+            self.reports,
             lambda vm: 0.11,
             self.containment,
         )
         self.steering = Steering(
             places,
-            tries,
+            dispatcher,
             self.shift,
             lambda service: self.budget,
             self.response_times,
-            pressure,
+            own_loss_rates,
             self.shutdown,
             self.containment,
             self.parts.journal,
@@ -135,15 +135,15 @@
         return call(self.parts.clock, route(kind, **fields))
 
 
-def test_answer_of_a_target_is_final():
+def test_response_of_a_target_is_final():
     scene = Scene([answered(404)])
     assert scene.run(scene.call()).status == 404
 
 
 @pytest.mark.parametrize("kind", [RequestKind.UNSAFE, RequestKind.UPLOAD])
-@pytest.mark.parametrize("end", [AttemptOutcome.UNKNOWN, AttemptOutcome.TIMED_OUT])
-def test_request_that_may_have_run_is_not_sent_again(kind, end):
-    scene = Scene([ended(end), answered()])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.UNKNOWN, AttemptOutcome.TIMED_OUT])
+def test_request_that_may_have_run_is_not_retried(kind, outcome):
+    scene = Scene([ended(outcome), answered()])
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call(kind))
     assert len(scene.local.tried) == 1
@@ -152,13 +152,13 @@
 
 
 @pytest.mark.parametrize("kind", list(RequestKind))
-def test_request_that_a_target_refused_is_sent_to_another(kind):
+def test_request_refused_by_a_target_is_retried_at_another(kind):
     scene = Scene([ended(AttemptOutcome.REFUSED, "t1"), answered(target="t2")])
     assert scene.run(scene.call(kind)).status == 200
     assert "t1" in scene.local.tried[1][1]
 
 
-def test_safe_request_without_an_answer_is_sent_again():
+def test_safe_request_without_a_response_is_retried():
     scene = Scene([ended(AttemptOutcome.UNKNOWN), answered(target="t2")])
     assert scene.run(scene.call()).status == 200
 
@@ -177,12 +177,12 @@
     assert len(scene.local.tried) == 2
 
 
-def test_server_error_is_the_answer_when_nothing_better_comes():
+def test_server_error_is_returned_when_all_attempts_fail():
     scene = Scene([answered(500, "t1"), answered(500, "t2")])
     assert scene.run(scene.call(attempts=2)).status == 500
 
 
-def test_without_budget_a_refused_request_is_given_back_as_not_run():
+def test_without_budget_a_refused_request_is_reported_as_not_run():
     scene = Scene([ended(AttemptOutcome.REFUSED), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call(RequestKind.UNSAFE))
@@ -191,14 +191,14 @@
     assert len(scene.local.tried) == 1
 
 
-def test_without_budget_a_safe_request_that_may_have_run_is_not_called_not_run():
+def test_without_budget_a_safe_request_that_may_have_run_is_not_reported_as_not_run():
     scene = Scene([ended(AttemptOutcome.UNKNOWN), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
     assert caught.value.code is ResultCode.ANSWER_LOST
 
 
-def test_try_that_sent_nothing_costs_no_budget():
+def test_attempt_that_sent_nothing_costs_no_budget():
     refused = ended(AttemptOutcome.NOT_SENT, reason="connect")
     scene = Scene([refused, refused, answered(target="t3")], slack=0.0)
     assert scene.run(scene.call()).status == 200
@@ -212,9 +212,11 @@
     return scene
 
 
-def test_request_without_hope_of_a_slot_is_refused_at_once():
-    hopeless = AttemptResult(AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0)
-    scene = full_scene([hopeless] * 50)
+def test_request_without_a_slot_in_time_is_refused_at_once():
+    no_slot_in_time = AttemptResult(
+        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0
+    )
+    scene = full_scene([no_slot_in_time] * 50)
     made = scene.call()
     with pytest.raises(RequestError) as caught:
         scene.run(made)
@@ -224,7 +226,7 @@
 
 
 @pytest.mark.parametrize("returned", [True, False])
-def test_request_with_hope_waits_for_a_slot_past_its_aim(returned):
+def test_request_waits_for_a_slot_past_its_soft_deadline(returned):
     scene = full_scene([no_slot()] * 500)
     made = scene.call()
     made.is_client_retry = returned
@@ -233,31 +235,31 @@
     assert made.soft_deadline < scene.parts.clock.now() <= made.deadline + 0.1
 
 
-def test_request_of_a_client_that_left_is_not_sent_again():
-    def leave(made):
+def test_request_of_a_disconnected_client_is_not_retried():
+    def disconnect(made):
         made.is_disconnected = True
         return ended(AttemptOutcome.REFUSED)
 
-    scene = Scene([leave, answered()])
+    scene = Scene([disconnect, answered()])
     with pytest.raises(CallerDisconnectedError):
         scene.run(scene.call())
     assert len(scene.local.tried) == 1
 
 
 def far_scene(free, forwarded):
-    """A VM of the north whose own target is full, and a target in the south."""
+    """Return a northern VM whose own target is full, beside a southern target."""
     far = entry("t9", domain="south-a", slots=10)
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), far], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
     (own,) = scene.parts.ledger.all()
     own.claim(scene.parts.clock.now())
-    scene.rooms.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
+    scene.reports.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
     return scene
 
 
 @pytest.mark.parametrize("sticky", [True, False])
-def test_owner_that_does_not_report_here_is_tried(sticky):
-    """VMs that carry no requests get no reports, and still serve who comes to them."""
+def test_owner_without_a_report_is_tried(sticky):
+    """A VM without traffic gets no reports, but must serve the requests it receives."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
     scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
     made = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
@@ -265,7 +267,7 @@
     assert len(scene.forward.tried) == 1
 
 
-def test_request_moves_to_a_region_with_room():
+def test_request_moves_to_a_region_with_free_slots():
     scene = far_scene(10, [answered(target="t9")])
     assert scene.run(scene.call()).status == 200
     assert len(scene.forward.tried) == 1
@@ -285,7 +287,7 @@
     assert scene.forward.tried == []
 
 
-def test_vm_that_cannot_be_reached_is_not_asked_again():
+def test_unreachable_vm_is_not_tried_again():
     scene = far_scene(
         10, [AttemptResult(AttemptOutcome.NOT_SENT, reason="VM: refused")]
     )
@@ -294,75 +296,78 @@
     assert len(scene.forward.tried) == 1
 
 
-def busy_home_scene():
-    """A sticky call whose home is full, beside an idle target."""
+def full_affinity_scene():
+    """Return a setup and a sticky call whose affinity target is full; one is idle."""
     scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    home = scene.places.select_free(made, set(), set()).target
-    target = scene.parts.ledger.get(home)
+    affinity_target = scene.places.select_free(made, set(), set()).target
+    target = scene.parts.ledger.get(affinity_target)
     while target.free(scene.parts.clock.now()):
         target.claim(scene.parts.clock.now())
     scene.parts.clock.time += SUMMARY_TTL_SECONDS
-    return scene, made, home
+    return scene, made, affinity_target
 
 
-def test_request_goes_to_an_idle_target_while_its_home_is_busy():
-    scene, made, home = busy_home_scene()
-    place = scene.places.select_free(made, set(), set())
-    assert place.target not in (None, home)
+def test_request_goes_to_an_idle_target_while_its_affinity_target_is_full():
+    scene, made, affinity_target = full_affinity_scene()
+    destination = scene.places.select_free(made, set(), set())
+    assert destination.target not in (None, affinity_target)
 
 
-def test_request_that_would_be_late_elsewhere_waits_for_its_home_first():
-    scene, made, home = busy_home_scene()
+def test_request_that_would_be_late_elsewhere_waits_for_its_affinity_target():
+    scene, made, affinity_target = full_affinity_scene()
     made.affinity_until = scene.parts.clock.now() + 0.05
     assert scene.places.select_free(made, set(), set()) is None
     made.give_up_at = made.affinity_until
-    assert scene.places.select_queue(made, set(), set()).preferred == (home,)
+    assert scene.places.select_queue(made, set(), set()).preferred == (affinity_target,)
     scene.parts.clock.time = made.affinity_until
-    assert scene.places.select_free(made, set(), set()).target not in (None, home)
+    assert scene.places.select_free(made, set(), set()).target not in (
+        None,
+        affinity_target,
+    )
 
 
 @pytest.mark.parametrize(("elsewhere", "waits"), [(0.2, False), (0.5, True)])
-def test_request_waits_for_its_home_where_others_take_too_long(elsewhere, waits):
-    until = []
+def test_request_waits_for_its_affinity_target_when_others_are_slower(elsewhere, waits):
+    affinity_waits = []
 
-    def note(made):
-        until.append(made.affinity_until - made.arrived_at)
+    def record_wait(made):
+        affinity_waits.append(made.affinity_until - made.arrived_at)
         return answered()
 
-    scene = Scene([note])
+    scene = Scene([record_wait])
     scene.response_times.record("r1", 0.1, True)
     scene.response_times.record("r1", elsewhere, False)
     scene.run(call(scene.parts.clock, route(sticky=True), affinity="/a"))
-    assert (until[0] > 0.0) is waits
+    assert (affinity_waits[0] > 0.0) is waits
 
 
-def home_elsewhere_scene(forwarded):
-    """A target of another VM, which reports a free slot."""
+def remote_affinity_scene(forwarded):
+    """Return a setup whose only target belongs to a VM that reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
-    scene.rooms.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
+    scene.reports.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
     scene.response_times.record("r1", 0.1, True)
     scene.response_times.record("r1", 0.5, False)
     return scene
 
 
-def waited(scene):
-    """Return for how long each try might wait at the owner."""
-    return [where[UNTIL_THERE] for where in scene.forward.tried]
+def wait_deadlines(scene):
+    """Return the instants until which the attempts could wait at the owner."""
+    return [where[FORWARD_UNTIL_INDEX] for where in scene.forward.tried]
 
 
-def test_request_waits_at_once_at_a_home_that_seemed_to_have_room():
-    scene = home_elsewhere_scene([answered()])
+def test_request_waits_at_an_affinity_target_reported_to_have_a_free_slot():
+    scene = remote_affinity_scene([answered()])
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     scene.run(made)
-    assert waited(scene) == [made.affinity_until]
+    assert wait_deadlines(scene) == [made.affinity_until]
     assert made.affinity_until - made.arrived_at > 2 * STALE_REPORT_WAIT_SECONDS
 
 
-def test_home_that_was_full_after_all_is_asked_once_a_slice():
-    """A home with no room for 1 s: each send in vain carries the body again."""
-    scene = home_elsewhere_scene([no_slot() for _ in range(20)])
+def test_full_affinity_target_is_tried_once_per_recheck_interval():
+    """Each attempt at a full target sends the body again, so attempts are limited."""
+    scene = remote_affinity_scene([no_slot() for _ in range(20)])
     scene.response_times.record("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     made.soft_deadline = made.deadline
@@ -371,16 +376,16 @@
     assert len(scene.forward.tried) <= 1.0 / FORWARDED_RECHECK_SECONDS + 1
 
 
-def test_request_without_a_home_does_not_wait_at_a_stale_report():
-    scene = home_elsewhere_scene([answered()])
+def test_request_without_affinity_waits_briefly_on_a_stale_report():
+    scene = remote_affinity_scene([answered()])
     made = call(scene.parts.clock, route())
     scene.run(made)
-    assert waited(scene) == [made.arrived_at + STALE_REPORT_WAIT_SECONDS]
+    assert wait_deadlines(scene) == [made.arrived_at + STALE_REPORT_WAIT_SECONDS]
 
 
 @pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY_BYTES, 2)])
-def test_large_bodies_are_sent_less_often(size, most):
-    scene = home_elsewhere_scene([no_slot() for _ in range(20)])
+def test_large_bodies_are_resent_less_often(size, most):
+    scene = remote_affinity_scene([no_slot() for _ in range(20)])
     scene.response_times.record("r1", 5.0, False)
     made = call(scene.parts.clock, route(sticky=True), affinity="/a")
     made.body = b"x" * size
--- a/tests/test_steering_path.py
+++ b/tests/test_steering_path.py
@@ -33,8 +33,8 @@
     return fleet.vms["north-a-1"]
 
 
-def together(count, send):
-    """Return the results of ``send(number)`` for ``count`` numbers at once."""
+def run_concurrently(count, send):
+    """Return the results of ``count`` concurrent calls of ``send(number)``."""
     results = [None] * count
 
     def run(number):
@@ -50,10 +50,10 @@
 
 def test_requests_reach_targets_unchanged(fleet, vm):
     body = b"x" * 100_000
-    status, headers, answer = fleet.send(vm, "POST", "/one/a?b=c", "q1", body)
+    status, headers, response_body = fleet.send(vm, "POST", "/one/a?b=c", "q1", body)
     assert status == 200
     assert headers["response-signature"] == "signed"
-    assert answer == sha256(body).hexdigest().encode()
+    assert response_body == sha256(body).hexdigest().encode()
     ((request_id, path, left, digest),) = fleet.runs()
     assert (request_id, path) == ("q1", "/one/a?b=c")
     assert digest == sha256(body).hexdigest()
@@ -64,7 +64,7 @@
     assert fleet.send(vm, "GET", "/other", "q1")[0] == 404
 
 
-def test_no_target_runs_more_than_its_slots_whoever_sends(fleet):
+def test_no_target_exceeds_its_slots_under_requests_through_all_vms(fleet):
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.1)
     vms = list(fleet.vms.values())
@@ -73,7 +73,7 @@
         vm = vms[number % len(vms)]
         return fleet.send(vm, "GET", "/one/two/x", f"q{number}", wait_ms=3000)[0]
 
-    statuses = together(24, send)
+    statuses = run_concurrently(24, send)
     assert set(statuses) <= {200, 503}
     assert statuses.count(200) >= 6
     records = [fleet.record(each) for each in TARGETS]
@@ -81,8 +81,8 @@
     assert sum(each["shed"] for each in records) == 0
 
 
-def test_route_with_regions_is_served_nowhere_else(fleet):
-    statuses = together(
+def test_route_with_regions_is_served_only_there(fleet):
+    statuses = run_concurrently(
         12,
         lambda number: fleet.send(
             fleet.vms["south-a-1"], "POST", "/one/x", f"q{number}", b"b"
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "unsigned", "encoded", "lose"])
-def test_broken_answer_to_an_unsafe_request_is_a_failure_and_never_repeated(
+def test_broken_response_to_an_unsafe_request_is_an_error_without_retry(
     fleet, vm, fault
 ):
     for each in TARGETS:
@@ -105,23 +105,25 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "unsigned", "lose"])
-def test_broken_answer_to_a_safe_request_is_repeated_elsewhere(fleet, vm, fault):
+def test_broken_response_to_a_safe_request_is_retried_elsewhere(fleet, vm, fault):
     fleet.switch_target("i-1", **{fault: True})
     for number in range(4):
         assert fleet.send(vm, "GET", "/one/two/x", f"q{number}")[0] == 200
 
 
-def test_stray_answer_is_not_taken_for_the_own_one(fleet, vm):
+def test_stray_response_is_not_returned_for_the_request(fleet, vm):
     for each in TARGETS:
         fleet.switch_target(each, stray=True)
     for number in range(4):
-        status, headers, answer = fleet.send(vm, "GET", "/one/two/x", f"q{number}")
+        status, headers, response_body = fleet.send(
+            vm, "GET", "/one/two/x", f"q{number}"
+        )
         assert status == 200
         assert headers["request-id"] == f"q{number}"
-        assert answer == sha256(b"").hexdigest().encode()
+        assert response_body == sha256(b"").hexdigest().encode()
 
 
-def test_refusal_of_a_target_is_tried_elsewhere(fleet, vm):
+def test_request_refused_by_a_target_is_retried_elsewhere(fleet, vm):
     fleet.switch_target("i-1", shed=1.0)
     for number in range(5):
         assert fleet.send(vm, "GET", "/one/two/x", f"q{number}")[0] == 200
@@ -134,27 +136,27 @@
     assert fleet.record("i-1")["runs"] == []
 
 
-def test_full_targets_refuse_at_once_and_say_when_to_come_back(fleet, vm):
+def test_full_targets_refuse_at_once_with_retry_after(fleet, vm):
     for each in TARGETS:
         fleet.switch_target(each, work_s=1.5)
-    answers = together(
+    responses = run_concurrently(
         12, lambda number: fleet.send(vm, "GET", "/one/two/x", f"q{number}", None, 900)
     )
-    refused = [headers for status, headers, _ in answers if status == 503]
+    refused = [headers for status, headers, _ in responses if status == 503]
     assert refused
     assert all(0 < float(headers["retry-after"]) <= 0.3 for headers in refused)
 
 
-def test_request_past_its_routes_timeout_gets_its_answer(fleet, vm):
+def test_request_past_its_routes_timeout_gets_a_response(fleet, vm):
     for each in TARGETS:
         fleet.switch_target(each, work_s=5.0)
-    begun = time.monotonic()
+    started_at = time.monotonic()
     status, _, _ = fleet.send(vm, "GET", "/one/two/x", "q1", wait_ms=8000)
     assert status == 504
-    assert time.monotonic() - begun < 4.0
+    assert time.monotonic() - started_at < 4.0
 
 
-def test_client_that_leaves_frees_the_slot(fleet, vm):
+def test_client_that_disconnects_frees_the_slot(fleet, vm):
     document = config("r9")
     for route in document["hosts"][0]["paths"]:
         route["timeout"] = "60s"
@@ -172,7 +174,7 @@
     wait_for(lambda: 'requests_under_way"} 0.0' in fleet.metrics(vm), seconds=5)
 
 
-def test_evacuated_domain_gets_nothing_until_it_is_taken_back(fleet, vm):
+def test_evacuated_domain_gets_no_requests_until_evacuation_ends(fleet, vm):
     fleet.put("op", "evacuate/north-a", {})
     wait_for(lambda: fleet.send(vm, "POST", "/one/x", "before", b"")[0] == 200)
     wait_for(
@@ -191,7 +193,7 @@
     wait_for(served_there)
 
 
-def test_new_configuration_comes_into_force(fleet, vm):
+def test_new_configuration_takes_effect(fleet, vm):
     changed = config("r9")
     changed["hosts"][0]["paths"][0]["prefix"] = "/new/"
     fleet.put("op", "config", changed)
@@ -208,14 +210,14 @@
 
 
 @pytest.mark.parametrize("down", ["busy", "reset", "silent"])
-def test_store_that_is_away_stops_nothing(fleet, vm, down):
+def test_requests_are_served_while_the_store_is_unavailable(fleet, vm, down):
     fleet.switch_store(down=down)
     wait_for(lambda: any(line["name"] == "store_lost" for line in fleet.log(vm)))
     for number in range(5):
         assert fleet.send(vm, "GET", "/one/two/x", f"q{number}")[0] == 200
 
 
-def test_history_that_was_dropped_is_read_anew(fleet, vm):
+def test_table_is_read_again_after_its_history_is_dropped(fleet, vm):
     fleet.switch_store(history=1)
     for number in range(5):
         fleet.announce("i-1", sequence=number)
@@ -223,16 +225,16 @@
     wait_for(lambda: '"configuration"} 9.0' in fleet.metrics(vm))
 
 
-def test_vm_that_the_store_turns_away_learns_from_another(fleet, vm):
+def test_vm_refused_by_the_store_gets_tables_from_another_vm(fleet, vm):
     fleet.switch_store(refused=[vm.host])
     wait_for(lambda: any(line["name"] == "store_lost" for line in fleet.log(vm)))
-    # A call that had begun before still tells of changes until it ends.
+    # A long poll that is already open still returns changes until it ends.
     time.sleep(OPERATOR_WAIT)
     fleet.put("op", "config", config("r9"))
     wait_for(lambda: '"configuration"} 9.0' in fleet.metrics(vm))
 
 
-def test_killed_vm_is_named_no_more_and_its_targets_are_taken_over(fleet, vm):
+def test_killed_vm_leaves_lookups_and_its_targets_get_new_owners(fleet, vm):
     fleet.stop_vm(vm, signal.SIGKILL)
     other = fleet.vms["north-b-1"]
     wait_for(lambda: f"{vm.host}:{FRONT_PORT}" not in fleet.resolve(other, "", ""))
@@ -244,22 +246,22 @@
     assert statuses == {200}
 
 
-def test_planned_stop_cuts_no_request(fleet, vm):
+def test_planned_stop_interrupts_no_request(fleet, vm):
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.8)
-    answers = []
+    responses = []
     thread = threading.Thread(
-        target=lambda: answers.append(fleet.send(vm, "POST", "/one/x", "q1", b"")[0])
+        target=lambda: responses.append(fleet.send(vm, "POST", "/one/x", "q1", b"")[0])
     )
     thread.start()
     wait_for(lambda: fleet.runs())
     fleet.stop_vm(vm)
     thread.join()
-    assert answers == [200]
+    assert responses == [200]
     assert vm.process.wait(10) == 0
 
 
-def test_lookup_names_the_vms_of_the_clients_region(fleet, vm):
+def test_lookup_returns_the_vms_of_the_clients_region(fleet, vm):
     near = fleet.resolve(vm, "north", "north-a")
     assert sorted(near) == [
         f"{fleet.vms[name].host}:{FRONT_PORT}" for name in ("north-a-1", "north-b-1")
@@ -274,7 +276,7 @@
     assert fleet.send(vm, "POST", "/one/x", "q1", b"")[0] == 200
 
 
-def test_broken_settings_change_nothing(fleet, vm):
+def test_invalid_settings_change_nothing(fleet, vm):
     with open(vm.settings, "w") as file:
         file.write("node: [")
     fleet.stop_vm(vm, signal.SIGHUP)
@@ -282,10 +284,10 @@
     assert fleet.send(vm, "POST", "/one/x", "q1", b"")[0] == 200
 
 
-def test_leaving_vm_refuses_at_its_end_rather_than_cut(fleet, vm):
+def test_leaving_vm_refuses_requests_instead_of_interrupting_them(fleet, vm):
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.9)
-    statuses, unanswered = [], []
+    statuses, without_response = [], []
 
     def send(number):
         while vm.process.poll() is None:
@@ -293,13 +295,13 @@
             try:
                 sent = fleet.send(vm, "POST", "/one/x", request_id, b"")
             except OSError:
-                unanswered.append(request_id)
+                without_response.append(request_id)
                 return
             statuses.append(sent[0])
 
     stopping = threading.Timer(0.3, fleet.stop_vm, (vm,))
     stopping.start()
-    together(4, send)
+    run_concurrently(4, send)
     assert 503 in statuses
     assert set(statuses) <= {200, 503}
-    assert not {run[0] for run in fleet.runs()} & set(unanswered)
+    assert not {run[0] for run in fleet.runs()} & set(without_response)
--- a/tests/test_steering_start.py
+++ b/tests/test_steering_start.py
@@ -10,13 +10,13 @@
 
 @pytest.fixture
 def fleet():
-    made = SteeringFleet(
+    created = SteeringFleet(
         config(), DOMAINS, dict.fromkeys(DOMAINS, 1), TARGETS, subnet=32
     )
     try:
-        yield made
+        yield created
     finally:
-        made.stop()
+        created.stop()
 
 
 STEPS = {
@@ -39,7 +39,7 @@
     ],
     ids="-".join,
 )
-def test_parts_may_start_in_any_order(fleet, order):
+def test_components_may_start_in_any_order(fleet, order):
     fleet.start_targets()
     for step in order:
         STEPS[step](fleet)
@@ -48,7 +48,7 @@
         wait_for(lambda vm=vm: fleet.send(vm, "POST", "/one/x", "q", b"")[0] == 200)
 
 
-def test_vm_without_a_configuration_is_not_ready_and_answers_so(fleet):
+def test_vm_without_a_configuration_is_not_ready_and_refuses_requests(fleet):
     fleet.start_store()
     vm = fleet.vms["north-a-1"]
     fleet.start_vm(vm)
--- a/tests/test_steering_stop.py
+++ b/tests/test_steering_stop.py
@@ -1,4 +1,4 @@
-"""What becomes of connections when a steering process ends."""
+"""A steering process that stops must close its connections and start no request."""
 
 import socket
 
@@ -19,7 +19,7 @@
 
 
 class FakeNode:
-    """Counts the requests that connections match against its table."""
+    """Counts the requests that connections start to route."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -33,8 +33,8 @@
         raise EOFError("the request was taken")
 
 
-def pair():
-    """Return the server's curio socket and the client's plain one."""
+def make_socket_pair():
+    """Return the server's curio socket and the client's blocking socket."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         server, _ = listener.accept()
@@ -42,47 +42,47 @@
     return Socket(server), client
 
 
-def listeners(node):
+def make_listeners(node):
     settings = decode_node_settings(SETTINGS)
     journal = Journal("vm-1", "north-a")
     return Listeners(node, settings, None, None, None, None, None, journal, node.clock)
 
 
-async def _close_beside_a_request(node, before):
-    """Close a connection whose request has arrived but was not looked at yet."""
-    sock, client = pair()
+async def _close_with_request(node, has_request):
+    """Close a connection, optionally with an unread request; return the client."""
+    sock, client = make_socket_pair()
     connection = ClientConnection(sock, node)
     task = await spawn(connection.serve)
     await sleep(0)
-    if before:
+    if has_request:
         client.sendall(REQUEST)
     connection.close_idle()
     await task.join()
     return client
 
 
-def test_request_that_crosses_the_close_is_not_taken():
+def test_request_that_arrives_during_the_close_is_not_started():
     node = FakeNode()
-    client = run(_close_beside_a_request, node, True)
+    client = run(_close_with_request, node, True)
     assert node.requests == 0
     assert client.recv(100) == b""
 
 
 def test_idle_connection_is_closed():
     node = FakeNode()
-    client = run(_close_beside_a_request, node, False)
+    client = run(_close_with_request, node, False)
     assert client.recv(100) == b""
 
 
-def test_connection_that_comes_after_the_close_is_not_served():
+def test_connection_accepted_after_the_close_is_not_served():
     node = FakeNode()
-    made = listeners(node)
-    made.close()
+    opened = make_listeners(node)
+    opened.close()
 
     async def main():
-        sock, client = pair()
+        sock, client = make_socket_pair()
         client.sendall(REQUEST)
-        await made._serve_client(sock, None)
+        await opened._serve_client(sock, None)
 
     run(main)
     assert node.requests == 0
@@ -90,16 +90,16 @@
 
 def test_open_connections_are_closed_with_the_listeners():
     node = FakeNode()
-    made = listeners(node)
+    opened = make_listeners(node)
 
     async def main():
-        sock, client = pair()
-        task = await spawn(made._serve_client, sock, None)
+        sock, client = make_socket_pair()
+        task = await spawn(opened._serve_client, sock, None)
         await sleep(0)
-        made.close()
+        opened.close()
         await task.join()
         return client
 
     client = run(main)
     assert client.recv(100) == b""
-    assert not made.is_busy
+    assert not opened.is_busy
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""How the load of planned stops counts what became of requests."""
+"""Classification of requests by the load generator for planned stops."""
 
 import socket
 
@@ -56,21 +56,21 @@
         (attempt(101, 101, connected=False), None, Outcome.NOT_CONNECTED),
     ],
 )
-def test_outcomes(each, span, outcome):
+def test_outcome_of_an_attempt(each, span, outcome):
     assert tally(each, span).outcome(each) is outcome
 
 
 @pytest.mark.parametrize(
     ("sent_at", "ended_at", "run_until", "outcome"),
     [
-        # A target is at work until the connection ends, or its run does.
+        # A run is over when its connection ends or the target finishes.
         (102.9, 105.1, 105.9, Outcome.EXCUSED),
         (102.9, 104.9, 105.9, Outcome.GIVEN_UP),
         (102.9, 105.1, 104.9, Outcome.GIVEN_UP),
         (103.1, 105.1, 105.9, Outcome.GIVEN_UP),
     ],
 )
-def test_only_early_requests_may_be_given_up_in_the_last_sixth(
+def test_only_early_requests_are_excused_at_the_end_of_the_grace_period(
     sent_at, ended_at, run_until, outcome
 ):
     each = attempt(sent_at, ended_at, 502)
@@ -91,12 +91,12 @@
     assert tally(each, (101, 103.3), [kill]).outcome(each) is outcome
 
 
-def test_a_kill_excuses_what_was_not_answered():
+def test_a_kill_excuses_requests_without_a_response():
     each = attempt(101, 103)
     assert tally(each, kills=[102.0]).outcome(each) is Outcome.KILLED
 
 
-def test_request_passed_on_to_a_vm_that_stops_counts():
+def test_request_forwarded_to_a_stopping_vm_is_counted():
     each = attempt(102.9, 105.1, 502, vm="vm-2")
     counted = tally(each, (102.9, 105.9))
     assert counted.stop_of(each) is None
@@ -104,13 +104,13 @@
 
 
 @pytest.mark.parametrize(("kind", "doubled"), [(ONCE, 1), (UPLOAD, 1), (SAFE, 0)])
-def test_second_run_of_a_once_only_request_is_found(kind, doubled):
+def test_second_run_of_an_at_most_once_request_is_found(kind, doubled):
     each = attempt(101, 103, 200, kind=kind, signed=True)
     runs = collect_runs([["a1", 101, 102], ["a1", 101, 102]])
     assert len(Tally([each], runs, [stop()], [], GRACE).doubled()) == doubled
 
 
-def test_answer_to_another_request_is_found():
+def test_response_to_another_request_is_found():
     mixed = attempt(101, 103, 200, signed=True, answer_to="a2")
     own = attempt(101, 103, 200, signed=True, answer_to="a1")
     assert tally(mixed).mixed() == [mixed]
@@ -118,12 +118,12 @@
 
 
 @pytest.mark.parametrize(("sent_at", "count"), [(102.9, 0), (103.1, 1)])
-def test_requests_taken_late_are_counted(sent_at, count):
+def test_requests_accepted_late_are_counted(sent_at, count):
     each = attempt(sent_at, 104.5, 200, signed=True)
     assert len(tally(each, (sent_at, 104.4)).taken_late()) == count
 
 
-def test_worst_window_is_not_thinned_by_quiet_ones():
+def test_worst_window_is_not_averaged_with_quiet_ones():
     refused = [attempt(101 + n / 20, 102 + n / 20, 503) for n in range(20)]
     served = [attempt(104 + n / 20, 105 + n / 20, 200, signed=True) for n in range(20)]
     counted = Tally([*refused, *served], {}, [stop()], [], GRACE)
@@ -131,7 +131,7 @@
     assert counted.worst_share() == 1.0
 
 
-def test_connections_of_the_next_process_are_not_of_the_stop():
+def test_connections_of_the_next_process_are_not_counted():
     old, new = Opened("vm-1", 90.0), Opened("vm-1", 107.5)
     old.closed_at, new.closed_at = 105.3, 120.0
     assert last_closed([old, new], [stop()]) == pytest.approx(5.3)
@@ -151,11 +151,11 @@
         (SAFE, attempt(1, 2, 200), False),
     ],
 )
-def test_clients_repeat_only_what_they_may(kind, last, repeats):
+def test_clients_retry_only_what_is_safe_or_did_not_run(kind, last, repeats):
     assert may_repeat(kind, last) is repeats
 
 
-def test_refusals_are_counted_by_reason_without_the_moment():
+def test_refusals_are_counted_by_reason_without_details():
     lines = [
         {"name": "request_refused", "reason": "no room (here 2 targets)"},
         {"name": "request_refused", "reason": "no room (here 0 targets)"},
@@ -170,22 +170,22 @@
     }
 
 
-def test_answers_that_come_together_go_to_requests_in_order():
-    answers = (
+def test_pipelined_responses_are_matched_in_order():
+    responses = (
         b"HTTP/1.1 503 X\r\nretry-after: 0.2\r\ncontent-length: 1\r\n\r\nx"
         b"HTTP/1.1 200 X\r\nresponse-signature: s\r\nconnection: close\r\n"
         b"content-length: 0\r\n\r\n"
     )
 
     async def main():
-        mine, vm = socket.socketpair()
+        client_socket, vm = socket.socketpair()
         clock = SystemClock()
-        connection = ClientConnection(Socket(mine), Opened("vm-1", 0.0), clock)
+        connection = ClientConnection(Socket(client_socket), Opened("vm-1", 0.0), clock)
         now = clock.now()
         sent = [Attempt(n, "vm-1", SAFE, now + 8, now + 4, now) for n in "abc"]
         for each in sent:
             await connection.send(each, "/safe/k1", "k1")
-        vm.sendall(answers)
+        vm.sendall(responses)
         for _ in range(2):
             await connection.read_answer()
         connection.give_up()
--- a/tests/test_subnets.py
+++ b/tests/test_subnets.py
@@ -1,8 +1,6 @@
-"""Fleets of tests that run at the same time keep apart on the loopback addresses.
+"""Fleets of tests that run at the same time must not share loopback addresses.
 
-Once in a run of all tests the VMs of a fleet did not find each other in 20 s. The fleet
-of another worker had the same IP numbers: two modules had subnets 25 apart, and workers
-shift theirs by 25.
+Each worker shifts its subnets by ``WORKER_STEP``.
 """
 
 import re
@@ -14,7 +12,7 @@
 SUBNET = re.compile(r"subnet=(\d+)|SUBNET = (\d+)")
 
 
-def test_no_two_modules_can_meet_on_one_subnet():
+def test_no_two_modules_share_a_subnet():
     used = Counter()
     for path in Path(__file__).parent.glob("*.py"):
         numbers = {int(a or b) for a, b in SUBNET.findall(path.read_text())}
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -31,33 +31,33 @@
 from heathercleat.steering.process.store.protocol import StoreRow
 from tests.fakes import ManualClock
 
-LIVES = [f"i-{number}" for number in range(5)]
+INCARNATIONS = [f"i-{number}" for number in range(5)]
 
 
-def made(clock=None):
+def make_suspects(clock=None):
     return Suspects(Journal("vm-1", "north-a"), clock or ManualClock())
 
 
-def end(suspects, count, fingerprint="f"):
-    for life in LIVES[:count]:
-        suspects.record_crash(fingerprint, life)
+def record_crashes(suspects, count, fingerprint="f"):
+    for incarnation_id in INCARNATIONS[:count]:
+        suspects.record_crash(fingerprint, incarnation_id)
 
 
 def tell(sender, receiver):
-    for news in list(sender.updates()):
-        receiver.merge(SuspectUpdate.of(news.fields()))
+    for update in list(sender.updates()):
+        receiver.merge(SuspectUpdate.of(update.fields()))
 
 
 @pytest.mark.parametrize(("ends", "refused"), [(0, False), (2, False), (3, True)])
-def test_third_end_quarantines_a_request(ends, refused):
-    suspects = made()
-    end(suspects, ends)
+def test_third_crash_quarantines_a_request(ends, refused):
+    suspects = make_suspects()
+    record_crashes(suspects, ends)
     assert (suspects.refused_until("f") is not None) is refused
     assert suspects.refused_until("another") is None
 
 
-def test_one_end_counts_once_however_often_it_is_told():
-    suspects, other = made(), made()
+def test_crash_counts_once_however_often_it_is_gossiped():
+    suspects, other = make_suspects(), make_suspects()
     for _ in range(5):
         suspects.record_crash("f", "i-1")
         tell(suspects, other)
@@ -66,18 +66,18 @@
     assert other.refused_until("f") is None
 
 
-def test_ends_seen_by_three_vms_are_united():
-    vms = [made() for _ in range(3)]
-    for vm, life in zip(vms, LIVES, strict=False):
-        vm.record_crash("f", life)
+def test_crashes_seen_by_three_vms_are_merged():
+    vms = [make_suspects() for _ in range(3)]
+    for vm, incarnation_id in zip(vms, INCARNATIONS, strict=False):
+        vm.record_crash("f", incarnation_id)
     for vm in vms[1:]:
         tell(vm, vms[0])
     assert vms[0].refused_until("f") is not None
 
 
-def test_whole_answer_clears_a_request_everywhere():
-    one, other = made(), made()
-    end(one, 3)
+def test_complete_response_clears_a_request_everywhere():
+    one, other = make_suspects(), make_suspects()
+    record_crashes(one, 3)
     tell(one, other)
     other.record_response("f")
     tell(other, one)
@@ -86,35 +86,35 @@
 
 
 @pytest.mark.parametrize("told", [False, True])
-def test_ends_soon_after_a_whole_answer_are_not_laid_to_the_request(told):
-    """As with a popular request, under way at many targets that end by a fault."""
+def test_crashes_soon_after_a_complete_response_are_not_counted(told):
+    """A popular request can be in progress at targets that crash for another reason."""
     clock = ManualClock()
-    suspects, other = made(clock), made(clock)
+    suspects, other = make_suspects(clock), make_suspects(clock)
     suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS / 2
-    end(other if told else suspects, CRASHES_TO_QUARANTINE)
+    record_crashes(other if told else suspects, CRASHES_TO_QUARANTINE)
     tell(other, suspects)
     assert suspects.refused_until("f") is None
     tell(suspects, other)
     assert other.refused_until("f") is None
 
 
-def test_old_answer_does_not_speak_for_a_request():
+def test_old_response_does_not_exempt_a_request():
     clock = ManualClock()
-    suspects = made(clock)
+    suspects = make_suspects(clock)
     suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS + 0.1
-    end(suspects, CRASHES_TO_QUARANTINE)
+    record_crashes(suspects, CRASHES_TO_QUARANTINE)
     assert suspects.refused_until("f") is not None
 
 
 @pytest.mark.parametrize(
     ("ends", "seconds"), [(2, SUSPICION_SECONDS), (3, QUARANTINE_SECONDS)]
 )
-def test_suspicion_and_quarantine_have_an_end(ends, seconds):
+def test_suspicion_and_quarantine_expire(ends, seconds):
     clock = ManualClock()
-    suspects = made(clock)
-    end(suspects, ends)
+    suspects = make_suspects(clock)
+    record_crashes(suspects, ends)
     clock.time += seconds - 0.1
     suspects.expire()
     assert suspects.count == 1
@@ -125,70 +125,70 @@
     assert suspects.refused_until("f") is None
 
 
-def test_vms_do_not_keep_a_suspect_alive_by_telling_each_other():
+def test_gossip_does_not_keep_a_suspect_alive():
     clock = ManualClock()
-    one, other = made(clock), made(clock)
-    end(one, 2)
-    over = clock.time + SUSPICION_SECONDS + 2 * MIN_REMAINING_SECONDS
-    while clock.time < over:
-        # News is on its way for a while.
+    one, other = make_suspects(clock), make_suspects(clock)
+    record_crashes(one, 2)
+    expires_at = clock.time + SUSPICION_SECONDS + 2 * MIN_REMAINING_SECONDS
+    while clock.time < expires_at:
+        # Updates are delayed in transit.
         told = list(one.updates()), list(other.updates())
         clock.time += 0.4
-        for receiver, news in zip((other, one), told, strict=True):
-            for each in news:
+        for receiver, received in zip((other, one), told, strict=True):
+            for each in received:
                 receiver.merge(each)
         one.expire()
         other.expire()
     assert (one.count, other.count) == (0, 0)
 
 
-def test_request_under_which_two_targets_ended_is_left_to_its_caller():
-    suspects = made()
-    end(suspects, 1)
+def test_request_under_which_two_targets_crashed_is_not_retried():
+    suspects = make_suspects()
+    record_crashes(suspects, 1)
     assert suspects.may_retry("f")
-    end(suspects, 2)
+    record_crashes(suspects, 2)
     assert not suspects.may_retry("f")
 
 
-def test_memory_is_bounded_and_the_oldest_goes_first():
-    suspects = made()
+def test_number_of_suspects_is_bounded_and_the_oldest_is_evicted():
+    suspects = make_suspects()
     for number in range(MAX_SUSPECTS + 5):
         suspects.record_crash(f"f{number}", "i-1")
     assert suspects.count == MAX_SUSPECTS
     assert "f0" not in {each.fingerprint for each in suspects.all()}
 
 
-def test_heartbeat_tells_a_bounded_number_of_ends():
-    suspects = made()
+def test_heartbeat_has_a_bounded_number_of_crashes():
+    suspects = make_suspects()
     for number in range(200):
-        end(suspects, 5, f"f{number}")
+        record_crashes(suspects, 5, f"f{number}")
     told = list(suspects.updates())
-    assert 0 < sum(len(news.ends) for news in told) <= MAX_CRASHES_PER_HEARTBEAT
+    assert 0 < sum(len(update.ends) for update in told) <= MAX_CRASHES_PER_HEARTBEAT
 
 
-def test_own_third_end_is_reported_once_and_a_told_one_is_not():
-    caught = []
-    one, other = made(), made()
-    one.on_quarantine(caught.append)
-    other.on_quarantine(caught.append)
-    end(one, 5)
+def test_own_third_crash_is_reported_once_and_a_received_one_is_not():
+    reported = []
+    one, other = make_suspects(), make_suspects()
+    one.on_quarantine(reported.append)
+    other.on_quarantine(reported.append)
+    record_crashes(one, 5)
     tell(one, other)
-    assert [each.fingerprint for each in caught] == ["f"]
+    assert [each.fingerprint for each in reported] == ["f"]
 
 
-def test_quarantine_by_ends_of_several_vms_is_reported_by_each():
-    """None wrote its row where no VM saw the third end beside the others."""
-    caught = []
-    one, other, third = made(), made(), made()
+def test_quarantine_by_crashes_at_several_vms_is_reported_by_each():
+    """Each VM must report it, since no VM sees all the crashes itself."""
+    reported = []
+    one, other, third = make_suspects(), make_suspects(), make_suspects()
     for each in (one, other, third):
-        each.on_quarantine(caught.append)
+        each.on_quarantine(reported.append)
     one.record_crash("f", "i-1", "two", "s1")
     other.record_crash("f", "i-2", "two", "s1")
     other.record_crash("f", "i-3", "two", "s1")
     tell(one, other)
     tell(other, one)
     tell(other, third)
-    assert [(each.route, each.service) for each in caught] == [("two", "s1")] * 2
+    assert [(each.route, each.service) for each in reported] == [("two", "s1")] * 2
 
 
 @pytest.mark.parametrize(
@@ -205,27 +205,27 @@
         ["f", 1.0, ["i-1"] * (MAX_CRASHES + 1), []],
     ],
 )
-def test_news_of_another_form_is_an_error(fields):
+def test_malformed_update_is_an_error(fields):
     with pytest.raises(ValueError):
         SuspectUpdate.of(fields)
 
 
-def test_told_time_is_bounded():
+def test_received_time_is_bounded():
     clock = ManualClock()
-    suspects = made(clock)
-    suspects.merge(SuspectUpdate("f", float("inf"), LIVES[:3], []))
+    suspects = make_suspects(clock)
+    suspects.merge(SuspectUpdate("f", float("inf"), INCARNATIONS[:3], []))
     assert suspects.refused_until("f") == clock.now() + QUARANTINE_SECONDS
 
 
-def test_quarantine_is_the_same_after_its_way_through_the_store():
+def test_quarantine_survives_a_round_trip_through_the_store():
     clock = ManualClock()
-    suspects = made(clock)
-    end(suspects, 3)
+    suspects = make_suspects(clock)
+    record_crashes(suspects, 3)
     (suspect,) = suspects.all()
     row = StoreRow("f", encode_quarantine(suspect, clock), 1)
-    news = decode_quarantine(row, clock)
-    assert (news.fingerprint, news.ends) == ("f", LIVES[:3])
-    assert news.remaining == pytest.approx(QUARANTINE_SECONDS)
+    update = decode_quarantine(row, clock)
+    assert (update.fingerprint, update.ends) == ("f", INCARNATIONS[:3])
+    assert update.remaining == pytest.approx(QUARANTINE_SECONDS)
     clock.time += QUARANTINE_SECONDS + 2 * ROW_RETENTION_SECONDS
     assert decode_quarantine(row, clock) is None
 
@@ -244,7 +244,7 @@
         [1.0, ["i-1"], "one", "s1", "vm-1", "then"],
     ],
 )
-def test_row_of_another_writer_is_an_error(fields):
+def test_malformed_row_is_an_error(fields):
     row = StoreRow("f", msgpack.packb(fields), 1)
     with pytest.raises(ValueError):
         decode_quarantine(row, ManualClock())
@@ -253,56 +253,56 @@
 @given(st.binary(max_size=40))
 def test_any_bytes_in_a_row_are_an_error_or_a_quarantine(value):
     try:
-        news = decode_quarantine(StoreRow("f", value, 1), ManualClock())
+        update = decode_quarantine(StoreRow("f", value, 1), ManualClock())
     except ValueError:
         return
-    assert news is None or 0 <= news.remaining <= QUARANTINE_SECONDS
+    assert update is None or 0 <= update.remaining <= QUARANTINE_SECONDS
 
 
-class SpreadMachine(RuleBasedStateMachine):
-    """Several VMs that see ends and answers and tell each other, in any order."""
+class GossipMachine(RuleBasedStateMachine):
+    """Several VMs that see crashes and responses and send updates, in any order."""
 
     @initialize()
     def start(self):
         self.clock = ManualClock()
-        self.vms = [made(self.clock) for _ in range(3)]
+        self.vms = [make_suspects(self.clock) for _ in range(3)]
         self.seen = set()
-        self.answered = False
+        self.has_response = False
 
-    @rule(vm=st.integers(0, 2), life=st.sampled_from(LIVES))
-    def see_end(self, vm, life):
-        self.vms[vm].record_crash("f", life)
-        self.seen.add(life)
+    @rule(vm=st.integers(0, 2), incarnation_id=st.sampled_from(INCARNATIONS))
+    def see_crash(self, vm, incarnation_id):
+        self.vms[vm].record_crash("f", incarnation_id)
+        self.seen.add(incarnation_id)
 
     @rule(vm=st.integers(0, 2))
-    def answer(self, vm):
+    def respond(self, vm):
         self.vms[vm].record_response("f")
-        self.answered = True
+        self.has_response = True
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
-    def tell(self, sender, receiver):
+    def send_updates(self, sender, receiver):
         tell(self.vms[sender], self.vms[receiver])
 
     @rule(vm=st.integers(0, 2))
     def restart(self, vm):
-        """What only this VM knew is lost; the others tell the rest."""
+        """Restart a VM; crashes that only this VM knew are lost."""
         others = [each for each in self.vms if each is not self.vms[vm]]
-        known = {life for each in others for life in _lives(each)}
+        known = {incarnation_id for each in others for incarnation_id in _crashes(each)}
         self.seen &= known
-        self.vms[vm] = made(self.clock)
+        self.vms[vm] = make_suspects(self.clock)
 
     @rule(seconds=st.floats(0.1, 2 * EXEMPTION_SECONDS))
     def wait(self, seconds):
         self.clock.time += seconds
 
     @invariant()
-    def no_end_is_counted_twice(self):
+    def no_crash_is_counted_twice(self):
         for vm in self.vms:
-            assert len(_lives(vm)) == len(set(_lives(vm)))
-            assert set(_lives(vm)) <= self.seen
+            assert len(_crashes(vm)) == len(set(_crashes(vm)))
+            assert set(_crashes(vm)) <= self.seen
 
     def teardown(self):
-        """The cut heals: all tell all, and agree."""
+        """Check that all VMs agree after all have sent their updates to all."""
         if not hasattr(self, "vms"):
             return
         for _ in range(3):
@@ -312,33 +312,35 @@
         assert len({vm.digest for vm in self.vms}) == 1
         verdicts = {vm.refused_until("f") is None for vm in self.vms}
         assert len(verdicts) == 1
-        if len(self.seen) >= CRASHES_TO_QUARANTINE and not self.answered:
+        if len(self.seen) >= CRASHES_TO_QUARANTINE and not self.has_response:
             assert verdicts == {False}
 
 
-def _lives(suspects):
-    return [life for suspect in suspects.all() for life in suspect.ends]
+def _crashes(suspects):
+    return [
+        incarnation_id for suspect in suspects.all() for incarnation_id in suspect.ends
+    ]
 
 
-SpreadMachine.TestCase.settings = settings(
+GossipMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=25, deadline=None
 )
-TestSpreadMachine = SpreadMachine.TestCase
+TestGossipMachine = GossipMachine.TestCase
 
 
-def test_vms_that_know_other_ends_have_another_digest():
-    """Checksums of 1 and 2, and of 0 and 3, came to the same: neither told."""
-    one, other = made(), made()
-    for life in ("i-1", "i-2"):
-        one.record_crash("f", life)
-    for life in ("i-0", "i-3"):
-        other.record_crash("f", life)
+def test_vms_with_different_crashes_have_different_digests():
+    """With a linear checksum these digests are equal, so no update would be sent."""
+    one, other = make_suspects(), make_suspects()
+    for incarnation_id in ("i-1", "i-2"):
+        one.record_crash("f", incarnation_id)
+    for incarnation_id in ("i-0", "i-3"):
+        other.record_crash("f", incarnation_id)
     assert one.digest != other.digest
 
 
-def test_vms_that_know_other_ends_of_too_many_agree():
-    """Each kept those that it had learned first, and told the others for ever."""
-    one, other = made(), made()
+def test_vms_with_too_many_different_crashes_agree():
+    """Unless both keep the same crashes, they send updates forever."""
+    one, other = make_suspects(), make_suspects()
     for number in range(MAX_CRASHES):
         one.record_crash("f", f"i-{number}")
         other.record_crash("f", f"j-{number}")
@@ -349,11 +351,11 @@
     assert len(here.ends) == MAX_CRASHES
 
 
-def test_random_order_of_news_comes_to_the_same_digest():
+def test_digest_does_not_depend_on_the_order_of_updates():
     rng = random.Random(5)
-    vms = [made() for _ in range(4)]
+    vms = [make_suspects() for _ in range(4)]
     for number in range(40):
-        rng.choice(vms).record_crash(f"f{number % 7}", rng.choice(LIVES))
+        rng.choice(vms).record_crash(f"f{number % 7}", rng.choice(INCARNATIONS))
     for _ in range(60):
         tell(*rng.sample(vms, 2))
     for sender in vms:
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -1,4 +1,4 @@
-"""VMs that are suspended for seconds: their steady clock does not count that time."""
+"""VMs that resume after a suspension, which their monotonic clock does not count."""
 
 import signal
 import threading
@@ -26,10 +26,10 @@
 )
 
 SUSPENDED_SECONDS = [0.5, 2.0, 5.0]
-#: Seconds that a request may take beyond its deadline at a VM that has just woken: what
-#: its timer had left, and a way through two VMs.
 WAIT_MS = 1000
-LATE_SECONDS = 1.3
+#: Limit on the time from the resumption to the client's response: the rest of the
+#: request's timer, and a path through two VMs.
+MAX_DELAY_SECONDS = 1.3
 
 
 @pytest.fixture
@@ -51,25 +51,25 @@
     vm.process.send_signal(signal.SIGCONT)
 
 
-def names(fleet, vm, since):
+def event_names(fleet, vm, since):
     return [line["name"] for line in fleet.log(vm) if line["at"] >= since]
 
 
 @pytest.mark.parametrize("seconds", SUSPENDED_SECONDS)
-def test_woken_vm_takes_nobody_for_dead_and_serves(fleet, seconds):
+def test_resumed_vm_keeps_all_members_and_serves(fleet, seconds):
     vm = fleet.vms["north-a-1"]
     suspend(vm, seconds)
-    woken_at = time.time()
+    resumed_at = time.time()
     statuses = [
         fleet.send(vm, "GET", "/one/two/x", f"q{number}")[0] for number in range(20)
     ]
     time.sleep(1.0)
     assert set(statuses) == {200}
-    assert "member_dead" not in names(fleet, vm, woken_at)
+    assert "member_dead" not in event_names(fleet, vm, resumed_at)
     assert len(fleet.resolve(vm, "", "")) == len(fleet.vms)
 
 
-def test_woken_vm_refuses_what_was_quarantined_meanwhile(fleet):
+def test_resumed_vm_refuses_requests_quarantined_meanwhile(fleet):
     vm = fleet.vms["north-a-1"]
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
     vm.process.send_signal(signal.SIGSTOP)
@@ -84,7 +84,7 @@
     assert len(fleet.ends()) == 3
 
 
-def test_request_whose_deadline_passed_in_the_sleep_ends_soon_after(fleet):
+def test_request_whose_deadline_passed_in_a_suspension_ends_soon_after(fleet):
     vm = fleet.vms["north-a-1"]
     for each in TARGETS:
         fleet.switch_target(each, work_s=30.0)
@@ -100,12 +100,12 @@
     client.start()
     time.sleep(0.3)
     suspend(vm, 3.0)
-    woken_at = time.monotonic()
+    resumed_at = time.monotonic()
     client.join()
-    assert ended_at[0] - woken_at <= LATE_SECONDS
+    assert ended_at[0] - resumed_at <= MAX_DELAY_SECONDS
 
 
-def test_held_clock_leaves_out_the_time_of_a_stop():
+def test_held_clock_excludes_suspensions():
     now = [100.0]
     clock = HeldClock(lambda: now[0])
     now[0] += LONGEST_STEP / 2
@@ -115,20 +115,20 @@
 
 
 class SlowPool:
-    """A pool in which connecting takes longer than the request's deadline."""
+    """A pool in which connecting takes ``seconds`` and then times out."""
 
     def __init__(self, clock, seconds):
         self._clock = clock
         self._seconds = seconds
-        self.asked = 0
+        self.checkout_count = 0
 
     async def checkout(self, host, port, max_age=None):
-        self.asked += 1
+        self.checkout_count += 1
         self._clock.time += self._seconds
         raise TimeoutError("the deadline has passed")
 
 
-def local_try(parts, pool):
+def make_dispatcher(parts, pool):
     return LocalDispatcher(
         Admission(parts.ledger, parts.members.region_of, parts.clock),
         parts.ledger,
@@ -144,10 +144,10 @@
 
 
 def test_request_whose_deadline_passed_while_it_waited_is_not_sent():
-    """The VM slept: its target had a rest for that, as if it did not answer."""
+    """A target must not be ejected for a deadline that passed in a suspension."""
     parts = Parts([entry("t1", slots=1)])
     pool = SlowPool(parts.clock, 0.0)
-    local = local_try(parts, pool)
+    local = make_dispatcher(parts, pool)
     (target,) = parts.ledger.all()
     request = call(parts.clock)
     request.give_up_at = request.deadline
@@ -162,21 +162,21 @@
 
     result = run(main)
     assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE)
-    assert pool.asked == 0
+    assert pool.checkout_count == 0
     assert target.limit(parts.clock.now()) == 1
 
 
 @pytest.mark.parametrize(
-    ("left", "rests"),
+    ("left", "is_ejected"),
     [(CONNECT_TIMEOUT_SECONDS / 2, False), (2 * CONNECT_TIMEOUT_SECONDS, True)],
 )
-def test_target_rests_only_if_it_had_its_time_to_accept(left, rests):
+def test_target_is_ejected_only_after_the_whole_connect_timeout(left, is_ejected):
     parts = Parts([entry("t1", slots=1)])
     pool = SlowPool(parts.clock, CONNECT_TIMEOUT_SECONDS)
-    local = local_try(parts, pool)
+    local = make_dispatcher(parts, pool)
     (target,) = parts.ledger.all()
     request = call(parts.clock)
     request.deadline = parts.clock.now() + left
     result = run(local.run, request, (), (), request.deadline)
     assert result.outcome is AttemptOutcome.NOT_SENT
-    assert (target.limit(parts.clock.now()) == 0) is rests
+    assert (target.limit(parts.clock.now()) == 0) is is_ejected
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -14,8 +14,8 @@
 from heathercleat.request.ticket import Ticket
 from tests.fakes import FakePlatform, FakeVm, ManualClock
 
-OLD = 50.0
-NEW = 50.0 + BUCKET_SECONDS
+OLD_EXPIRY = 50.0
+NEW_EXPIRY = 50.0 + BUCKET_SECONDS
 
 
 class FakeDirectory:
@@ -41,9 +41,9 @@
 
 
 def claim(platform, expires_at, *keys):
-    """Claim keys of a ticket that expires at an instant."""
+    """Claim keys with a ticket that expires at ``expires_at``."""
 
-    async def act():
+    async def claim_keys():
         claims = ClaimTable(platform, "p1")
         worker = await spawn(claims.run, daemon=True)
         ticket = Ticket("ticket", "north-a-1", "p1", "rules", True, expires_at)
@@ -51,7 +51,7 @@
             await claims.claim(ticket, key)
         await worker.cancel()
 
-    run(act)
+    run(claim_keys)
 
 
 def claim_rows(platform):
@@ -59,14 +59,14 @@
 
 
 def test_rows_of_old_tickets_are_removed_and_others_stay(platform, clock, sweeper):
-    claim(platform, OLD, "k1", "k2")
-    claim(platform, NEW, "k3")
+    claim(platform, OLD_EXPIRY, "k1", "k2")
+    claim(platform, NEW_EXPIRY, "k3")
     clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     assert run(sweeper.sweep) == 2
     assert len(claim_rows(platform)) == 1
 
 
-def test_rows_stay_while_an_answer_may_need_them(platform, clock, sweeper):
+def test_rows_are_kept_until_the_retention_time_ends(platform, clock, sweeper):
     claim(platform, BUCKET_SECONDS - 1.0, "k1")
     clock.time = BUCKET_SECONDS + RETENTION_SECONDS - 1
     assert run(sweeper.sweep) == 0
@@ -74,7 +74,7 @@
 
 
 def test_many_rows_are_removed_in_batches(platform, clock, sweeper):
-    claim(platform, OLD, *map(str, range(2 * BATCH_ROWS + 5)))
+    claim(platform, OLD_EXPIRY, *map(str, range(2 * BATCH_ROWS + 5)))
     clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     before = platform.transactions
     assert run(sweeper.sweep) == 2 * BATCH_ROWS + 5
@@ -88,8 +88,8 @@
     assert "config/head" in platform.rows
 
 
-def test_sweep_that_fails_goes_on_the_next_time(platform, clock, sweeper):
-    claim(platform, OLD, "k1")
+def test_failed_sweep_is_repeated_the_next_time(platform, clock, sweeper):
+    claim(platform, OLD_EXPIRY, "k1")
     clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     platform.down = True
     with pytest.raises(PlatformError):
@@ -99,9 +99,9 @@
     assert sweeper._vm.journal.events[-1] == (Event.CLAIMS_SWEPT, {"rows": 1})
 
 
-def test_reply_lost_after_a_removal_does_no_harm(platform, clock, sweeper):
-    claim(platform, OLD, "k1")
-    claim(platform, NEW, "k2")
+def test_lost_reply_to_a_removal_is_harmless(platform, clock, sweeper):
+    claim(platform, OLD_EXPIRY, "k1")
+    claim(platform, NEW_EXPIRY, "k2")
     clock.time = BUCKET_SECONDS + RETENTION_SECONDS
     platform.fail_after = 1
     with pytest.raises(PlatformError):
--- a/tests/test_table_store.py
+++ b/tests/test_table_store.py
@@ -14,11 +14,11 @@
 from standins.fleet import SUBNET_VARIABLE, Processes, call, wait_for
 
 SUBNET = 34
-TIMEOUT = 0.5
+TIMEOUT_SECONDS = 0.5
 
 
 class Store:
-    """The stand-in, and a client of it."""
+    """The stand-in process of the table store, and a client of it."""
 
     def __init__(self, processes):
         subnet = SUBNET + int(os.environ.get(SUBNET_VARIABLE, 0))
@@ -26,7 +26,7 @@
         command = [sys.executable, "-m", "standins.table_store"]
         processes.start("store", [*command, self.address.host, str(self.address.port)])
         wait_for(self._answers)
-        self.client = TableStoreClient(self.address, SystemClock(), TIMEOUT)
+        self.client = TableStoreClient(self.address, SystemClock(), TIMEOUT_SECONDS)
 
     def _answers(self):
         try:
@@ -54,7 +54,7 @@
         processes.stop()
 
 
-def play(coroutine_function, *args):
+def run_client(coroutine_function, *args):
     return run(coroutine_function, *args)
 
 
@@ -63,68 +63,68 @@
 
 
 def test_rows_are_read_and_written(store):
-    play(store.client.write, "mine", "a", b"1")
+    run_client(store.client.write, "mine", "a", b"1")
     store.put("op", "config", {})
-    snapshot = play(store.client.read, "mine")
+    snapshot = run_client(store.client.read, "mine")
     assert [(row.key, row.value) for row in snapshot.rows] == [("a", b"1")]
-    play(store.client.write, "mine", "a", None)
-    assert keys(play(store.client.read, "mine")) == []
+    run_client(store.client.write, "mine", "a", None)
+    assert keys(run_client(store.client.read, "mine")) == []
 
 
-def test_tables_of_many_pages_are_read_whole(store):
+def test_tables_of_many_pages_are_read_completely(store):
     wanted = [f"k{number:04}" for number in range(PAGE_ROWS + 20)]
     for key in wanted:
         store.put("servers", key, {})
-    assert keys(play(store.client.read, "servers")) == wanted
+    assert keys(run_client(store.client.read, "servers")) == wanted
 
 
-def test_row_that_is_removed_between_two_pages_is_told_as_a_change(store):
+def test_row_removed_between_two_pages_is_reported_as_a_change(store):
     for number in range(PAGE_ROWS + 1):
         store.put("servers", f"k{number:04}", {})
     store.switch(slow_s=0.5)
     client = TableStoreClient(store.address, SystemClock(), 10.0)
     removal = Timer(0.75, store.put, ("servers", "k0000", None))
     removal.start()
-    snapshot = play(client.read, "servers")
+    snapshot = run_client(client.read, "servers")
     removal.join()
-    changes = play(client.follow, "servers", snapshot.version, 0.0)
+    changes = run_client(client.follow, "servers", snapshot.version, 0.0)
     assert "k0000" in keys(snapshot), "removed too early to tell anything"
     assert [(row.key, row.value) for row in changes.rows] == [("k0000", None)]
 
 
-def test_changes_since_a_version_are_told(store):
+def test_changes_since_a_version_are_returned(store):
     store.put("op", "a", {})
-    version = play(store.client.read, "op").version
+    version = run_client(store.client.read, "op").version
     store.put("op", "b", {})
     store.put("op", "a", None)
-    changes = play(store.client.follow, "op", version, 0.0)
+    changes = run_client(store.client.follow, "op", version, 0.0)
     assert [(row.key, row.value) for row in changes.rows] == [("b", b"{}"), ("a", None)]
 
 
-def test_history_that_is_gone_is_an_error_of_its_own(store):
+def test_lost_history_raises_its_own_error(store):
     store.switch(history=1)
     for number in range(3):
         store.put("op", f"k{number}", {})
     with pytest.raises(HistoryLostError):
-        play(store.client.follow, "op", 1, 0.0)
+        run_client(store.client.follow, "op", 1, 0.0)
 
 
 @pytest.mark.parametrize("down", ["busy", "silent", "reset"])
-def test_store_that_is_away_is_an_error_in_time(store, down):
+def test_unavailable_store_raises_within_the_timeout(store, down):
     store.switch(down=down)
     with pytest.raises(PlatformError):
-        play(store.client.read, "op")
+        run_client(store.client.read, "op")
     store.switch(down=None)
-    assert keys(play(store.client.read, "op")) == []
+    assert keys(run_client(store.client.read, "op")) == []
 
 
-def test_write_whose_reply_is_lost_may_have_been_done(store):
+def test_write_with_a_lost_reply_may_have_been_applied(store):
     store.switch(lose_replies=1)
     with pytest.raises(PlatformError):
-        play(store.client.write, "mine", "a", b"1")
-    assert keys(play(store.client.read, "mine")) == ["a"]
+        run_client(store.client.write, "mine", "a", b"1")
+    assert keys(run_client(store.client.read, "mine")) == ["a"]
 
 
 def test_operators_table_cannot_be_written(store):
     with pytest.raises(PlatformError, match="403"):
-        play(store.client.write, "op", "config", b"{}")
+        run_client(store.client.write, "op", "config", b"{}")
--- a/tests/test_target_departures.py
+++ b/tests/test_target_departures.py
@@ -1,16 +1,6 @@
-"""Targets that leave while some VMs find their way back to the store.
+"""Targets whose entry is removed soon after a VM or all VMs regain the store.
 
-Users saw requests reach targets more than two seconds after these had said that they
-leave. The order of events: the store turns one VM away and serves the others; it
-answers that VM again; a target's entry is removed. Every other VM stops using the
-target within a second. The VM that was away takes the removal for a consequence of an
-outage, goes on using the target for 2.2 s, and looks at it again only when another
-target changes.
-
-The evidence, from the logs of a day played with 12 VMs: the store answered the VM again
-at 8.27 s, the entry was removed at 8.64 s, eleven VMs noted it by 9.44 s; the twelfth
-noted at 9.27 s that it keeps the target for 1.19 s, and kept it until 11.51 s, when the
-next change of a target reached it.
+Only an outage for all VMs may keep a target in use without an entry, for a short time.
 """
 
 import time
@@ -31,17 +21,17 @@
     "west-a": "west",
 }
 VMS = {domain: f"{domain}-1" for domain in DOMAINS}
-#: Of the three VMs of the north the one that is picked to read the store.
-RETURNING = rank_by_weight("reader", [VMS[each] for each in VMS if each[0] == "n"])[0]
+#: The VM that reads the store for the region ``north``.
+READER = rank_by_weight("reader", [VMS[each] for each in VMS if each[0] == "n"])[0]
 TARGETS = {
     f"i-{domain}": ("s1", domain, 4) for domain in ("north-a", "north-b", "north-c")
 }
-#: Seconds after its leaving was accepted in which requests may still reach a target.
-DRAIN = 2.0
-AWAY_SECONDS = 3.0
-#: Seconds from the deadline of a lapse until the last request has reached the target:
-#: the time between two looks at deadlines, and a way through two VMs.
-SENT_SECONDS = 0.5
+#: Time after the removal of its entry in which requests may still reach a target.
+DRAIN_SECONDS = 2.0
+OUTAGE_SECONDS = 3.0
+#: Limit on the time from the end of a lapse to the last request at the target: the
+#: interval of the check for expired lapses, and a path through two VMs.
+MAX_DELAY_SECONDS = 0.5
 SEND_SECONDS = 5.0
 
 
@@ -53,8 +43,8 @@
         yield started
 
 
-def store_returned(fleet, vm):
-    """Return whether a VM has noted that the store answers it again."""
+def has_store_returned(fleet, vm):
+    """Return whether a VM has logged that it can read the target table again."""
     return any(
         line.get("name") == "store_returned" and line["table"] == "servers"
         for line in fleet.log(vm)
@@ -62,7 +52,7 @@
 
 
 def send_until(fleet, vm, end):
-    """Send requests through a VM until an instant; yield each id and its instant."""
+    """Send requests through a VM until ``end``; yield each id and its send time."""
     number = 0
     while (now := time.monotonic()) < end:
         number += 1
@@ -70,32 +60,38 @@
         yield f"q{number}", now
 
 
-def test_vm_that_the_store_had_turned_away_stops_using_a_target_that_leaves(fleet):
-    vm = fleet.vms[RETURNING]
+def test_vm_accepted_again_by_the_store_stops_using_a_removed_target(fleet):
+    vm = fleet.vms[READER]
     leaving = f"i-{vm.domain}"
     fleet.switch_store(refused=[vm.host])
-    time.sleep(AWAY_SECONDS)
+    time.sleep(OUTAGE_SECONDS)
     fleet.switch_store(refused=[])
-    wait_for(lambda: store_returned(fleet, vm))
+    wait_for(lambda: has_store_returned(fleet, vm))
     left_at = time.monotonic()
     fleet.put("servers", leaving, None)
     sent = dict(send_until(fleet, vm, left_at + SEND_SECONDS))
     ran = {run[0] for run in fleet.record(leaving)["runs"]}
-    late = [each for each in ran if sent[each] > left_at + DRAIN]
+    late = [each for each in ran if sent[each] > left_at + DRAIN_SECONDS]
     assert ran, "the target served nothing before it left"
     assert late == []
 
 
-def test_target_without_an_entry_after_an_outage_for_all_is_used_while_it_may_return(
+def test_target_removed_in_a_total_outage_is_used_until_its_lapse_ends(
     fleet,
 ):
-    vm = fleet.vms[RETURNING]
+    vm = fleet.vms[READER]
     lapsing = f"i-{vm.domain}"
     fleet.switch_store(down="busy")
-    time.sleep(AWAY_SECONDS)
+    time.sleep(OUTAGE_SECONDS)
     fleet.put("servers", lapsing, None)
     fleet.switch_store(down=None)
     returned_at = time.monotonic()
     sent = dict(send_until(fleet, vm, returned_at + SEND_SECONDS))
-    reached = [sent[run[0]] - returned_at for run in fleet.record(lapsing)["runs"]]
-    assert LAPSE_GRACE_SECONDS / 2 < max(reached) < LAPSE_GRACE_SECONDS + SENT_SECONDS
+    request_times = [
+        sent[run[0]] - returned_at for run in fleet.record(lapsing)["runs"]
+    ]
+    assert (
+        LAPSE_GRACE_SECONDS / 2
+        < max(request_times)
+        < LAPSE_GRACE_SECONDS + MAX_DELAY_SECONDS
+    )
--- a/tests/test_target_rows.py
+++ b/tests/test_target_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the targets' table: a target's own ones, and those of any other writer."""
+"""Rows of the target table, including invalid ones, are decoded or refused."""
 
 import json
 
@@ -20,7 +20,7 @@
 from tests.platform_samples import target
 
 FIELDS = sorted(target())
-FOREIGN = [
+INVALID_FIELDS = [
     ("slots", "4"),
     ("slots", -1),
     ("slots", 0),
@@ -60,7 +60,7 @@
     ("version", None),
     ("version", 1),
 ]
-RAW = [
+INVALID_ROWS = [
     b"",
     b"null",
     b"[]",
@@ -73,7 +73,7 @@
     json.dumps(target(slots=float("inf"))).encode(),
     json.dumps(target(slots=float("nan"))).encode(),
 ]
-JSON = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3)
@@ -96,37 +96,37 @@
     assert entry.version == 7
 
 
-def test_start_of_a_target_is_decoded():
+def test_start_time_of_a_target_is_decoded():
     assert decode_target(row(target(born=1796260349795))).started_ms == 1796260349795
 
 
 @pytest.mark.parametrize("field", FIELDS)
-def test_row_without_a_field_names_no_target(field):
+def test_row_without_a_field_is_refused(field):
     document = target()
     del document[field]
     with pytest.raises(ValueError, match=field):
         decode_target(row(document))
 
 
-@pytest.mark.parametrize(("field", "value"), FOREIGN)
-def test_row_with_a_foreign_field_names_no_target(field, value):
+@pytest.mark.parametrize(("field", "value"), INVALID_FIELDS)
+def test_row_with_an_invalid_field_is_refused(field, value):
     with pytest.raises(ValueError):
         decode_target(row(target(**{field: value})))
 
 
-@pytest.mark.parametrize("value", RAW, ids=range(len(RAW)))
-def test_bytes_that_are_no_entry_name_no_target(value):
+@pytest.mark.parametrize("value", INVALID_ROWS, ids=range(len(INVALID_ROWS)))
+def test_bytes_that_are_no_entry_are_refused(value):
     with pytest.raises(ValueError):
         decode_target(StoreRow("i-1", value, 7))
 
 
 @pytest.mark.parametrize("key", ["", "a b", "i-1\r\nx: y", "\x00", "i-\u00e9"])
-def test_key_that_fits_no_header_names_no_target(key):
+def test_key_that_is_invalid_in_a_header_is_refused(key):
     with pytest.raises(ValueError):
         decode_target(row(target(), key))
 
 
-@given(st.sampled_from(FIELDS), JSON)
+@given(st.sampled_from(FIELDS), JSON_VALUES)
 def test_any_field_is_decoded_or_refused(field, value):
     document = target(**{field: value})
     try:
@@ -166,8 +166,8 @@
         decode_member(StoreRow("vm-9", encode_member(*fields), 1))
 
 
-class Lines:
-    """A logger that keeps what it is given."""
+class RecordingLogger:
+    """A logger that records the fields of its lines."""
 
     def __init__(self):
         self.fields = []
@@ -179,13 +179,13 @@
         self.fields.append(extra["fields"])
 
 
-def test_writer_that_repeats_itself_does_not_fill_the_log():
-    lines, clock = Lines(), ManualClock()
-    rejections = RejectedRowLog(Journal("vm-1", "north-a", lines), clock)
+def test_log_of_rejected_rows_is_rate_limited():
+    logger, clock = RecordingLogger(), ManualClock()
+    rejections = RejectedRowLog(Journal("vm-1", "north-a", logger), clock)
     for number in range(10 * MAX_LINES_PER_WINDOW):
         rejections.note(f"i-{number}", HeathercleatError)
-    assert len(lines.fields) == MAX_LINES_PER_WINDOW
+    assert len(logger.fields) == MAX_LINES_PER_WINDOW
     clock.time += WINDOW_SECONDS
     rejections.note("i-1" * 1000, ValueError("x" * 1000))
-    assert lines.fields[-1]["left_out"] == 9 * MAX_LINES_PER_WINDOW
-    assert len(lines.fields[-1]["key"]) + len(lines.fields[-1]["reason"]) < 500
+    assert logger.fields[-1]["left_out"] == 9 * MAX_LINES_PER_WINDOW
+    assert len(logger.fields[-1]["key"]) + len(logger.fields[-1]["reason"]) < 500
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -19,7 +19,7 @@
 
 
 class Scene:
-    """One VM's view of its own targets and of one target in the south."""
+    """A VM's view of its own targets and of one target in the south."""
 
     def __init__(self, own=3):
         entries = [entry(f"t{number}", slots=4) for number in range(own)]
@@ -27,13 +27,13 @@
         self.parts.members.record_heartbeat(
             beat("vm-3", domain="south-a", region="south")
         )
-        self.rooms = CapacityReports(self.parts.clock)
+        self.reports = CapacityReports(self.parts.clock)
         self.view = TargetView(
             self.parts.members,
             self.parts.registry,
             self.parts.owners,
             self.parts.ledger,
-            self.rooms,
+            self.reports,
         )
 
     @property
@@ -44,9 +44,9 @@
         return self.view.regions("s1")[name]
 
     def report(self, free):
-        self.rooms.record_report("vm-3", [["far", free, 4, 0]], [], [])
+        self.reports.record_report("vm-3", [["far", free, 4, 0]], [], [])
 
-    def take_all(self):
+    def claim_all(self):
         for target in self.parts.ledger.all():
             while target.free(self.now):
                 target.claim(self.now)
@@ -70,7 +70,7 @@
     assert Scene().view.regions("other") == {}
 
 
-def test_room_of_another_owner_follows_its_reports():
+def test_capacity_of_another_owner_follows_its_reports():
     scene = Scene()
     (far,) = scene.region("south").candidates
     assert far.capacity.free(scene.now) == 0
@@ -80,7 +80,7 @@
     assert far.capacity.free(scene.now) == 0
 
 
-def test_requests_sent_count_until_the_next_report():
+def test_reservations_count_until_the_next_report():
     scene = Scene()
     (far,) = scene.region("south").candidates
     scene.report(1)
@@ -90,26 +90,26 @@
     assert far.capacity.free(scene.now) == 1
 
 
-def test_owner_without_room_counts_as_full():
+def test_full_owner_has_no_free_slots():
     scene = Scene()
     (far,) = scene.region("south").candidates
     scene.report(2)
-    scene.rooms.record_full("far", "vm-3", "s1", 0.4)
+    scene.reports.record_full("far", "vm-3", "s1", 0.4)
     assert far.capacity.free(scene.now) == 0
-    assert scene.rooms.wait_estimate("vm-3", "s1").on_time == 0.4
+    assert scene.reports.wait_estimate("vm-3", "s1").on_time == 0.4
 
 
-def test_reports_of_vms_that_are_gone_are_dropped():
+def test_reports_of_removed_vms_are_dropped():
     scene = Scene()
-    scene.rooms.record_report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
-    scene.rooms.retain({"vm-3"})
-    assert scene.rooms.wait_estimate("vm-3", "s1").on_time == 0.2
-    scene.rooms.retain({"vm-4"})
-    assert scene.rooms.wait_estimate("vm-3", "s1") is None
-    assert scene.rooms.loss_rate("vm-3", "s1") is None
+    scene.reports.record_report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
+    scene.reports.retain({"vm-3"})
+    assert scene.reports.wait_estimate("vm-3", "s1").on_time == 0.2
+    scene.reports.retain({"vm-4"})
+    assert scene.reports.wait_estimate("vm-3", "s1") is None
+    assert scene.reports.loss_rate("vm-3", "s1") is None
 
 
-def test_targets_of_owners_that_do_not_report_count_in_no_sum():
+def test_targets_of_owners_without_reports_add_no_slots():
     scene = Scene()
     summary = scene.region("south").summary(scene.now)
     assert (summary.targets, summary.healthy, summary.slots) == (1, 0, 0)
@@ -127,12 +127,12 @@
         scene.parts.registry.update([], ["far"])
         assert "south" not in scene.view.regions("s1")
     else:
-        gone = beat("vm-3", domain="south-a", region="south", serving=False)
-        scene.parts.members.record_heartbeat(gone)
+        leaving = beat("vm-3", domain="south-a", region="south", serving=False)
+        scene.parts.members.record_heartbeat(leaving)
         assert scene.region("south").owners == ["vm-1"]
 
 
-def test_summary_tells_free_and_idle_slots():
+def test_summary_has_free_and_idle_slots():
     scene = Scene()
     summary = scene.region("north").summary(scene.now)
     assert (summary.targets, summary.healthy, summary.slots, summary.free) == (
@@ -142,21 +142,21 @@
         12,
     )
     assert summary.idle
-    scene.take_all()
+    scene.claim_all()
     assert scene.region("north").summary(scene.now).free == 12
     scene.parts.clock.time += SUMMARY_TTL_SECONDS
     summary = scene.region("north").summary(scene.now)
     assert (summary.free, summary.idle) == (0, False)
 
 
-def test_home_of_an_object_stays_the_same():
+def test_affinity_target_of_an_object_is_stable():
     scene = Scene(own=20)
     first = ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now))
-    scene.take_all()
+    scene.claim_all()
     assert ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now)) == first
 
 
-def test_homes_of_objects_are_spread():
+def test_affinity_targets_of_objects_are_spread():
     region = Scene(own=8).region("north")
     affinity_targets = {
         ids(region.affinity_targets(f"/{each}", 1, ANY, 0.0))[0] for each in range(100)
@@ -164,23 +164,25 @@
     assert len(affinity_targets) == 8
 
 
-def test_next_target_is_home_while_the_first_ones_are_not_usable():
+def test_next_ranked_target_is_used_while_the_first_are_not_usable():
     region = Scene(own=MAX_RANKED_TARGETS + 3).region("north")
     order = []
     for _ in range(MAX_RANKED_TARGETS + 3):
-        (home,) = region.affinity_targets("/a", 1, lambda each: each not in order, 0.0)
-        order.append(home)
+        (affinity_target,) = region.affinity_targets(
+            "/a", 1, lambda each: each not in order, 0.0
+        )
+        order.append(affinity_target)
     assert len(set(ids(order))) == MAX_RANKED_TARGETS + 3
     assert region.affinity_targets("/a", 1, lambda each: each not in order, 0.0) == []
 
 
-def test_resting_target_is_no_home():
+def test_ejected_target_is_no_affinity_target():
     scene = Scene(own=2)
     region = scene.region("north")
-    (home,) = region.affinity_targets("/a", 1, ANY, scene.now)
-    home.capacity.health.ejected_until = scene.now + 5.0
+    (affinity_target,) = region.affinity_targets("/a", 1, ANY, scene.now)
+    affinity_target.capacity.health.ejected_until = scene.now + 5.0
     (other,) = region.affinity_targets("/a", 1, ANY, scene.now)
-    assert other is not home
+    assert other is not affinity_target
 
 
 def test_number_of_remembered_objects_is_bounded():
@@ -190,15 +192,15 @@
     assert len(region._ranked) == 1
 
 
-def test_losses_are_means_over_the_vms_of_a_region():
+def test_loss_rate_is_the_mean_over_the_vms_of_a_region():
     scene = Scene()
-    pressure = LossRates()
+    own_loss_rates = LossRates()
     losses = RegionLossRates(
-        scene.parts.members, scene.rooms, pressure, scene.parts.clock
+        scene.parts.members, scene.reports, own_loss_rates, scene.parts.clock
     )
     scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
-    scene.rooms.record_report("vm-3", [], [], [["s1", 0.2]])
-    scene.rooms.record_report("vm-4", [], [], [["s1", 0.6]])
+    scene.reports.record_report("vm-3", [], [], [["s1", 0.2]])
+    scene.reports.record_report("vm-4", [], [], [["s1", 0.6]])
     assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
     assert losses.loss_rate("north", "s1") == 0.0
     scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -54,34 +54,34 @@
     text = parse_text((EXAMPLES / name).read_text())
     assert len(text.services) == services
     assert len(text.failure_domains) == 6
-    every = [each for s in text.services.values() for each in s.targets.values()]
-    assert sum(target.slots for target in every) == slots
+    all_targets = [each for s in text.services.values() for each in s.targets.values()]
+    assert sum(target.slots for target in all_targets) == slots
 
 
-def test_all_findings_come_at_once_with_their_places():
+def test_all_findings_are_reported_with_line_and_column():
     source = '{ // comment\n "regions": {}, \n "services": 7, }'
     with pytest.raises(FindingsError) as caught:
         parse_text(source, "t.jsonc")
-    places = [(each.line, each.column) for each in caught.value.exceptions]
-    assert places == [(2, 2), (3, 2)]
+    positions = [(each.line, each.column) for each in caught.value.exceptions]
+    assert positions == [(2, 2), (3, 2)]
     assert "t.jsonc:2:2:" in caught.value.render()
 
 
-def test_a_name_that_stands_twice_is_refused():
+def test_duplicate_name_is_refused():
     with pytest.raises(FindingsError, match="t") as caught:
         parse_text('{"regions": {},\n "regions": {}}', "t")
     assert "stands twice" in str(caught.value.exceptions[0])
 
 
-def test_unknown_dependency():
+def test_unknown_dependency_is_refused():
     assert findings(make_text(depends_on=["ghost"])) == ['unknown dependency "ghost"']
 
 
-def test_dependency_cycle():
+def test_dependency_cycle_is_refused():
     assert "cycle" in findings(make_text(depends_on=["lookup"]))[0]
 
 
-def test_duplicate_address_and_zero_slots():
+def test_duplicate_address_and_zero_slots_are_refused():
     document = make_text()
     targets = document["services"]["lookup"]["targets"]
     targets["t2"].update(address="127.0.0.1:9000", slots=0)
@@ -90,7 +90,7 @@
     assert any("no slots" in message for message in messages)
 
 
-def test_cap_that_cannot_be_met():
+def test_invalid_shift_cap_is_refused():
     messages = findings(make_text(shift_cap={"slots": 99, "window_s": 0}))
     assert len(messages) == 2
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -31,13 +31,13 @@
     return str(path)
 
 
-def test_story_has_the_requests_lines_in_order_and_the_beliefs_before(log, capsys):
+def test_trace_has_the_requests_lines_in_order_and_related_earlier_events(log, capsys):
     main(["trace", "q1", log])
     names = [text.split()[3] for text in capsys.readouterr().out.splitlines()[:-1]]
     assert names == ["target_ejected", "route_retried", "request_refused"]
 
 
-def test_story_has_the_targets_that_ended_under_other_attempts(tmp_path, capsys):
+def test_trace_has_crashes_under_other_attempts(tmp_path, capsys):
     path = tmp_path / "vm.log"
     lines = [
         line(50.0, "target_ended", request="q1", target="i-1", fingerprint="f"),
@@ -52,20 +52,20 @@
     assert names == ["target_ended", "request_quarantined", "request_refused"]
 
 
-def test_story_as_json(log, capsys):
+def test_trace_as_json(log, capsys):
     main(["trace", "q1", log, "--json"])
-    told = [json.loads(text) for text in capsys.readouterr().out.splitlines()]
-    assert told[-1]["tries"] == ["vm-2 i-1 home not-sent - 0.03"]
+    printed = [json.loads(text) for text in capsys.readouterr().out.splitlines()]
+    assert printed[-1]["tries"] == ["vm-2 i-1 home not-sent - 0.03"]
 
 
-def test_unknown_request_tells_why_it_may_be_missing(log, capsys):
+def test_error_for_an_unknown_request_mentions_dropped_log_lines(log, capsys):
     with pytest.raises(SystemExit) as caught:
         main(["trace", "q9", log])
     assert caught.value.code == 2
     assert "7 lines left out" in capsys.readouterr().err
 
 
-def test_missing_log_is_named(capsys):
+def test_error_for_a_missing_log_names_the_file(capsys):
     with pytest.raises(SystemExit):
         main(["trace", "q9", "/nowhere.log"])
     assert "/nowhere.log" in capsys.readouterr().err
--- a/tests/test_transition.py
+++ b/tests/test_transition.py
@@ -14,7 +14,7 @@
 
 
 def make_version(limit=8, link=6, cap=6, names=("t1", "t2"), slots=(4, 4)):
-    """Return a text whose limits are divided over its targets in north-a."""
+    """Return a version whose limits are divided among its targets in north-a."""
     text = make_text(shift_cap={"slots": cap, "window_s": 10})
     text["regions"] = {
         "north": {"failure_domains": ["north-a", "north-b"], "limit": limit},
@@ -44,7 +44,7 @@
     return {name: transition.restrict_links(target) for name, target in targets.items()}
 
 
-def follow(*texts):
+def adopt_versions(*texts):
     transition = VersionTransition()
     for text in texts:
         transition.adopt(text, NOW)
@@ -61,11 +61,11 @@
         {"limit": 12, "link": 8, "cap": 8},
     ],
 )
-def test_homes_of_two_versions_never_exceed_the_larger_limit(later):
-    """Whichever homes follow the later version, the parts in use add up."""
+def test_homes_on_two_versions_never_exceed_the_larger_limit(later):
+    """Some homes may still use the earlier version while others use the later one."""
     earlier, after = (
-        follow(make_version()),
-        follow(make_version(), make_version(**later)),
+        adopt_versions(make_version()),
+        adopt_versions(make_version(), make_version(**later)),
     )
     sums = {"region": 0, "link": 0, "shift": 0}
     names = {*targets_of(earlier), *targets_of(after)}
@@ -84,7 +84,7 @@
 
 
 def test_later_limits_hold_once_the_version_is_in_force_everywhere():
-    transition = follow(make_version(), make_version(limit=12, slots=(6, 6)))
+    transition = adopt_versions(make_version(), make_version(limit=12, slots=(6, 6)))
     assert not transition.expire_superseded(NOW + PROPAGATION_SECONDS - 1)
     assert transition.expire_superseded(NOW + PROPAGATION_SECONDS)
     assert [target.limit for target in targets_of(transition).values()] == [6, 6]
@@ -94,9 +94,9 @@
     plain = parse_text(json.dumps(make_text()))
     more = make_text()
     more["services"]["lookup"]["targets"]["t1"]["slots"] = 9
-    transition = follow(plain, parse_text(json.dumps(more)))
+    transition = adopt_versions(plain, parse_text(json.dumps(more)))
     assert targets_of(transition)["t1"].limit == 9
 
 
 def test_first_version_has_its_limits_at_once():
-    assert targets_of(follow(make_version()))["t1"].limit == 4
+    assert targets_of(adopt_versions(make_version()))["t1"].limit == 4
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -60,7 +60,7 @@
         "False",
         "tests/test_steering_path.py",
         "-k",
-        "broken_answer",
+        "broken_response",
     ),
     Mutation(
         "MIXED-request-id",
@@ -109,7 +109,7 @@
         "if False:",
         "tests/test_steering_path.py",
         "-k",
-        "client_that_leaves",
+        "client_that_disconnects",
     ),
     Mutation(
         "LOST",
@@ -226,7 +226,7 @@
         "        if True:",
         "tests/test_steering_path.py",
         "-k",
-        "turns_away",
+        "refused_by_the_store",
     ),
     Mutation(
         "ROUTE",
@@ -326,7 +326,7 @@
         "if target is None:",
         "tests/test_target_incarnations.py",
         "-k",
-        "incarnation_before",
+        "previous_incarnation",
     ),
     Mutation(
         "FOREIGN-entry-replaces-a-good-one",
@@ -710,7 +710,7 @@
         "REQUEST_POLICY = CrashPolicy(3000, 2,",
         "tests/test_suspects.py",
         "-k",
-        "third_end",
+        "third_crash",
     ),
     Mutation(
         "QUARANTINE-news",
@@ -799,7 +799,7 @@
         "    import zlib\n    return zlib.crc32(text.encode())",
         "tests/test_suspects.py",
         "-k",
-        "another_digest",
+        "different_digests",
     ),
     Mutation(
         "CONTAINED-groups",
