--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -10,7 +10,7 @@
 TARGETS = 6
 
 
-class Scene:
+class EjectionSetup:
     """The targets of one service, all owned by this VM."""
 
     def __init__(self, targets=TARGETS):
@@ -39,25 +39,25 @@
 
 def test_service_keeps_targets_when_all_fail_alike():
     """Without the limit, all targets would be ejected."""
-    scene = Scene()
-    scene.record_results(0.6)
-    assert scene.usable_count() == TARGETS - TARGETS // 3
+    setup = EjectionSetup()
+    setup.record_results(0.6)
+    assert setup.usable_count() == TARGETS - TARGETS // 3
 
 
 @pytest.mark.parametrize("targets", [1, 2, 3])
 def test_one_target_of_a_small_service_can_be_ejected(targets):
-    scene = Scene(targets)
-    assert scene.limit.may_eject("s1")
-    scene.record_results(1.0)
-    assert scene.usable_count() == targets - 1
+    setup = EjectionSetup(targets)
+    assert setup.limit.may_eject("s1")
+    setup.record_results(1.0)
+    assert setup.usable_count() == targets - 1
 
 
 def test_half_open_target_that_cannot_be_ejected_regains_its_slots():
-    scene = Scene()
-    target = next(iter(scene.parts.ledger.all()))
-    now = scene.parts.clock.now()
+    setup = EjectionSetup()
+    target = next(iter(setup.parts.ledger.all()))
+    now = setup.parts.clock.now()
     target.health.eject(now)
-    scene.parts.clock.time = now = target.health.ejected_until + 0.1
+    setup.parts.clock.time = now = target.health.ejected_until + 0.1
     assert target.limit(now) == 1
     assert not target.health.record_failure(now, now, may_eject=False)
     assert target.limit(now) == target.entry.slots
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_", "runs", "broken"),
+    ("request_", "runs", "is_violation"),
     [
         (make_request(502), [make_run()], False),
         (make_request(502), [make_run(), make_run()], True),
@@ -32,12 +32,12 @@
         (make_request(200, headers={}), [make_run()], True),
     ],
 )
-def test_violations_are_found(request_, runs, broken):
-    assert bool(list(check([request_], runs))) is broken
+def test_violations_are_found(request_, runs, is_violation):
+    assert bool(list(check([request_], runs))) is is_violation
 
 
 @pytest.mark.parametrize(
-    ("kind", "status", "answer_to", "runs", "broken"),
+    ("kind", "status", "answer_to", "runs", "is_violation"),
     [
         (SAFE, 200, "q1", 2, False),
         (ONCE, 200, "q1", 1, False),
@@ -52,13 +52,13 @@
     ],
 )
 def test_violations_on_persistent_connections_are_found(
-    kind, status, answer_to, runs, broken
+    kind, status, answer_to, runs, is_violation
 ):
     attempt = Attempt("q1", "vm-1", kind, 8.0, 4.0, 0.0)
     attempt.status, attempt.answer_to = status, answer_to
     attempt.signed = answer_to is not None
     spans = [["q1", 0.0, 1.0]] * runs
-    assert bool(list(check_attempts([attempt], collect_runs(spans)))) is broken
+    assert bool(list(check_attempts([attempt], collect_runs(spans)))) is is_violation
 
 
 #: Regression seeds: they stop a VM twice and restart it in between.
@@ -69,6 +69,6 @@
 def test_guarantees_hold_under_faults(seed):
     # The regression seeds need only faults, without planned stops.
     with_stops = seed not in REGRESSION_SEEDS
-    broken, status_counts = run_seed(seed, SECONDS, config(), with_stops=with_stops)
-    assert broken == []
+    violations, status_counts = run_seed(seed, SECONDS, config(), with_stops=with_stops)
+    assert violations == []
     assert status_counts[200] > 0
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -101,9 +101,11 @@
             self.response_times,
             clock,
         )
-        losses = RegionLossRates(members, self.reports, own_loss_rates, clock)
+        region_loss_rates = RegionLossRates(
+            members, self.reports, own_loss_rates, clock
+        )
         self.places = places = DestinationSelector(
-            view, members, estimates, losses, self.shift, clock
+            view, members, estimates, region_loss_rates, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
         self.containment = Containment(self.suspects, clock)
@@ -128,8 +130,8 @@
             clock,
         )
 
-    def run(self, made):
-        return run(self.steering.run, made)
+    def run(self, request):
+        return run(self.steering.run, request)
 
     def call(self, kind=RequestKind.SAFE, **fields):
         return call(self.parts.clock, route(kind, **fields))
@@ -204,7 +206,7 @@
     assert scene.run(scene.call()).status == 200
 
 
-def full_scene(results):
+def full_targets_scene(results):
     scene = Scene(results)
     for target in scene.parts.ledger.all():
         while target.free(scene.parts.clock.now()):
@@ -216,28 +218,31 @@
     no_slot_in_time = AttemptResult(
         AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0
     )
-    scene = full_scene([no_slot_in_time] * 50)
-    made = scene.call()
+    scene = full_targets_scene([no_slot_in_time] * 50)
+    request = scene.call()
     with pytest.raises(RequestError) as caught:
-        scene.run(made)
+        scene.run(request)
     assert caught.value.code is ResultCode.NO_ROOM
     assert caught.value.retry_at > scene.parts.clock.now()
-    assert scene.parts.clock.now() - made.arrived_at <= made.route.latency_objective / 4
+    assert (
+        scene.parts.clock.now() - request.arrived_at
+        <= request.route.latency_objective / 4
+    )
 
 
 @pytest.mark.parametrize("returned", [True, False])
 def test_request_waits_for_a_slot_past_its_soft_deadline(returned):
-    scene = full_scene([no_slot()] * 500)
-    made = scene.call()
-    made.is_client_retry = returned
+    scene = full_targets_scene([no_slot()] * 500)
+    request = scene.call()
+    request.is_client_retry = returned
     with pytest.raises(RequestError):
-        scene.run(made)
-    assert made.soft_deadline < scene.parts.clock.now() <= made.deadline + 0.1
+        scene.run(request)
+    assert request.soft_deadline < scene.parts.clock.now() <= request.deadline + 0.1
 
 
 def test_request_of_a_disconnected_client_is_not_retried():
-    def disconnect(made):
-        made.is_disconnected = True
+    def disconnect(request):
+        request.is_disconnected = True
         return ended(AttemptOutcome.REFUSED)
 
     scene = Scene([disconnect, answered()])
@@ -246,10 +251,10 @@
     assert len(scene.local.tried) == 1
 
 
-def far_scene(free, forwarded):
+def remote_region_scene(free, forwarded):
     """Return a northern VM whose own target is full, beside a southern target."""
-    far = entry("t9", domain="south-a", slots=10)
-    scene = Scene([no_slot()] * 50, [entry("t1", slots=1), far], forwarded)
+    remote_target = entry("t9", domain="south-a", slots=10)
+    scene = Scene([no_slot()] * 50, [entry("t1", slots=1), remote_target], forwarded)
     scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
     (own,) = scene.parts.ledger.all()
     own.claim(scene.parts.clock.now())
@@ -262,33 +267,33 @@
     """A VM without traffic gets no reports, but must serve the requests it receives."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
     scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
-    made = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
-    assert scene.run(made).status == 200
+    request = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
+    assert scene.run(request).status == 200
     assert len(scene.forward.tried) == 1
 
 
 def test_request_moves_to_a_region_with_free_slots():
-    scene = far_scene(10, [answered(target="t9")])
+    scene = remote_region_scene(10, [answered(target="t9")])
     assert scene.run(scene.call()).status == 200
     assert len(scene.forward.tried) == 1
 
 
 def test_last_slots_of_a_region_are_left_to_its_own_clients():
-    scene = far_scene(1, [answered(target="t9")])
+    scene = remote_region_scene(1, [answered(target="t9")])
     with pytest.raises(RequestError):
         scene.run(scene.call())
     assert scene.forward.tried == []
 
 
 def test_request_stays_in_the_regions_of_its_route():
-    scene = far_scene(10, [answered(target="t9")])
+    scene = remote_region_scene(10, [answered(target="t9")])
     with pytest.raises(RequestError):
         scene.run(scene.call(regions=["north"]))
     assert scene.forward.tried == []
 
 
 def test_unreachable_vm_is_not_tried_again():
-    scene = far_scene(
+    scene = remote_region_scene(
         10, [AttemptResult(AttemptOutcome.NOT_SENT, reason="VM: refused")]
     )
     with pytest.raises(RequestError):
@@ -299,29 +304,31 @@
 def full_affinity_scene():
     """Return a setup and a sticky call whose affinity target is full; one is idle."""
     scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
-    made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    affinity_target = scene.places.select_free(made, set(), set()).target
+    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    affinity_target = scene.places.select_free(request, set(), set()).target
     target = scene.parts.ledger.get(affinity_target)
     while target.free(scene.parts.clock.now()):
         target.claim(scene.parts.clock.now())
     scene.parts.clock.time += SUMMARY_TTL_SECONDS
-    return scene, made, affinity_target
+    return scene, request, affinity_target
 
 
 def test_request_goes_to_an_idle_target_while_its_affinity_target_is_full():
-    scene, made, affinity_target = full_affinity_scene()
-    destination = scene.places.select_free(made, set(), set())
+    scene, request, affinity_target = full_affinity_scene()
+    destination = scene.places.select_free(request, set(), set())
     assert destination.target not in (None, affinity_target)
 
 
 def test_request_that_would_be_late_elsewhere_waits_for_its_affinity_target():
-    scene, made, affinity_target = full_affinity_scene()
-    made.affinity_until = scene.parts.clock.now() + 0.05
-    assert scene.places.select_free(made, set(), set()) is None
-    made.give_up_at = made.affinity_until
-    assert scene.places.select_queue(made, set(), set()).preferred == (affinity_target,)
-    scene.parts.clock.time = made.affinity_until
-    assert scene.places.select_free(made, set(), set()).target not in (
+    scene, request, affinity_target = full_affinity_scene()
+    request.affinity_until = scene.parts.clock.now() + 0.05
+    assert scene.places.select_free(request, set(), set()) is None
+    request.give_up_at = request.affinity_until
+    assert scene.places.select_queue(request, set(), set()).preferred == (
+        affinity_target,
+    )
+    scene.parts.clock.time = request.affinity_until
+    assert scene.places.select_free(request, set(), set()).target not in (
         None,
         affinity_target,
     )
@@ -331,8 +338,8 @@
 def test_request_waits_for_its_affinity_target_when_others_are_slower(elsewhere, waits):
     affinity_waits = []
 
-    def record_wait(made):
-        affinity_waits.append(made.affinity_until - made.arrived_at)
+    def record_wait(request):
+        affinity_waits.append(request.affinity_until - request.arrived_at)
         return answered()
 
     scene = Scene([record_wait])
@@ -359,37 +366,37 @@
 
 def test_request_waits_at_an_affinity_target_reported_to_have_a_free_slot():
     scene = remote_affinity_scene([answered()])
-    made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    scene.run(made)
-    assert wait_deadlines(scene) == [made.affinity_until]
-    assert made.affinity_until - made.arrived_at > 2 * STALE_REPORT_WAIT_SECONDS
+    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    scene.run(request)
+    assert wait_deadlines(scene) == [request.affinity_until]
+    assert request.affinity_until - request.arrived_at > 2 * STALE_REPORT_WAIT_SECONDS
 
 
 def test_full_affinity_target_is_tried_once_per_recheck_interval():
     """Each attempt at a full target sends the body again, so attempts are limited."""
     scene = remote_affinity_scene([no_slot() for _ in range(20)])
     scene.response_times.record("r1", 5.0, False)
-    made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    made.soft_deadline = made.deadline
+    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    request.soft_deadline = request.deadline
     with pytest.raises(RequestError):
-        scene.run(made)
+        scene.run(request)
     assert len(scene.forward.tried) <= 1.0 / FORWARDED_RECHECK_SECONDS + 1
 
 
 def test_request_without_affinity_waits_briefly_on_a_stale_report():
     scene = remote_affinity_scene([answered()])
-    made = call(scene.parts.clock, route())
-    scene.run(made)
-    assert wait_deadlines(scene) == [made.arrived_at + STALE_REPORT_WAIT_SECONDS]
+    request = call(scene.parts.clock, route())
+    scene.run(request)
+    assert wait_deadlines(scene) == [request.arrived_at + STALE_REPORT_WAIT_SECONDS]
 
 
 @pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY_BYTES, 2)])
 def test_large_bodies_are_resent_less_often(size, most):
     scene = remote_affinity_scene([no_slot() for _ in range(20)])
     scene.response_times.record("r1", 5.0, False)
-    made = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    made.body = b"x" * size
-    made.soft_deadline = made.deadline
+    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    request.body = b"x" * size
+    request.soft_deadline = request.deadline
     with pytest.raises(RequestError):
-        scene.run(made)
+        scene.run(request)
     assert 1 <= len(scene.forward.tried) <= most
--- a/tests/test_steering_path.py
+++ b/tests/test_steering_path.py
@@ -54,10 +54,10 @@
     assert status == 200
     assert headers["response-signature"] == "signed"
     assert response_body == sha256(body).hexdigest().encode()
-    ((request_id, path, left, digest),) = fleet.runs()
+    ((request_id, path, remaining_ms, digest),) = fleet.runs()
     assert (request_id, path) == ("q1", "/one/a?b=c")
     assert digest == sha256(body).hexdigest()
-    assert 0 < left <= 1000
+    assert 0 < remaining_ms <= 1000
 
 
 def test_unknown_route_is_refused(fleet, vm):
@@ -262,12 +262,12 @@
 
 
 def test_lookup_returns_the_vms_of_the_clients_region(fleet, vm):
-    near = fleet.resolve(vm, "north", "north-a")
-    assert sorted(near) == [
+    north_hosts = fleet.resolve(vm, "north", "north-a")
+    assert sorted(north_hosts) == [
         f"{fleet.vms[name].host}:{FRONT_PORT}" for name in ("north-a-1", "north-b-1")
     ]
-    far = fleet.resolve(vm, "south", "south-a")
-    assert far == [f"{fleet.vms['south-a-1'].host}:{FRONT_PORT}"]
+    south_hosts = fleet.resolve(vm, "south", "south-a")
+    assert south_hosts == [f"{fleet.vms['south-a-1'].host}:{FRONT_PORT}"]
 
 
 def test_changed_settings_are_read_on_sighup(fleet, vm):
@@ -293,11 +293,11 @@
         while vm.process.poll() is None:
             request_id = f"q{number}-{time.time()}"
             try:
-                sent = fleet.send(vm, "POST", "/one/x", request_id, b"")
+                result = fleet.send(vm, "POST", "/one/x", request_id, b"")
             except OSError:
                 without_response.append(request_id)
                 return
-            statuses.append(sent[0])
+            statuses.append(result[0])
 
     stopping = threading.Timer(0.3, fleet.stop_vm, (vm,))
     stopping.start()
--- a/tests/test_steering_start.py
+++ b/tests/test_steering_start.py
@@ -10,13 +10,13 @@
 
 @pytest.fixture
 def fleet():
-    created = SteeringFleet(
+    created_fleet = SteeringFleet(
         config(), DOMAINS, dict.fromkeys(DOMAINS, 1), TARGETS, subnet=32
     )
     try:
-        yield created
+        yield created_fleet
     finally:
-        created.stop()
+        created_fleet.stop()
 
 
 STEPS = {
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -85,14 +85,14 @@
     assert one.digest == other.digest
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_crashes_soon_after_a_complete_response_are_not_counted(told):
+@pytest.mark.parametrize("at_other_vm", [False, True])
+def test_crashes_soon_after_a_complete_response_are_not_counted(at_other_vm):
     """A popular request can be in progress at targets that crash for another reason."""
     clock = ManualClock()
     suspects, other = make_suspects(clock), make_suspects(clock)
     suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS / 2
-    record_crashes(other if told else suspects, CRASHES_TO_QUARANTINE)
+    record_crashes(other if at_other_vm else suspects, CRASHES_TO_QUARANTINE)
     tell(other, suspects)
     assert suspects.refused_until("f") is None
     tell(suspects, other)
@@ -132,9 +132,9 @@
     expires_at = clock.time + SUSPICION_SECONDS + 2 * MIN_REMAINING_SECONDS
     while clock.time < expires_at:
         # Updates are delayed in transit.
-        told = list(one.updates()), list(other.updates())
+        in_transit = list(one.updates()), list(other.updates())
         clock.time += 0.4
-        for receiver, received in zip((other, one), told, strict=True):
+        for receiver, received in zip((other, one), in_transit, strict=True):
             for each in received:
                 receiver.merge(each)
         one.expire()
@@ -162,8 +162,8 @@
     suspects = make_suspects()
     for number in range(200):
         record_crashes(suspects, 5, f"f{number}")
-    told = list(suspects.updates())
-    assert 0 < sum(len(update.ends) for update in told) <= MAX_CRASHES_PER_HEARTBEAT
+    updates = list(suspects.updates())
+    assert 0 < sum(len(update.ends) for update in updates) <= MAX_CRASHES_PER_HEARTBEAT
 
 
 def test_own_third_crash_is_reported_once_and_a_received_one_is_not():
@@ -177,7 +177,7 @@
 
 
 def test_quarantine_by_crashes_at_several_vms_is_reported_by_each():
-    """Each VM must report it, since no VM sees all the crashes itself."""
+    """A VM that saw one of the crashes reports it, though it did not see them all."""
     reported = []
     one, other, third = make_suspects(), make_suspects(), make_suspects()
     for each in (one, other, third):
--- a/tests/test_table_store.py
+++ b/tests/test_table_store.py
@@ -72,10 +72,10 @@
 
 
 def test_tables_of_many_pages_are_read_completely(store):
-    wanted = [f"k{number:04}" for number in range(PAGE_ROWS + 20)]
-    for key in wanted:
+    expected_keys = [f"k{number:04}" for number in range(PAGE_ROWS + 20)]
+    for key in expected_keys:
         store.put("servers", key, {})
-    assert keys(run_client(store.client.read, "servers")) == wanted
+    assert keys(run_client(store.client.read, "servers")) == expected_keys
 
 
 def test_row_removed_between_two_pages_is_reported_as_a_change(store):
--- a/tests/test_target_departures.py
+++ b/tests/test_target_departures.py
@@ -70,9 +70,9 @@
     left_at = time.monotonic()
     fleet.put("servers", leaving, None)
     sent = dict(send_until(fleet, vm, left_at + SEND_SECONDS))
-    ran = {run[0] for run in fleet.record(leaving)["runs"]}
-    late = [each for each in ran if sent[each] > left_at + DRAIN_SECONDS]
-    assert ran, "the target served nothing before it left"
+    served_ids = {run[0] for run in fleet.record(leaving)["runs"]}
+    late = [each for each in served_ids if sent[each] > left_at + DRAIN_SECONDS]
+    assert served_ids, "the target served nothing before it left"
     assert late == []
 
 
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -18,7 +18,7 @@
 ANY = lambda candidate: True  # noqa: E731
 
 
-class Scene:
+class ViewSetup:
     """A VM's view of its own targets and of one target in the south."""
 
     def __init__(self, own=3):
@@ -57,8 +57,8 @@
 
 
 def test_targets_are_grouped_by_region():
-    scene = Scene()
-    regions = scene.view.regions("s1")
+    setup = ViewSetup()
+    regions = setup.view.regions("s1")
     assert {name: len(each.candidates) for name, each in regions.items()} == {
         "north": 3,
         "south": 1,
@@ -67,74 +67,74 @@
 
 
 def test_service_without_targets_has_no_regions():
-    assert Scene().view.regions("other") == {}
+    assert ViewSetup().view.regions("other") == {}
 
 
 def test_capacity_of_another_owner_follows_its_reports():
-    scene = Scene()
-    (far,) = scene.region("south").candidates
-    assert far.capacity.free(scene.now) == 0
-    scene.report(3)
-    assert far.capacity.free(scene.now) == 3
-    scene.parts.clock.time += 10.0
-    assert far.capacity.free(scene.now) == 0
+    setup = ViewSetup()
+    (remote_target,) = setup.region("south").candidates
+    assert remote_target.capacity.free(setup.now) == 0
+    setup.report(3)
+    assert remote_target.capacity.free(setup.now) == 3
+    setup.parts.clock.time += 10.0
+    assert remote_target.capacity.free(setup.now) == 0
 
 
 def test_reservations_count_until_the_next_report():
-    scene = Scene()
-    (far,) = scene.region("south").candidates
-    scene.report(1)
-    far.capacity.reserve()
-    assert far.capacity.free(scene.now) == 0
-    far.capacity.release()
-    assert far.capacity.free(scene.now) == 1
+    setup = ViewSetup()
+    (remote_target,) = setup.region("south").candidates
+    setup.report(1)
+    remote_target.capacity.reserve()
+    assert remote_target.capacity.free(setup.now) == 0
+    remote_target.capacity.release()
+    assert remote_target.capacity.free(setup.now) == 1
 
 
 def test_full_owner_has_no_free_slots():
-    scene = Scene()
-    (far,) = scene.region("south").candidates
-    scene.report(2)
-    scene.reports.record_full("far", "vm-3", "s1", 0.4)
-    assert far.capacity.free(scene.now) == 0
-    assert scene.reports.wait_estimate("vm-3", "s1").on_time == 0.4
+    setup = ViewSetup()
+    (remote_target,) = setup.region("south").candidates
+    setup.report(2)
+    setup.reports.record_full("far", "vm-3", "s1", 0.4)
+    assert remote_target.capacity.free(setup.now) == 0
+    assert setup.reports.wait_estimate("vm-3", "s1").on_time == 0.4
 
 
 def test_reports_of_removed_vms_are_dropped():
-    scene = Scene()
-    scene.reports.record_report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
-    scene.reports.retain({"vm-3"})
-    assert scene.reports.wait_estimate("vm-3", "s1").on_time == 0.2
-    scene.reports.retain({"vm-4"})
-    assert scene.reports.wait_estimate("vm-3", "s1") is None
-    assert scene.reports.loss_rate("vm-3", "s1") is None
+    setup = ViewSetup()
+    setup.reports.record_report("vm-3", [], [["s1", 0.2, 0.3]], [["s1", 0.5]])
+    setup.reports.retain({"vm-3"})
+    assert setup.reports.wait_estimate("vm-3", "s1").on_time == 0.2
+    setup.reports.retain({"vm-4"})
+    assert setup.reports.wait_estimate("vm-3", "s1") is None
+    assert setup.reports.loss_rate("vm-3", "s1") is None
 
 
 def test_targets_of_owners_without_reports_add_no_slots():
-    scene = Scene()
-    summary = scene.region("south").summary(scene.now)
+    setup = ViewSetup()
+    summary = setup.region("south").summary(setup.now)
     assert (summary.targets, summary.healthy, summary.slots) == (1, 0, 0)
-    scene.report(3)
-    scene.parts.clock.time += SUMMARY_TTL_SECONDS
-    summary = scene.region("south").summary(scene.now)
+    setup.report(3)
+    setup.parts.clock.time += SUMMARY_TTL_SECONDS
+    summary = setup.region("south").summary(setup.now)
     assert (summary.targets, summary.healthy, summary.slots) == (1, 1, 4)
 
 
 @pytest.mark.parametrize("change", ["target", "vm"])
 def test_view_follows_changes(change):
-    scene = Scene()
-    assert len(scene.region("south").candidates) == 1
+    setup = ViewSetup()
+    assert len(setup.region("south").candidates) == 1
     if change == "target":
-        scene.parts.registry.update([], ["far"])
-        assert "south" not in scene.view.regions("s1")
+        setup.parts.registry.update([], ["far"])
+        assert "south" not in setup.view.regions("s1")
     else:
         leaving = beat("vm-3", domain="south-a", region="south", serving=False)
-        scene.parts.members.record_heartbeat(leaving)
-        assert scene.region("south").owners == ["vm-1"]
+        setup.parts.members.record_heartbeat(leaving)
+        assert setup.region("south").owners == ["vm-1"]
 
 
 def test_summary_has_free_and_idle_slots():
-    scene = Scene()
-    summary = scene.region("north").summary(scene.now)
+    setup = ViewSetup()
+    summary = setup.region("north").summary(setup.now)
     assert (summary.targets, summary.healthy, summary.slots, summary.free) == (
         3,
         3,
@@ -142,22 +142,22 @@
         12,
     )
     assert summary.idle
-    scene.claim_all()
-    assert scene.region("north").summary(scene.now).free == 12
-    scene.parts.clock.time += SUMMARY_TTL_SECONDS
-    summary = scene.region("north").summary(scene.now)
+    setup.claim_all()
+    assert setup.region("north").summary(setup.now).free == 12
+    setup.parts.clock.time += SUMMARY_TTL_SECONDS
+    summary = setup.region("north").summary(setup.now)
     assert (summary.free, summary.idle) == (0, False)
 
 
 def test_affinity_target_of_an_object_is_stable():
-    scene = Scene(own=20)
-    first = ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now))
-    scene.claim_all()
-    assert ids(scene.region("north").affinity_targets("/a", 1, ANY, scene.now)) == first
+    setup = ViewSetup(own=20)
+    first = ids(setup.region("north").affinity_targets("/a", 1, ANY, setup.now))
+    setup.claim_all()
+    assert ids(setup.region("north").affinity_targets("/a", 1, ANY, setup.now)) == first
 
 
 def test_affinity_targets_of_objects_are_spread():
-    region = Scene(own=8).region("north")
+    region = ViewSetup(own=8).region("north")
     affinity_targets = {
         ids(region.affinity_targets(f"/{each}", 1, ANY, 0.0))[0] for each in range(100)
     }
@@ -165,7 +165,7 @@
 
 
 def test_next_ranked_target_is_used_while_the_first_are_not_usable():
-    region = Scene(own=MAX_RANKED_TARGETS + 3).region("north")
+    region = ViewSetup(own=MAX_RANKED_TARGETS + 3).region("north")
     order = []
     for _ in range(MAX_RANKED_TARGETS + 3):
         (affinity_target,) = region.affinity_targets(
@@ -177,33 +177,33 @@
 
 
 def test_ejected_target_is_no_affinity_target():
-    scene = Scene(own=2)
-    region = scene.region("north")
-    (affinity_target,) = region.affinity_targets("/a", 1, ANY, scene.now)
-    affinity_target.capacity.health.ejected_until = scene.now + 5.0
-    (other,) = region.affinity_targets("/a", 1, ANY, scene.now)
+    setup = ViewSetup(own=2)
+    region = setup.region("north")
+    (affinity_target,) = region.affinity_targets("/a", 1, ANY, setup.now)
+    affinity_target.capacity.health.ejected_until = setup.now + 5.0
+    (other,) = region.affinity_targets("/a", 1, ANY, setup.now)
     assert other is not affinity_target
 
 
 def test_number_of_remembered_objects_is_bounded():
-    region = Scene().region("north")
+    region = ViewSetup().region("north")
     for each in range(MAX_OBJECTS + 1):
         region.affinity_targets(f"/{each}", 1, ANY, 0.0)
     assert len(region._ranked) == 1
 
 
 def test_loss_rate_is_the_mean_over_the_vms_of_a_region():
-    scene = Scene()
+    setup = ViewSetup()
     own_loss_rates = LossRates()
-    losses = RegionLossRates(
-        scene.parts.members, scene.reports, own_loss_rates, scene.parts.clock
+    region_loss_rates = RegionLossRates(
+        setup.parts.members, setup.reports, own_loss_rates, setup.parts.clock
     )
-    scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
-    scene.reports.record_report("vm-3", [], [], [["s1", 0.2]])
-    scene.reports.record_report("vm-4", [], [], [["s1", 0.6]])
-    assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
-    assert losses.loss_rate("north", "s1") == 0.0
-    scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
-    scene.parts.clock.time += CACHE_TTL_SECONDS
-    assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
-    assert losses.loss_rate("nowhere", "s1") == 1.0
+    setup.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
+    setup.reports.record_report("vm-3", [], [], [["s1", 0.2]])
+    setup.reports.record_report("vm-4", [], [], [["s1", 0.6]])
+    assert region_loss_rates.loss_rate("south", "s1") == pytest.approx(0.4)
+    assert region_loss_rates.loss_rate("north", "s1") == 0.0
+    setup.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
+    setup.parts.clock.time += CACHE_TTL_SECONDS
+    assert region_loss_rates.loss_rate("south", "s1") == pytest.approx(0.4)
+    assert region_loss_rates.loss_rate("nowhere", "s1") == 1.0
