--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -13,27 +13,27 @@
 from standins.stops.report import count_refusals
 from standins.stops.tally import Outcome, Tally, collect_runs, last_closed
 
-GRACE = 6.0
+GRACE_SECONDS = 6.0
 
 
 def stop(vm="vm-1", told_at=100.0, ended_at=105.5, ready_at=107.0):
-    made = Stop(vm, told_at)
-    made.ended_at, made.ready_at = ended_at, ready_at
-    return made
+    result = Stop(vm, told_at)
+    result.ended_at, result.ready_at = ended_at, ready_at
+    return result
 
 
 def attempt(sent_at, ended_at, status=None, vm="vm-1", kind=SAFE, **fields):
-    made = Attempt("a1", vm, kind, sent_at + 8.0, sent_at + 4.0, sent_at)
-    made.ended_at = ended_at
-    made.status = status
+    result = Attempt("a1", vm, kind, sent_at + 8.0, sent_at + 4.0, sent_at)
+    result.ended_at = ended_at
+    result.status = status
     for name, value in fields.items():
-        setattr(made, name, value)
-    return made
+        setattr(result, name, value)
+    return result
 
 
 def tally(each, span=None, kills=(), stops=None):
     spans = [["a1", *span]] if span else []
-    return Tally([each], collect_runs(spans), stops or [stop()], kills, GRACE)
+    return Tally([each], collect_runs(spans), stops or [stop()], kills, GRACE_SECONDS)
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
 def test_second_run_of_an_at_most_once_request_is_found(kind, doubled):
     each = attempt(101, 103, 200, kind=kind, signed=True)
     runs = collect_runs([["a1", 101, 102], ["a1", 101, 102]])
-    assert len(Tally([each], runs, [stop()], [], GRACE).doubled()) == doubled
+    assert len(Tally([each], runs, [stop()], [], GRACE_SECONDS).doubled()) == doubled
 
 
 def test_response_to_another_request_is_found():
@@ -126,7 +126,7 @@
 def test_worst_window_is_not_averaged_with_quiet_ones():
     refused = [attempt(101 + n / 20, 102 + n / 20, 503) for n in range(20)]
     served = [attempt(104 + n / 20, 105 + n / 20, 200, signed=True) for n in range(20)]
-    counted = Tally([*refused, *served], {}, [stop()], [], GRACE)
+    counted = Tally([*refused, *served], {}, [stop()], [], GRACE_SECONDS)
     assert counted.refused_share() == 0.5
     assert counted.worst_share() == 1.0
 
