--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -32,7 +32,12 @@
     MONITORED_IN_REGION,
     MONITORED_OUTSIDE_REGION,
 )
-from standins.membership_simulation import REGIONS, Network, SimulatedVm, run_nonblocking
+from standins.membership_simulation import (
+    REGIONS,
+    Network,
+    SimulatedVm,
+    run_nonblocking,
+)
 from tests.steering_parts import Parts, beat, entry
 
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -140,4 +140,7 @@
     seconds = restart_one_by_one(fleet)
     for _ in range(int(seconds / RESTART_INTERVAL_SECONDS)):
         clients.run(RESTART_INTERVAL_SECONDS)
-        assert max(clients.relative_load(clients.expected_connections()).values()) <= MAX_OVER_SHARE
+        assert (
+            max(clients.relative_load(clients.expected_connections()).values())
+            <= MAX_OVER_SHARE
+        )
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -180,7 +180,9 @@
     async def main():
         client_socket, vm = socket.socketpair()
         clock = SystemClock()
-        connection = ClientConnection(Socket(client_socket), ConnectionRecord("vm-1", 0.0), clock)
+        connection = ClientConnection(
+            Socket(client_socket), ConnectionRecord("vm-1", 0.0), clock
+        )
         now = clock.now()
         sent = [Attempt(n, "vm-1", SAFE, now + 8, now + 4, now) for n in "abc"]
         for each in sent:
