--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -82,8 +82,8 @@
             await sleep(START_POLL_SECONDS)
 
     def _match(self, head, headers):
-        table = self._node.table
-        if table is None:
+        routing_table = self._node.routing_table
+        if routing_table is None:
             now = self._clock.now()
             raise RequestError(
                 ResultCode.NO_CONFIGURATION,
@@ -92,7 +92,7 @@
             )
         host = next((value for name, value in headers if name == b"host"), b"")
         path = head.target.split(b"?", 1)[0].decode("latin-1")
-        route = table.match(host.decode("latin-1").lower(), path)
+        route = routing_table.match(host.decode("latin-1").lower(), path)
         if route is None:
             message = f'no route for "{host.decode("latin-1")}" and "{path}"'
             raise RequestError(ResultCode.NO_ROUTE, message)
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -53,9 +53,9 @@
             self._is_closed = True
             self._abort()
 
-    async def cancel_blocking_requests(self):
+    async def cancel_requests_before_ready_responses(self):
         """Cancel the requests that block ready responses; used at shutdown."""
-        await self._pipeline.cancel_blocking_requests()
+        await self._pipeline.cancel_requests_before_ready_responses()
 
     async def serve(self):
         """Read and serve requests until either side closes."""
@@ -203,7 +203,7 @@
         """Send a response after those to earlier requests."""
         await request.wait_for_turn()
         headers = [*headers, (b"content-length", str(len(body)).encode())]
-        is_closing = self._node.is_leaving and self._pipeline.is_last(request)
+        is_closing = self._node.is_stopping and self._pipeline.is_last(request)
         if is_closing and (b"connection", b"close") not in headers:
             headers.append((b"connection", b"close"))
         # The client may retry requests that were not read before the close.
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -125,9 +125,9 @@
     rows = [[row.key, row.value, row.version] for row in snapshot.rows]
     fields = [
         snapshot.version,
-        snapshot.last_change,
+        snapshot.last_change_version,
         rows,
-        snapshot.lapsing,
+        snapshot.remaining_use_seconds,
         snapshot.is_whole,
     ]
     return zlib.compress(msgpack.packb(fields), COMPRESSION_LEVEL)
@@ -142,6 +142,8 @@
         packed = zlib.decompress(body)
     except zlib.error as fault:
         raise ValueError(f"not compressed: {fault}") from None
-    version, last_change, rows, lapsing, is_whole = msgpack.unpackb(packed)
+    version, last_change_version, rows, remaining_use_seconds, is_whole = (
+        msgpack.unpackb(packed)
+    )
     rows = [StoreRow(*fields) for fields in rows]
-    return Snapshot(version, rows, last_change, lapsing, is_whole)
+    return Snapshot(version, rows, last_change_version, remaining_use_seconds, is_whole)
--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -125,7 +125,7 @@
         while self._pending:
             await self._pending[0].finished.wait()
 
-    async def cancel_blocking_requests(self):
+    async def cancel_requests_before_ready_responses(self):
         """Cancel the requests that block ready responses.
 
         Otherwise the ready responses would be lost when the process exits.
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -41,7 +41,7 @@
         on_time_count = self._queue(target.entry.service).on_time_count(now)
         return 0 if on_time_count else target.free(now)
 
-    def estimate_wait(self, service, call=None):
+    def wait_estimate(self, service, call=None):
         """Return the :class:`WaitEstimate` at the targets of a service.
 
         ``None`` if no target of the service has a slot in service.
@@ -55,22 +55,22 @@
         slots = sum(target.limit(now) for target in targets)
         if not slots:
             return None
-        return queue.estimate_wait(
+        return queue.wait_estimate(
             slots, now, call and queue.count_late_before(call, now)
         )
 
-    def expected_wait(self, call):
+    def expected_wait_seconds(self, call):
         """Return the expected wait in seconds, or ``None`` if no slot is in service."""
-        estimate = self.estimate_wait(call.service, call)
+        estimate = self.wait_estimate(call.service, call)
         hold_seconds = self._queue(call.service).mean_hold_seconds
         return estimate and estimate.for_call(call, self._clock.now(), hold_seconds)
 
-    async def acquire(self, call, preferred, avoid, until):
+    async def acquire(self, call, preferred, avoid, wait_until):
         """Return a :class:`SlotUse`, or ``None`` if no slot became free in time.
 
         :param preferred: ids of the preferred targets, best first.
         :param avoid: ids of excluded targets.
-        :param until: instant at which waiting ends.
+        :param wait_until: instant at which the wait ends.
         """
         queue = self._queue(call.service)
         waiter = Waiter(call, preferred, avoid, self._region_of)
@@ -78,12 +78,12 @@
             use = self._claim_free_slot(waiter)
             if use is not None:
                 return use
-        if until <= self._clock.now() or self.is_wait_too_long(call):
+        if wait_until <= self._clock.now() or self.is_wait_too_long(call):
             return None
         queue.waiters.append(waiter)
         await self.admit_queued(call.service)
         try:
-            await self._wait(waiter, until)
+            await self._wait(waiter, wait_until)
         finally:
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
@@ -119,7 +119,7 @@
 
     def is_wait_too_long(self, call):
         """Return whether the expected wait exceeds what the request accepts."""
-        wait = self.expected_wait(call)
+        wait = self.expected_wait_seconds(call)
         return (
             wait is None
             or self._clock.now() + wait > call.give_up_at + WAIT_TOLERANCE_SECONDS
@@ -136,12 +136,12 @@
             waiter.slot_use = target.claim(now, waiter.call.deadline)
             await waiter.signal.set()
 
-    async def _wait(self, waiter, until):
+    async def _wait(self, waiter, wait_until):
         """Wait until a slot is assigned, the time is up or the client disconnects."""
         if waiter.slot_use is not None or waiter.call.is_disconnected:
             return
         waiter.call.on_disconnect = waiter
-        remaining = until - self._clock.now()
+        remaining = wait_until - self._clock.now()
         try:
             if remaining > 0:
                 await timeout_after(remaining, waiter.signal.wait)
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -98,11 +98,11 @@
         self._clock = clock
         self._reports = {}
 
-    def record_report(self, owner, rooms, waits, losses):
+    def record_report(self, owner, capacities, waits, losses):
         """Replace the report of an owner.
 
-        :param rooms: ``(target id, free slots, limit, slots in use)`` of each target
-            that it owns.
+        :param capacities: ``(target id, free slots, limit, slots in use)`` of each
+            target that it owns.
         :param waits: ``(service, on time, late)``: expected waits in seconds of a new
             request, ``None`` if no slot is in service.
         :param losses: ``(service, loss rate)``.
@@ -113,7 +113,7 @@
         report.reported_at = now
         for capacity in report.capacities.values():
             capacity.expire()
-        for target_id, free, limit, used in rooms:
+        for target_id, free, limit, used in capacities:
             self.capacity(target_id, owner).update(free, limit, used, valid_until)
         report.valid_until = valid_until
         report.wait_estimates = {
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -11,14 +11,14 @@
     """The slots of a target that one other VM uses.
 
     :param count: number of its requests at the target.
-    :param until: latest deadline of these requests.
+    :param expires_at: latest deadline of these requests.
     """
 
-    __slots__ = ("count", "until")
+    __slots__ = ("count", "expires_at")
 
-    def __init__(self, count, until):
+    def __init__(self, count, expires_at):
         self.count = count
-        self.until = until
+        self.expires_at = expires_at
 
 
 class HeldSlots:
@@ -54,22 +54,25 @@
         for target_id, count, seconds in held:
             self._set_hold(target_id, vm, Hold(count, now + seconds))
 
-    def add_target(self, target_id, former):
+    def add_target(self, target_id, former_owner):
         """Start counting for a target that this VM owns from now on.
 
         Until the former owner reports its remaining requests, its last report as the
         owner counts. Without a recent report all slots count as in use, for
         :data:`FORMER_OWNER_REPORT_SECONDS` at most.
 
-        :param former: name of the former owner, or ``None``.
+        :param former_owner: name of the former owner, or ``None``.
         """
         now = self._clock.now()
         if (
-            former is not None
-            and self._reports.reported_at(former) < now - FORMER_OWNER_REPORT_SECONDS
+            former_owner is not None
+            and self._reports.reported_at(former_owner)
+            < now - FORMER_OWNER_REPORT_SECONDS
         ):
             self._set_hold(
-                target_id, former, Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS)
+                target_id,
+                former_owner,
+                Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS),
             )
         for vm in self._reports.owners():
             if self._reports.reported_at(vm) >= now - FORMER_OWNER_REPORT_SECONDS:
@@ -83,7 +86,7 @@
         return sum(
             hold.count
             for vm, hold in holds.items()
-            if now < hold.until and self._is_same_process(vm)
+            if now < hold.expires_at and self._is_same_process(vm)
         )
 
     def retain(self, vms):
@@ -98,7 +101,7 @@
             self._set_hold(target_id, vm, Hold(capacity.used, capacity.valid_until))
 
     def _set_hold(self, target_id, vm, hold):
-        member = self._members.live(vm)
+        member = self._members.find_live(vm)
         if member is None:
             return
         self._incarnations[vm] = member.incarnation
@@ -117,5 +120,5 @@
 
     def _is_same_process(self, vm):
         """Return whether the process that reported the holds is still live."""
-        member = self._members.live(vm)
+        member = self._members.find_live(vm)
         return member is not None and member.incarnation == self._incarnations[vm]
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -31,15 +31,15 @@
         self.on_time = on_time
         self.late = late
 
-    def for_call(self, call, now, work):
+    def for_call(self, call, now, response_seconds):
         """Return the expected wait of a call.
 
         That of a late request if the call would be late after the wait.
 
         :param work: seconds from its start to the response.
         """
-        in_time = now + self.on_time + work <= call.soft_deadline
-        return self.on_time if in_time else self.late
+        is_on_time = now + self.on_time + response_seconds <= call.soft_deadline
+        return self.on_time if is_on_time else self.late
 
 
 class Waiter:
@@ -151,7 +151,7 @@
             default=None,
         )
 
-    def estimate_wait(self, slots, now, late_ahead=None):
+    def wait_estimate(self, slots, now, late_ahead=None):
         """Return the :class:`WaitEstimate` for one of ``slots`` slots.
 
         :param late_ahead: number of late waiters ahead of it; ``None`` for all.
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -18,14 +18,14 @@
         self._own_loss_rates = own_loss_rates
         self._clock = clock
         self._means = {}
-        self._until = 0.0
+        self._means_expire_at = 0.0
 
     def loss_rate(self, region, service):
         """Return the loss rate of a region, 0 to 1; 1 if no VM reports it."""
         now = self._clock.now()
-        if now >= self._until:
+        if now >= self._means_expire_at:
             self._means.clear()
-            self._until = now + CACHE_TTL_SECONDS
+            self._means_expire_at = now + CACHE_TTL_SECONDS
         means = self._means.get(service)
         if means is None:
             means = self._means[service] = self._compute(service)
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -3,9 +3,10 @@
 from heathercleat.events import Event
 from heathercleat.steering.process.capacity.target_log import TargetLog
 
-#: Seconds after an outage of the store in which targets renew entries that lapsed: the
-#: platform's limit of two seconds, and the interval at which a VM retries the store.
-LAPSE_GRACE_SECONDS = 2.45
+#: Seconds after an outage of the store until a target whose entry is still missing is
+#: removed: the two seconds in which the platform lets targets renew their entries, and
+#: the interval at which a VM retries the store.
+MISSING_GRACE_SECONDS = 2.45
 #: Seconds for which the last entry of a removed target is kept; well above the longest
 #: delay of a write in the store.
 REMOVED_RETENTION_SECONDS = 60.0
@@ -27,10 +28,10 @@
 class TargetRegistry:
     """All known targets by id.
 
-    An entry that disappeared during an outage of the store lapses: its target may still
-    run, and is used until :data:`LAPSE_GRACE_SECONDS` has passed. A target whose entry
-    disappears at any other time is removed at once. Later reports never extend the
-    deadline of a lapse.
+    A target whose entry disappears during an outage of the store is missing. It may
+    still run, and is used for :data:`MISSING_GRACE_SECONDS` after the outage. Later
+    reports never extend this time. A target whose entry disappears at any other time is
+    removed at once.
 
     :param journal: where changes are logged.
     """
@@ -40,12 +41,12 @@
         self._log = TargetLog(journal)
         self._clock = clock
         self._targets = {}
-        self._lapsing = {}
+        self._missing_until = {}
         self._removed = {}
         self._by_service = {}
         self._cold_until = {}
         self._evacuated = frozenset()
-        self._lapse_deadline = 0.0
+        self._missing_deadline = 0.0
         self._is_loaded = False
         # Whether a first table was read; only later entries are logged one by one.
         self._is_listed = False
@@ -96,48 +97,48 @@
 
         :param since: earliest instant at which the outage can have ended.
         """
-        self._lapse_deadline = since + LAPSE_GRACE_SECONDS
+        self._missing_deadline = since + MISSING_GRACE_SECONDS
 
-    def lapsing(self):
-        """Return the remaining seconds of each lapsing target, by id."""
+    def remaining_use_seconds(self):
+        """Return the seconds for which each missing target is still used, by id."""
         now = self._clock.now()
-        return {each: until - now for each, until in self._lapsing.items()}
+        return {each: until - now for each, until in self._missing_until.items()}
 
-    def replace(self, entries, lapsing=None):
+    def replace(self, entries, remaining_use_seconds=None):
         """Replace all entries; return the ids of targets whose change affects steering.
 
-        :param lapsing: result of :meth:`lapsing` at the VM that sent the list; ``None``
-            for a list from the store.
+        :param remaining_use_seconds: result of :meth:`remaining_use_seconds` at the VM
+            that sent the list; ``None`` for a list from the store.
         """
         first, self._is_loaded = not self._is_loaded, True
         present = {entry.id for entry in entries}
         removed = [each for each in self._targets if each not in present]
-        changed = self._apply(entries, removed, lapsing)
+        changed = self._apply(entries, removed, remaining_use_seconds)
         if first:
             self._log.log_list(entries)
         return changed
 
-    def update(self, entries, removed, lapsing=None):
+    def update(self, entries, removed, remaining_use_seconds=None):
         """Merge changed entries and the ids of removed ones.
 
         Return the ids of the targets whose change affects steering.
 
-        :param lapsing: as in :meth:`replace`.
+        :param remaining_use_seconds: as in :meth:`replace`.
         """
-        if lapsing is not None:
-            # That VM may have removed a target that still lapses here.
+        if remaining_use_seconds is not None:
+            # The other VM may have removed a target that is still missing here.
             present = {entry.id for entry in entries}
-            lapsed = [each for each in self._lapsing if each not in present]
-            removed = {*removed, *lapsed}
-        return self._apply(entries, removed, lapsing)
+            missing = [each for each in self._missing_until if each not in present]
+            removed = {*removed, *missing}
+        return self._apply(entries, removed, remaining_use_seconds)
 
-    def _apply(self, entries, removed, lapsing):
+    def _apply(self, entries, removed, remaining_use_seconds):
         changed = [entry.id for entry in entries if self._store(entry)]
         now = self._clock.now()
         for target_id in removed:
-            until = self._lapse_deadline
-            if lapsing is not None:
-                until = now + lapsing.get(target_id, 0.0)
+            until = self._missing_deadline
+            if remaining_use_seconds is not None:
+                until = now + remaining_use_seconds.get(target_id, 0.0)
             if self._record_removal(target_id, until):
                 changed.append(target_id)
         if changed or not self._is_listed:
@@ -146,9 +147,9 @@
         return changed
 
     def expire(self):
-        """Remove the targets whose lapse has expired."""
+        """Remove the missing targets whose remaining time of use is over."""
         now = self._clock.now()
-        expired = [each for each, until in self._lapsing.items() if until <= now]
+        expired = [each for each, until in self._missing_until.items() if until <= now]
         for target_id in expired:
             self._remove(target_id, "entry stayed away")
         if expired:
@@ -189,7 +190,7 @@
         before = self._targets.get(entry.id)
         if self._is_outdated(entry, before):
             return False
-        self._lapsing.pop(entry.id, None)
+        self._missing_until.pop(entry.id, None)
         if before is not None and entry.version == before.version:
             return False
         self._removed.pop(entry.id, None)
@@ -240,16 +241,16 @@
         entry = self._targets.get(target_id)
         if entry is None:
             return False
-        current_until = self._lapsing.get(target_id)
+        current_until = self._missing_until.get(target_id)
         if current_until is not None:
             until = min(until, current_until)
         now = self._clock.now()
         if until <= now or entry.draining:
             self._remove(target_id, "entry removed")
             return True
-        self._lapsing[target_id] = until
+        self._missing_until[target_id] = until
         if current_until is None:
-            self._log.log_lapse(target_id, until - now)
+            self._log.log_missing(target_id, until - now)
         return current_until is None
 
     def _remove(self, target_id, reason):
@@ -257,7 +258,7 @@
         self._expire_removed(now)
         entry = self._targets.pop(target_id)
         self._removed[target_id] = RemovedTarget(entry, now + REMOVED_RETENTION_SECONDS)
-        self._lapsing.pop(target_id, None)
+        self._missing_until.pop(target_id, None)
         self._cold_until.pop(target_id, None)
         self._log.log_removal(target_id, reason)
 
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -69,8 +69,11 @@
             version=entry.version,
         )
 
-    def log_lapse(self, target_id, seconds):
-        """Log that a target is used for some seconds without an entry."""
+    def log_missing(self, target_id, seconds):
+        """Log that the entry of a target is missing.
+
+        :param seconds: seconds for which the target is still used.
+        """
         self._journal.write(
             Event.TARGET_LAPSING, target=target_id, seconds=round(seconds, 3)
         )
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -179,7 +179,7 @@
         groups = {}
         for entry in self._registry.of_service(service):
             owner = self._owners.owner_of(entry.id)
-            member = self._members.live(owner) if owner is not None else None
+            member = self._members.find_live(owner) if owner is not None else None
             if member is None:
                 continue
             region = self._members.region_of(entry.failure_domain)
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -55,8 +55,8 @@
         Leaving VMs are listed if no VM is serving: they still accept requests, and
         clients treat an empty result as a failed lookup.
         """
-        active = self._members.active()
-        candidates = active or self._members.leaving()
+        serving = self._members.strong_serving()
+        candidates = serving or self._members.leaving()
         in_region = [each for each in candidates if each.region == region]
         in_domain = [
             each for each in in_region if each.failure_domain == failure_domain
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -61,7 +61,7 @@
         if self.has_released:
             return
         if now >= self._release_deadline or self._can_hand_over(now):
-            self._members.finish()
+            self._members.stop_owning()
 
     def _can_hand_over(self, now):
         """Return whether another leaving VM of the region should own the targets."""
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -54,10 +54,10 @@
         """Return whether a client request is in progress or partially received."""
         return any(connection.is_busy for connection in self._clients)
 
-    async def cancel_blocking_requests(self):
+    async def cancel_requests_before_ready_responses(self):
         """Abort the requests that block ready responses on their connections."""
         for connection in list(self._clients):
-            await connection.cancel_blocking_requests()
+            await connection.cancel_requests_before_ready_responses()
 
     def close(self):
         """Accept no more client requests; those in progress continue.
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -15,11 +15,11 @@
 from heathercleat.steering.process.quarantine.suspect import SuspectUpdate
 
 #: Seconds between two heartbeats; bounds the age of the capacity reports.
-INTERVAL = 0.15
+HEARTBEAT_INTERVAL_SECONDS = 0.15
 #: Rounds between two heartbeats to a VM of another region, where traffic is expensive.
 ROUNDS_BETWEEN_REGIONS = 2
 #: Seconds between two heartbeats to or from a VM that handles no requests.
-IDLE_INTERVAL = 0.9
+IDLE_INTERVAL_SECONDS = 0.9
 #: Approximate maximum rate of heartbeats that a VM sends, to bound its CPU use.
 MAX_HEARTBEATS_PER_SECOND = 120
 #: Seconds for which a VM that asked for heartbeats gets them.
@@ -33,13 +33,13 @@
 #: start together discover each other quickly.
 START_SECONDS = 2.0
 #: Seconds between these rounds in a large fleet, with many updates in each heartbeat.
-START_INTERVAL = 0.45
+START_INTERVAL_SECONDS = 0.45
 #: Maximum unseen VMs that a starting VM contacts in one round.
 MAX_CONTACTED = 300
 #: Seconds after the stop signal during which every round is a full one, so that a lost
 #: datagram does not keep this VM in the lookups of others.
 LEAVE_SECONDS = 0.4
-MAX_DATAGRAM = 8192
+MAX_DATAGRAM_BYTES = 8192
 #: VMs whose updates are sent again at once when the views of partners differ.
 MAX_REPAIRED_AT_ONCE = 24
 #: Full rounds with a difference before that, while updates still arrive.
@@ -65,7 +65,7 @@
     includes_suspects: bool
 
 
-_KIND_FOR_SEEDS = HeartbeatKind(False, IDLE_INTERVAL, False, False)
+_KIND_FOR_SEEDS = HeartbeatKind(False, IDLE_INTERVAL_SECONDS, False, False)
 
 
 class Gossip:
@@ -73,8 +73,8 @@
 
     :param settings: the :class:`NodeSettings`.
     :param members: the :class:`Members`.
-    :param rooms: the :class:`CapacityReports` for received capacity reports.
-    :param held: the :class:`HeldSlots` for received reports of slots in use.
+    :param capacity_reports: the :class:`CapacityReports` for received capacity reports.
+    :param held_slots: the :class:`HeldSlots` for received reports of slots in use.
     :param new_owners: returns the names of the VMs that own targets with requests from
         this VM.
     :param pop_new_owners: returns the names of the VMs that became owners of this VM's
@@ -88,8 +88,8 @@
         self,
         settings,
         members,
-        rooms,
-        held,
+        capacity_reports,
+        held_slots,
         new_owners,
         pop_new_owners,
         suspects,
@@ -100,8 +100,8 @@
     ):
         self._settings = settings
         self._members = members
-        self._rooms = rooms
-        self._held = held
+        self._capacity_reports = capacity_reports
+        self._held_slots = held_slots
         self._new_owners = new_owners
         self._pop_new_owners = pop_new_owners
         self._suspects = suspects
@@ -141,8 +141,8 @@
 
         An empty list if this VM itself is not active.
         """
-        active = self._members.active()
-        return self._select_regular(active) if self._members.own in active else []
+        serving = self._members.strong_serving()
+        return self._select_regular(serving) if self._members.own in serving else []
 
     async def open(self):
         """Bind the UDP socket."""
@@ -152,7 +152,7 @@
     async def listen(self):
         """Receive heartbeats until cancelled."""
         while True:
-            data, address = await self._sock.recvfrom(MAX_DATAGRAM)
+            data, address = await self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             try:
                 newcomer = self.receive(data)
             except (ValueError, TypeError, UnpackException) as error:
@@ -172,8 +172,8 @@
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
         heartbeat = Heartbeat.from_fields(unpacker.unpack())
-        sent_at, echoed, held, asks_for_replies = unpacker.unpack()
-        before = self._members.live(heartbeat.own.vm)
+        sent_at, echoed_sent_at, echo_delay, asks_for_replies = unpacker.unpack()
+        before = self._members.find_live(heartbeat.own.vm)
         is_new = before is None or before.incarnation != heartbeat.own.incarnation
         member = self._members.record_heartbeat(heartbeat)
         if member is None:
@@ -184,13 +184,13 @@
         if asks_for_replies:
             self._reply_until[heartbeat.own.vm] = now + REPLY_SECONDS
         self._echoes[heartbeat.own.vm] = (sent_at, now)
-        if echoed is not None:
-            self._record_round_trip(member, now - echoed - held)
+        if echoed_sent_at is not None:
+            self._record_round_trip(member, now - echoed_sent_at - echo_delay)
         if heartbeat.has_reports:
-            self._rooms.record_report(
+            self._capacity_reports.record_report(
                 heartbeat.own.vm, heartbeat.rooms, heartbeat.waits, heartbeat.losses
             )
-            self._held.record_report(heartbeat.own.vm, heartbeat.held)
+            self._held_slots.record_report(heartbeat.own.vm, heartbeat.held)
         for fields in heartbeat.suspects:
             self._suspects.merge(SuspectUpdate.of(fields))
         return member if is_new else None
@@ -202,14 +202,14 @@
 
     async def round(self):
         """Send the heartbeats that are due; return the seconds until the next round."""
-        self._members.check()
+        self._members.update_live()
         now = self._clock.now()
         to_all = (
             now >= self._next_full_round_at or self._is_starting() or self._is_leaving()
         )
         self._round += 1
         if to_all:
-            self._next_full_round_at = now + IDLE_INTERVAL
+            self._next_full_round_at = now + IDLE_INTERVAL_SECONDS
             self._repair()
         await self.send(to_all)
         return self._interval()
@@ -252,30 +252,34 @@
         It has reports if both VMs handle requests, or the receiver is about to. Only
         partners get updates, to limit the traffic of weaker VMs; partners pass them on.
         """
-        request_handlers, usual_interval = (
-            self._members.request_handlers(),
+        request_handling_vms, usual_interval = (
+            self._members.request_handling_vms(),
             self._interval(),
         )
         packed = {}
         for member in members:
-            kind = self._kind(member, request_handlers, usual_interval)
+            kind = self._kind(member, request_handling_vms, usual_interval)
             if kind not in packed:
                 packed[kind] = self._pack(kind)
             await self._send_to(member.ip, packed[kind], member.vm)
 
-    def _kind(self, member, request_handlers, usual_interval):
+    def _kind(self, member, request_handling_vms, usual_interval):
         """Return the :class:`HeartbeatKind` of the heartbeat to a VM.
 
         :param usual_interval: seconds between heartbeats to VMs that handle requests.
         """
-        handles_requests = member in request_handlers or member.stage == Stage.STARTING
-        includes_reports = self._members.own in request_handlers and handles_requests
+        handles_requests = (
+            member in request_handling_vms or member.stage == Stage.STARTING
+        )
+        includes_reports = (
+            self._members.own in request_handling_vms and handles_requests
+        )
         is_partner = self._is_partner(member)
         differs = member.suspects_digest != self._suspects.digest
         interval = (
             usual_interval
             if includes_reports or self._is_starting_or_leaving(member)
-            else IDLE_INTERVAL
+            else IDLE_INTERVAL_SECONDS
         )
         if includes_reports and self._is_in_other_region(member):
             interval = ROUNDS_BETWEEN_REGIONS * usual_interval
@@ -339,23 +343,26 @@
 
     def _interval(self):
         """Return the seconds between two heartbeats to VMs that handle requests."""
-        request_handlers = self._members.request_handlers()
+        request_handling_vms = self._members.request_handling_vms()
         if self._is_starting():
             unseen = sum(
                 each.last_heartbeat_at is None for each in self._members.others()
             )
             min_interval = (
-                INTERVAL if self._members.topology.is_mesh else START_INTERVAL
+                HEARTBEAT_INTERVAL_SECONDS
+                if self._members.topology.is_mesh
+                else START_INTERVAL_SECONDS
             )
             # Other VMs consider this one dead after a longer silence.
             return max(
-                min_interval, min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL)
+                min_interval,
+                min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL_SECONDS),
             )
-        if self._members.own not in request_handlers and not self._is_leaving():
-            return IDLE_INTERVAL
+        if self._members.own not in request_handling_vms and not self._is_leaving():
+            return IDLE_INTERVAL_SECONDS
         return max(
-            INTERVAL,
-            len(self._select_regular(request_handlers)) / MAX_HEARTBEATS_PER_SECOND,
+            HEARTBEAT_INTERVAL_SECONDS,
+            len(self._select_regular(request_handling_vms)) / MAX_HEARTBEATS_PER_SECOND,
         )
 
     def _is_starting(self):
@@ -394,11 +401,15 @@
     def _asks_for_replies(self, vm):
         """Return whether a heartbeat asks its receiver to send heartbeats back."""
         members, topology = self._members, self._members.topology
-        return topology.is_mesh or vm in topology.monitored or members.live(vm) is None
+        return (
+            topology.is_mesh
+            or vm in topology.monitored
+            or members.find_live(vm) is None
+        )
 
     def _receivers(self, to_all):
         """Return the receivers of a round, without duplicates."""
-        receivers = self._select_regular(self._members.request_handlers())
+        receivers = self._select_regular(self._members.request_handling_vms())
         if to_all:
             receivers = [*receivers, *self._select_occasional(receivers)]
         elif self._round % ROUNDS_BETWEEN_REGIONS:
@@ -418,7 +429,7 @@
 
     def _live_new_owners(self):
         """Return the live owners of targets with requests from this VM."""
-        live = map(self._members.live, self._new_owners())
+        live = map(self._members.find_live, self._new_owners())
         return [each for each in live if each is not None]
 
     def _unknown_seeds(self):
@@ -432,7 +443,7 @@
         members, own = self._members, self._members.own
         rest = [each for each in members.others() if each not in regular]
         if members.topology.is_mesh:
-            has_requests = own in members.request_handlers() or self._is_leaving()
+            has_requests = own in members.request_handling_vms() or self._is_leaving()
             seen = [
                 each
                 for each in rest
@@ -441,7 +452,7 @@
             ]
             return [*seen, *_sample_unseen(rest)]
         partners = [each for each in rest if self._is_partner(each)]
-        silent = [each for each in rest if members.live(each.vm) is None]
+        silent = [each for each in rest if members.find_live(each.vm) is None]
         if self._is_starting():
             # It may have received many heartbeats before it could send the first.
             return [*partners, *_sample_unseen(silent)]
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -44,16 +44,16 @@
         :param interval: seconds until the next heartbeat.
         """
         members, tables = self._members, self._tables
-        members.set_store_lost(tables.store_lost)
+        members.set_store_lost(tables.is_store_lost)
         return Heartbeat(
             make_update(members.own),
             interval,
-            tables.operator.announced_change,
-            tables.targets.announced_change,
-            tables.store_answers,
+            tables.operator_rows.announced_change_version,
+            tables.target_rows.announced_change_version,
+            tables.is_store_answering,
             members.digest,
             members.updates_to_send(interval),
-            list(self._rooms()),
+            list(self._capacities()),
             list(self._waits()),
             list(self._losses()),
             list(self._held()),
@@ -61,12 +61,12 @@
             [],
         )
 
-    def _rooms(self):
+    def _capacities(self):
         """Yield the id, free capacity, limit and used slots of each owned target."""
         now = self._clock.now()
         for target in self._ledger.all():
-            room = self._admission.free_for_peers(target, now)
-            yield [target.entry.id, room, target.limit(now), len(target.uses)]
+            free = self._admission.free_for_peers(target, now)
+            yield [target.entry.id, free, target.limit(now), len(target.uses)]
 
     def _held(self):
         """Yield the slots in use here at targets that other VMs own now.
@@ -81,7 +81,7 @@
     def _waits(self):
         """Yield the :class:`WaitEstimate` fields of each owned service, in seconds."""
         for service in self._ledger.services():
-            waits = self._admission.estimate_wait(service)
+            waits = self._admission.wait_estimate(service)
             if waits is None:
                 yield [service, None, None]
             else:
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -47,9 +47,9 @@
         self._regions = settings.regions
         self._members = {settings.vm: self._own}
         self._live = {}
-        self._active = None
+        self._strong_serving = None
         self._leaving = None
-        self._request_handlers = None
+        self._request_handling_vms = None
         self._owners = []
         self._topology_stale = False
         self._digest = None
@@ -103,11 +103,11 @@
             each for each in self._live.values() if each.is_serving or each.is_stopping
         ]
 
-    def active(self):
+    def strong_serving(self):
         """Return the serving VMs that lookups return and that own targets."""
-        if self._active is None:
-            self._active = list(_find_strong(self.serving()))
-        return self._active
+        if self._strong_serving is None:
+            self._strong_serving = list(_find_strong(self.serving()))
+        return self._strong_serving
 
     def leaving(self):
         """Return the leaving VMs that own targets if no VM is active."""
@@ -123,15 +123,15 @@
         These are the active VMs or, if there are none, the leaving ones, so that
         requests can still be handled.
         """
-        return self.active() or self.leaving()
+        return self.strong_serving() or self.leaving()
 
-    def request_handlers(self):
+    def request_handling_vms(self):
         """Return the VMs that handle requests: active ones and those shutting down."""
-        if self._request_handlers is None:
-            self._request_handlers = self._find_request_handlers()
-        return self._request_handlers
+        if self._request_handling_vms is None:
+            self._request_handling_vms = self._find_request_handling_vms()
+        return self._request_handling_vms
 
-    def live(self, vm):
+    def find_live(self, vm):
         """Return the live :class:`Member` with a name, or ``None``."""
         return self._live.get(vm)
 
@@ -159,7 +159,7 @@
         """Accept no new clients; own targets only if no VM is serving."""
         self._set_own_stage(Stage.LEAVING)
 
-    def finish(self):
+    def stop_owning(self):
         """Stop owning targets; other serving or leaving VMs become their owners."""
         self._set_own_stage(Stage.FINISHING)
 
@@ -243,7 +243,7 @@
         if update.live and changed and not member.is_unreachable(now):
             self._add_live(member)
 
-    def check(self):
+    def update_live(self):
         """Remove VMs that are silent or reported dead, and update the topology."""
         now = self._clock.now()
         self._compensate_pause(now)
@@ -282,15 +282,15 @@
         if self._own.stage == stage:
             return
         self._own.set_stage(stage, self._clock.now())
-        self.check()
+        self.update_live()
         self._queue_own_update()
         self._membership_changed()
 
-    def _find_request_handlers(self):
+    def _find_request_handling_vms(self):
         """Return the active VMs and the strong ones that are shutting down."""
         strong = _find_strong(self.serving_or_stopping())
         stopping = (each for each in strong if each.is_stopping)
-        return [*self.active(), *stopping]
+        return [*self.strong_serving(), *stopping]
 
     def _apply_update(self, member, update):
         if member.incarnation != update.incarnation:
@@ -363,7 +363,7 @@
     def _update_topology(self):
         """Update the topology; at most once per round, since changes come in bursts."""
         self._topology_stale = False
-        self.topology.update(self.live_others(), self.request_handlers())
+        self.topology.update(self.live_others(), self.request_handling_vms())
 
     def _is_lost(self, member, now):
         if member.has_recent_heartbeat(now):
@@ -412,7 +412,7 @@
 
     def _membership_changed(self):
         """Invalidate what depends on the live VMs; run callbacks for new owners."""
-        self._active = self._leaving = self._request_handlers = None
+        self._strong_serving = self._leaving = self._request_handling_vms = None
         self._topology_stale = True
         owners = [(each.vm, each.ip) for each in self.owners()]
         if owners == self._owners:
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -80,13 +80,13 @@
         now = self._clock.now()
         return any(until <= now for until in self._suspected_until.values())
 
-    def update(self, live, active):
+    def update(self, live, request_handling_vms):
         """Select the monitored VMs after a membership change.
 
         :param live: every live :class:`Member` except this VM.
-        :param active: the VMs that handle requests; may include this VM.
+        :param request_handling_vms: the VMs that handle requests; may include this VM.
         """
-        others = [each for each in active if each is not self._own]
+        others = [each for each in request_handling_vms if each is not self._own]
         self._set_mesh(len(others) < MAX_MESH_SIZE and len(live) < MAX_MESH_LIVE)
         now = self._clock.now()
         self._suspected_until = {
@@ -94,7 +94,7 @@
             for domain, until in self._suspected_until.items()
             if until > now
         }
-        handles_requests = self._own in active
+        handles_requests = self._own in request_handling_vms
         selected = live if self._is_mesh else self._select(others, handles_requests)
         self._monitored_since = {
             each.vm: self._monitored_since.get(each.vm, now) for each in selected
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -65,8 +65,8 @@
 #: Seconds between checks for freed slots and expired targets.
 MAINTENANCE_SECONDS = 0.05
 #: Seconds between checks for slow targets, expired suspects and idle connections.
-SLOW_CHECK_SECONDS = 0.5
-#: Replaces ``MAINTENANCE_SECONDS`` on a VM without owned or lapsing targets.
+INFREQUENT_CHECK_SECONDS = 0.5
+#: Replaces ``MAINTENANCE_SECONDS`` on a VM without owned or missing targets.
 IDLE_MAINTENANCE_SECONDS = 0.25
 SUMMARY_SECONDS = 5.0
 #: Seconds before a failed loop is restarted.
@@ -90,9 +90,9 @@
         self._log_writer = log_writer
         self.clock = clock or SystemClock()
         self._journal = Journal(settings.vm, settings.failure_domain)
-        self._table = None
+        self._routing_table = None
         self._splitters = {}
-        self._budgets = {}
+        self._retry_budgets = {}
         self.retry_detector = RetryDetector()
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(settings.memory)
@@ -165,7 +165,7 @@
             self._admission,
             self._loss_rates,
             self._suspects,
-            lambda: self._table.services if self._table else (),
+            lambda: self._routing_table.services if self._routing_table else (),
             clock,
         )
         self._gossip = Gossip(
@@ -177,7 +177,7 @@
             self._ledger.pop_new_owners,
             self._suspects,
             composer.compose,
-            self._tables.wake_if_behind,
+            self._tables.fetch_if_behind,
             journal,
             clock,
         )
@@ -207,7 +207,7 @@
         )
         self._members.on_change(self._forget_reports)
         self._registry.on_change(self._update_serving)
-        losses = RegionLossRates(
+        region_loss_rates = RegionLossRates(
             self._members, self._capacity_reports, self._loss_rates, clock
         )
         estimates = Estimates(
@@ -218,10 +218,10 @@
             self._response_times,
             clock,
         )
-        places = DestinationSelector(
-            view, self._members, estimates, losses, self._shift, clock
+        destinations = DestinationSelector(
+            view, self._members, estimates, region_loss_rates, self._shift, clock
         )
-        tries = Dispatcher(
+        dispatcher = Dispatcher(
             self._local,
             ForwardDispatcher(self._peer_pool, settings.forward_port, clock),
             self._members,
@@ -230,10 +230,10 @@
             self._containment,
         )
         self._steering = Steering(
-            places,
-            tries,
+            destinations,
+            dispatcher,
             self._shift,
-            self._budget,
+            self._retry_budget,
             self._response_times,
             self._loss_rates,
             self.shutdown,
@@ -284,24 +284,24 @@
         )
 
     @property
-    def table(self):
+    def routing_table(self):
         """Return the :class:`RoutingTable` in force, or ``None``."""
-        return self._table
+        return self._routing_table
 
     @property
     def limits(self):
         """Return the :class:`Limits` on clients in force."""
-        return self._table.limits if self._table else INITIAL_LIMITS
+        return self._routing_table.limits if self._routing_table else INITIAL_LIMITS
 
     @property
-    def is_leaving(self):
+    def is_stopping(self):
         """Return whether this VM is shutting down."""
         return self._members.own.is_stopping
 
     @property
     def is_started(self):
         """Return whether the configuration and the targets are loaded."""
-        return self._table is not None and self._registry.is_loaded
+        return self._routing_table is not None and self._registry.is_loaded
 
     @property
     def is_ready(self):
@@ -336,8 +336,8 @@
         return (
             self._gossip.listen,
             self._gossip.run,
-            self._tables.operator.run,
-            self._tables.targets.run,
+            self._tables.operator_rows.run,
+            self._tables.target_rows.run,
             self._tables.follow_members,
             self._quarantines.follow,
             self._quarantines.write,
@@ -349,11 +349,11 @@
 
     async def _run_maintenance(self):
         """Run periodic maintenance."""
-        slow_checks_at = 0.0
+        next_infrequent_checks_at = 0.0
         while True:
             now = self.clock.now()
-            if now >= slow_checks_at:
-                slow_checks_at = now + SLOW_CHECK_SECONDS
+            if now >= next_infrequent_checks_at:
+                next_infrequent_checks_at = now + INFREQUENT_CHECK_SECONDS
                 self._ledger.update_slow_targets()
                 self._suspects.expire()
                 await self._target_pool.sweep()
@@ -361,7 +361,7 @@
             self._registry.expire()
             await self._admission.admit_all_queued()
             await self._gossip.notify()
-            has_work = self._ledger.all() or self._registry.lapsing()
+            has_work = self._ledger.all() or self._registry.remaining_use_seconds()
             await sleep(MAINTENANCE_SECONDS if has_work else IDLE_MAINTENANCE_SECONDS)
 
     async def _log_summaries(self):
@@ -385,7 +385,7 @@
         await self._gossip.leave()
         await spawn(self._tables.deregister, daemon=True)
         await self._finish_requests()
-        await self._listeners.cancel_blocking_requests()
+        await self._listeners.cancel_requests_before_ready_responses()
         self._listeners.close()
         while self._is_busy() and self.clock.now() < self.shutdown.ends_at:
             await sleep(SHUTDOWN_CHECK_SECONDS)
@@ -423,7 +423,7 @@
 
     def _is_time_short(self, now):
         """Return whether requests of some route may not complete before the exit."""
-        routes = self._table.routes if self._table else ()
+        routes = self._routing_table.routes if self._routing_table else ()
         return any(self.shutdown.is_time_short(route, now) for route in routes)
 
     def _is_busy(self):
@@ -433,28 +433,31 @@
         if self.is_started and self._members.own.stage == Stage.STARTING:
             self._members.set_serving(True)
 
-    def _apply_configuration(self, table):
+    def _apply_configuration(self, routing_table):
         """Apply a new configuration; ignore one that is not newer."""
-        if self._table is not None and table.version <= self._table.version:
+        if (
+            self._routing_table is not None
+            and routing_table.version <= self._routing_table.version
+        ):
             return
         self._journal.write(
             Event.CONFIGURATION_ADOPTED,
-            version=table.version,
-            before=self._table.version if self._table else None,
+            version=routing_table.version,
+            before=self._routing_table.version if self._routing_table else None,
         )
-        self._table = table
-        self.shutdown.runs.retain({route.name for route in table.routes})
+        self._routing_table = routing_table
+        self.shutdown.runs.retain({route.name for route in routing_table.routes})
         self._splitters = {}
         self._update_serving()
 
     def _service(self, name):
-        return self._table.services.get(name) if self._table else None
+        return self._routing_table.services.get(name) if self._routing_table else None
 
-    def _budget(self, service):
-        budget = self._budgets.get(service)
+    def _retry_budget(self, service):
+        budget = self._retry_budgets.get(service)
         if budget is None:
             bounds = self._settings.bounds
-            budget = self._budgets[service] = RetryBudget(
+            budget = self._retry_budgets[service] = RetryBudget(
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window,
@@ -476,9 +479,9 @@
             "owned_targets": len(self._ledger.all()),
             "free_slots": sum(each.free(now) for each in self._ledger.all()),
             "requests_under_way": self.active_requests.count,
-            "configuration": self._table.version if self._table else 0,
-            "configuration_age": _age(self._tables.operator.read_at, now),
-            "targets_age": _age(self._tables.targets.read_at, now),
+            "configuration": self._routing_table.version if self._routing_table else 0,
+            "configuration_age": _age(self._tables.operator_rows.read_at, now),
+            "targets_age": _age(self._tables.target_rows.read_at, now),
             "suspects": self._suspects.count,
             "quarantined": self._suspects.quarantined_count,
             "limited_groups": self._suspects.limited_count,
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -20,8 +20,8 @@
 class CrashPolicy:
     """When requests of a key are refused, and for how long.
 
-    :param crashes_to_refuse: number of crashes from which requests are refused.
-    :param crashes_to_stop_retries: number of crashes from which a request is no longer
+    :param refusal_threshold: number of crashes from which requests are refused.
+    :param no_retry_threshold: number of crashes from which a request is no longer
         retried at another target.
     :param initial_refusal_seconds: seconds of refusal after that many crashes; doubles
         with each further crash.
@@ -30,8 +30,8 @@
     """
 
     __slots__ = (
-        "crashes_to_refuse",
-        "crashes_to_stop_retries",
+        "refusal_threshold",
+        "no_retry_threshold",
         "initial_refusal_seconds",
         "max_refusal_seconds",
         "retention_seconds",
@@ -39,14 +39,14 @@
 
     def __init__(
         self,
-        crashes_to_refuse,
-        crashes_to_stop_retries,
+        refusal_threshold,
+        no_retry_threshold,
         initial_refusal_seconds,
         max_refusal_seconds,
         retention_seconds,
     ):
-        self.crashes_to_refuse = crashes_to_refuse
-        self.crashes_to_stop_retries = crashes_to_stop_retries
+        self.refusal_threshold = refusal_threshold
+        self.no_retry_threshold = no_retry_threshold
         self.initial_refusal_seconds = initial_refusal_seconds
         self.max_refusal_seconds = max_refusal_seconds
         self.retention_seconds = retention_seconds
@@ -54,11 +54,11 @@
     def refusal_seconds(self, count):
         """Return the seconds for which requests are refused after a crash.
 
-        :param count: number of known crashes, at least ``crashes_to_refuse``.
+        :param count: number of known crashes, at least ``refusal_threshold``.
         """
         return min(
             self.max_refusal_seconds,
-            self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse),
+            self.initial_refusal_seconds * 2 ** (count - self.refusal_threshold),
         )
 
 
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -79,17 +79,17 @@
     return row.pack()
 
 
-def decode_quarantine(row, clock):
+def decode_quarantine(store_row, clock):
     """Return the :class:`SuspectUpdate` of a row, or ``None`` if it may be deleted.
 
     :raises ValueError: if the row is not a valid quarantine.
     """
-    quarantine = QuarantineRow.unpack(row.value)
+    quarantine = QuarantineRow.unpack(store_row.value)
     remaining = from_wall(clock, quarantine.until) - clock.now()
     if remaining < -ROW_RETENTION_SECONDS:
         return None
     remaining = min(max(0.0, remaining), QUARANTINE_SECONDS)
-    return SuspectUpdate.of([row.key, remaining, quarantine.ends, []])
+    return SuspectUpdate.of([store_row.key, remaining, quarantine.ends, []])
 
 
 def _is_instant(value):
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -121,7 +121,7 @@
     @property
     def is_limited(self):
         """Return whether it has enough crashes for its requests to be refused."""
-        return self.crash_count >= self.policy.crashes_to_refuse
+        return self.crash_count >= self.policy.refusal_threshold
 
     @property
     def is_full(self):
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -21,7 +21,7 @@
 from heathercleat.steering.process.quarantine.suspect import Suspect
 
 #: Number of crashes from which a request is quarantined.
-CRASHES_TO_QUARANTINE = REQUEST_POLICY.crashes_to_refuse
+CRASHES_TO_QUARANTINE = REQUEST_POLICY.refusal_threshold
 #: Seconds for which crashes count against a request, and for which it is quarantined;
 #: the latter is long, since running the request again may crash one more target.
 SUSPICION_SECONDS = REQUEST_POLICY.retention_seconds
@@ -114,8 +114,7 @@
         """Return whether a request may be retried at another target in one attempt."""
         suspect = self._get(key)
         return (
-            suspect is None
-            or suspect.crash_count < suspect.policy.crashes_to_stop_retries
+            suspect is None or suspect.crash_count < suspect.policy.no_retry_threshold
         )
 
     def record_crash(self, fingerprint, incarnation_id, route=None, service=None):
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -11,9 +11,9 @@
 from heathercleat.steering.process.store.table_copy import TableCopy
 
 #: Mean seconds between two calls of a reader while the store does not answer.
-RETRY_INTERVAL = 0.3
+RETRY_INTERVAL_SECONDS = 0.3
 #: Seconds between two calls of other VMs in that case; a reader tells them earlier.
-IDLE_RETRY_INTERVAL = 2.0
+IDLE_RETRY_INTERVAL_SECONDS = 2.0
 #: Seconds after its first read until a VM knows the other VMs, and thus whether it is
 #: a reader.
 SETTLE_SECONDS = 1.0
@@ -21,9 +21,9 @@
 #: longest time between two responses to a reader.
 RESPONSE_TTL_SECONDS = 2.5
 #: Seconds between two requests to other VMs while one of them has a newer change.
-PEER_INTERVAL = 0.1
+PEER_INTERVAL_SECONDS = 0.1
 #: Maximum seconds between two checks for newer changes at other VMs.
-IDLE_PEER_INTERVAL = 0.5
+IDLE_PEER_INTERVAL_SECONDS = 0.5
 
 
 class Outage:
@@ -60,10 +60,10 @@
         and the instant since which another VM has a newer one.
     :param newest: returns the newest change that another VM announced.
     :param is_reader: returns whether this VM is a reader.
-    :param is_answered_elsewhere: returns whether the store answers another VM.
+    :param is_store_answering_elsewhere: returns whether the store answers another VM.
     :param lapsing: returns the seconds for which removed rows are still used, by key.
-    :param on_return: called at the end of an outage for all VMs, with the earliest
-        instant at which it can have ended.
+    :param on_store_return: called at the end of an outage for all VMs, with the
+        earliest instant at which the outage can have ended.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
         wait,
         pause,
         apply,
-        relay,
-        newest,
+        fetch_newer,
+        newest_announced_version,
         is_reader,
-        is_answered_elsewhere,
-        lapsing,
-        on_return,
+        is_store_answering_elsewhere,
+        remaining_use_seconds,
+        on_store_return,
         journal,
         clock,
     ):
@@ -87,18 +87,18 @@
         self._wait = wait
         self._pause = pause
         self._apply = apply
-        self._relay = relay
-        self._newest = newest
+        self._fetch_newer = fetch_newer
+        self._newest_announced_version = newest_announced_version
         self._is_reader = is_reader
-        self._is_answered_elsewhere = is_answered_elsewhere
-        self._lapsing = lapsing
-        self._on_return = on_return
+        self._is_store_answering_elsewhere = is_store_answering_elsewhere
+        self._remaining_use_seconds = remaining_use_seconds
+        self._on_store_return = on_store_return
         self._journal = journal
         self._clock = clock
         self._copy = TableCopy()
         self._newer_announced = Signal()
         self._behind_since = None
-        self._announced_change = 0
+        self._announced_change_version = 0
         self._first_read_at = None
         self._is_loaded = False
         self._outage = None
@@ -108,21 +108,24 @@
         self._yields_until = 0.0
 
     @property
-    def last_change(self):
+    def last_change_version(self):
         """Return the store version of the last significant change."""
-        return self._copy.last_change
+        return self._copy.last_change_version
 
     @property
-    def announced_change(self):
+    def announced_change_version(self):
         """Return the last change that this VM announces to others.
 
         The version of the first read at the start is not announced, since it is higher
         without being a change, and every VM would fetch the table. Readers announce it
         after :data:`SETTLE_SECONDS`, in case nobody else can.
         """
-        if self._announced_change < self.last_change and self._announces_first_read():
-            self._announced_change = self.last_change
-        return self._announced_change
+        if (
+            self._announced_change_version < self.last_change_version
+            and self._announces_first_read()
+        ):
+            self._announced_change_version = self.last_change_version
+        return self._announced_change_version
 
     @property
     def is_store_lost(self):
@@ -130,7 +133,7 @@
         return self._outage is not None
 
     @property
-    def is_answered(self):
+    def has_recent_response(self):
         """Return whether the store recently answered a call of this VM."""
         if self.is_store_lost or self._read_at is None:
             return False
@@ -143,11 +146,11 @@
 
     def snapshot(self, after=0):
         """Return a :class:`Snapshot` of the changes since a version; 0 for all rows."""
-        return self._copy.changes_since(after, self._lapsing())
+        return self._copy.changes_since(after, self._remaining_use_seconds())
 
-    async def wake_if_behind(self):
+    async def fetch_if_behind(self):
         """Fetch the table from another VM now, if one announced a newer change."""
-        if self._is_behind() and not self._newer_announced.is_set():
+        if self._update_behind_since() and not self._newer_announced.is_set():
             await self._newer_announced.set()
 
     async def run(self):
@@ -165,11 +168,11 @@
 
         The wait is longer while none is known, to save wake-ups of an idle process.
         """
-        if self.is_store_lost or self._is_behind():
-            await sleep(PEER_INTERVAL)
+        if self.is_store_lost or self._update_behind_since():
+            await sleep(PEER_INTERVAL_SECONDS)
             return
         self._newer_announced.clear()
-        async with ignore_after(IDLE_PEER_INTERVAL):
+        async with ignore_after(IDLE_PEER_INTERVAL_SECONDS):
             await self._newer_announced.wait()
 
     def _can_read(self):
@@ -191,9 +194,9 @@
         finally:
             await watch.cancel()
 
-    def _is_behind(self):
+    def _update_behind_since(self):
         """Return whether another VM announced a newer change; record since when."""
-        if self._newest() <= self.last_change:
+        if self._newest_announced_version() <= self.last_change_version:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = self._clock.now()
@@ -207,7 +210,7 @@
     async def _read_store(self):
         """Make one call and return the seconds until the next one."""
         began_at = self._clock.now()
-        is_total = not self._is_answered_elsewhere()
+        is_total = not self._is_store_answering_elsewhere()
         try:
             await self._call_store()
         except HistoryLostError:
@@ -216,8 +219,8 @@
         except PlatformError as error:
             self._record_failure(error, began_at, is_total)
             await self._fetch_from_peer()
-            self._retry_at = self._clock.now() + IDLE_RETRY_INTERVAL
-            return uniform(0.5, 1.5) * RETRY_INTERVAL
+            self._retry_at = self._clock.now() + IDLE_RETRY_INTERVAL_SECONDS
+            return uniform(0.5, 1.5) * RETRY_INTERVAL_SECONDS
         return uniform(0.8, 1.2) * self._pause
 
     async def _call_store(self):
@@ -237,23 +240,30 @@
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
         self._apply_changes(changes)
-        self._announced_change = self.last_change
+        self._announced_change_version = self.last_change_version
 
     async def _fetch_from_peer(self):
-        if not self._is_behind():
+        if not self._update_behind_since():
             return
         try:
-            snapshot = await self._relay(self.last_change, self._behind_since)
+            snapshot = await self._fetch_newer(
+                self.last_change_version, self._behind_since
+            )
         except PeerError as error:
             self._journal.write(
                 Event.STATE_NOT_FETCHED, table=self._table, reason=str(error)
             )
             return
-        if snapshot is not None and snapshot.last_change > self.last_change:
+        if (
+            snapshot is not None
+            and snapshot.last_change_version > self.last_change_version
+        ):
             self._journal.write(
-                Event.STATE_FROM_PEER, table=self._table, version=snapshot.last_change
+                Event.STATE_FROM_PEER,
+                table=self._table,
+                version=snapshot.last_change_version,
             )
-            self._apply_relayed(snapshot)
+            self._apply_from_peer(snapshot)
 
     def _announces_first_read(self):
         if self._first_read_at is None:
@@ -276,7 +286,7 @@
         if is_first:
             self._first_read_at = self._clock.now()
         else:
-            self._announced_change = self.last_change
+            self._announced_change_version = self.last_change_version
 
     def _apply_changes(self, snapshot):
         """Apply changed rows from the store."""
@@ -284,7 +294,7 @@
         if keys:
             self._copy.record_changes(keys, self._copy.version)
 
-    def _apply_relayed(self, snapshot):
+    def _apply_from_peer(self, snapshot):
         """Apply all or changed rows from another VM."""
         if not snapshot.is_whole:
             self._apply(self._copy.merge_changes(snapshot))
@@ -292,8 +302,8 @@
             self._apply(snapshot)
         self._is_loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.record_changes(keys, snapshot.last_change)
-        self._announced_change = self.last_change
+        self._copy.record_changes(keys, snapshot.last_change_version)
+        self._announced_change_version = self.last_change_version
 
     def _record_failure(self, error, began_at, is_total):
         if self._outage is None:
@@ -313,7 +323,7 @@
         Checked between calls too, because other VMs still report responses for
         :data:`RESPONSE_TTL_SECONDS` after an outage began.
         """
-        if self.is_store_lost and not self._is_answered_elsewhere():
+        if self.is_store_lost and not self._is_store_answering_elsewhere():
             self._outage.is_total = True
 
     def _record_response(self):
@@ -328,4 +338,4 @@
             for_all=outage.is_total,
         )
         if outage.is_total:
-            self._on_return(outage.tried_at)
+            self._on_store_return(outage.tried_at)
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -22,25 +22,42 @@
     """All rows of a table, or the rows that changed since some version.
 
     :param version: the store version of the rows.
-    :param last_change: the version of the last significant change.
+    :param last_change_version: the version of the last significant change.
     :param lapsing: seconds for which the sending VM still uses removed rows, by key;
         ``None`` if the snapshot is from the store.
     :param is_whole: whether it has all rows of the table.
     """
 
-    __slots__ = ("version", "rows", "last_change", "lapsing", "is_whole")
-
-    def __init__(self, version, rows, last_change=None, lapsing=None, is_whole=True):
+    __slots__ = (
+        "version",
+        "rows",
+        "last_change_version",
+        "remaining_use_seconds",
+        "is_whole",
+    )
+
+    def __init__(
+        self,
+        version,
+        rows,
+        last_change_version=None,
+        remaining_use_seconds=None,
+        is_whole=True,
+    ):
         self.version = version
         self.rows = rows
-        self.last_change = version if last_change is None else last_change
-        self.lapsing = lapsing
+        self.last_change_version = (
+            version if last_change_version is None else last_change_version
+        )
+        self.remaining_use_seconds = remaining_use_seconds
         self.is_whole = is_whole
 
-    def reduce_lapsing(self, seconds):
+    def reduce_remaining_use(self, seconds):
         """Reduce the remaining times by the seconds that the transfer took."""
-        if self.lapsing is not None:
-            self.lapsing = {key: each - seconds for key, each in self.lapsing.items()}
+        if self.remaining_use_seconds is not None:
+            self.remaining_use_seconds = {
+                key: each - seconds for key, each in self.remaining_use_seconds.items()
+            }
 
 
 class Store(Protocol):
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -39,7 +39,7 @@
     __slots__ = (
         "_rows",
         "_version",
-        "_last_change",
+        "_last_change_version",
         "_change_versions",
         "_removals",
         "_removals_since",
@@ -49,7 +49,7 @@
     def __init__(self):
         self._rows = {}
         self._version = 0
-        self._last_change = 0
+        self._last_change_version = 0
         # By key: version of the last significant change, and of the removal.
         self._change_versions = {}
         self._removals = {}
@@ -63,9 +63,9 @@
         return self._version
 
     @property
-    def last_change(self):
+    def last_change_version(self):
         """Return the store version of the last significant change."""
-        return self._last_change
+        return self._last_change_version
 
     @property
     def rows(self):
@@ -78,7 +78,9 @@
         It may be older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
-            self._last_change = max(self._last_change, snapshot.last_change)
+            self._last_change_version = max(
+                self._last_change_version, snapshot.last_change_version
+            )
             return False
         if self._version:
             self._add_gap(Gap(self._version, snapshot.version))
@@ -103,8 +105,8 @@
         return Snapshot(
             self._version,
             new_rows,
-            snapshot.last_change,
-            snapshot.lapsing,
+            snapshot.last_change_version,
+            snapshot.remaining_use_seconds,
             is_whole=False,
         )
 
@@ -113,13 +115,13 @@
 
         :param version: the version of the table's last significant change.
         """
-        self._last_change = max(self._last_change, version)
+        self._last_change_version = max(self._last_change_version, version)
         for key in keys:
             row = self._rows.get(key)
             if row is not None:
-                self._change_versions[key] = min(row.version, self._last_change)
+                self._change_versions[key] = min(row.version, self._last_change_version)
 
-    def changes_since(self, version, lapsing):
+    def changes_since(self, version, remaining_use_seconds):
         """Return a :class:`Snapshot` of the significant changes since a version.
 
         It is whole if the version is 0 or removals since then may be unknown here.
@@ -127,7 +129,12 @@
         :param lapsing: see :class:`Snapshot`.
         """
         if version < self._removals_since or not version or self._is_in_gap(version):
-            return Snapshot(self._version, self.rows, self._last_change, lapsing)
+            return Snapshot(
+                self._version,
+                self.rows,
+                self._last_change_version,
+                remaining_use_seconds,
+            )
         rows = [
             row
             for key, row in self._rows.items()
@@ -138,7 +145,13 @@
             for key, removed in self._removals.items()
             if removed > version
         )
-        return Snapshot(self._version, rows, self._last_change, lapsing, is_whole=False)
+        return Snapshot(
+            self._version,
+            rows,
+            self._last_change_version,
+            remaining_use_seconds,
+            is_whole=False,
+        )
 
     def _is_in_gap(self, version):
         return any(gap.contains(version) for gap in self._gaps)
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -26,18 +26,18 @@
 #: Timeout of a call to the store in seconds, in addition to its wait for a change.
 STORE_TIMEOUT_SECONDS = 1.0
 #: Seconds for which calls wait for a change of the operators' table, which is rare.
-OPERATOR_WAIT = 5.0
+OPERATOR_WAIT_SECONDS = 5.0
 #: The same for the targets' table, whose entries change at every heartbeat of a target.
-TARGET_WAIT = 1.0
+TARGET_WAIT_SECONDS = 1.0
 #: Seconds between two calls for the targets' table, to limit their number.
-TARGET_PAUSE = 0.6
+TARGET_PAUSE_SECONDS = 0.6
 #: The members' table is polled rarely: it is only needed for the first contact.
-MEMBER_WAIT = 0.0
-MEMBER_PAUSE = 60.0
+MEMBER_WAIT_SECONDS = 0.0
+MEMBER_PAUSE_SECONDS = 60.0
 #: Number of VMs that read the store, over all regions.
-READERS = 3
+READER_COUNT = 3
 #: Timeout for fetching a table from another VM, in seconds.
-RELAY_TIMEOUT_SECONDS = 0.5
+PEER_FETCH_TIMEOUT_SECONDS = 0.5
 #: Seconds before a VM fetches a newer table from another failure domain of its region;
 #: meanwhile a VM of its own failure domain may get it.
 REGION_DELAY_SECONDS = 0.15
@@ -67,28 +67,28 @@
         self._clock = clock
         self._rejections = RejectedRowLog(journal, clock)
         self._own_store = self.new_store()
-        self.operator = self._follow(
+        self.operator_rows = self._follow(
             OPERATOR_TABLE,
-            OPERATOR_WAIT,
+            OPERATOR_WAIT_SECONDS,
             0.0,
             self._apply_operator_rows,
             lambda member: member.operator_version,
             lambda: members.newest_operator_version,
         )
-        self.targets = self._follow(
+        self.target_rows = self._follow(
             TARGET_TABLE,
-            TARGET_WAIT,
-            TARGET_PAUSE,
+            TARGET_WAIT_SECONDS,
+            TARGET_PAUSE_SECONDS,
             self._apply_target_rows,
             lambda member: member.target_version,
             lambda: members.newest_target_version,
-            lapsing=registry.lapsing,
-            on_return=registry.store_returned,
+            remaining_use_seconds=registry.remaining_use_seconds,
+            on_store_return=registry.store_returned,
         )
         self.member_rows = self._follow(
             MEMBER_TABLE,
-            MEMBER_WAIT,
-            MEMBER_PAUSE,
+            MEMBER_WAIT_SECONDS,
+            MEMBER_PAUSE_SECONDS,
             self._apply_member_rows,
             lambda _: 0,
             lambda: 0,
@@ -96,14 +96,14 @@
         )
 
     @property
-    def store_answers(self):
+    def is_store_answering(self):
         """Return whether the store recently answered a call for targets."""
-        return self.targets.is_answered
+        return self.target_rows.has_recent_response
 
     @property
-    def store_lost(self):
+    def is_store_lost(self):
         """Return whether the last call for targets or configuration failed."""
-        return self.operator.is_store_lost or self.targets.is_store_lost
+        return self.operator_rows.is_store_lost or self.target_rows.is_store_lost
 
     def snapshot(self, table, after):
         """Return a :class:`Snapshot` of a table's changes since a version.
@@ -111,13 +111,13 @@
         :param table: the operators' or the targets' table.
         :param after: the version, or 0 for all rows.
         """
-        followers = {OPERATOR_TABLE: self.operator, TARGET_TABLE: self.targets}
+        followers = {OPERATOR_TABLE: self.operator_rows, TARGET_TABLE: self.target_rows}
         return followers[table].snapshot(after)
 
-    async def wake_if_behind(self):
+    async def fetch_if_behind(self):
         """Fetch newer tables now, if heartbeats announced any."""
-        await self.operator.wake_if_behind()
-        await self.targets.wake_if_behind()
+        await self.operator_rows.fetch_if_behind()
+        await self.target_rows.fetch_if_behind()
 
     async def follow_members(self):
         """Register this VM, then follow the members' table until cancelled.
@@ -161,13 +161,13 @@
         pause,
         apply,
         version_of,
-        newest,
+        newest_announced_version,
         is_reader=None,
-        lapsing=dict,
-        on_return=lambda since: None,
+        remaining_use_seconds=dict,
+        on_store_return=lambda since: None,
     ):
-        async def relay(version, since):
-            return await self._ask_peers(table, version, since, version_of)
+        async def fetch_newer(version, since):
+            return await self._fetch_from_nearest(table, version, since, version_of)
 
         return TableFollower(
             table,
@@ -175,12 +175,12 @@
             wait,
             pause,
             apply,
-            relay,
-            newest,
+            fetch_newer,
+            newest_announced_version,
             is_reader or self.is_reader,
-            self._is_answered_elsewhere,
-            lapsing,
-            on_return,
+            self._is_store_answering_elsewhere,
+            remaining_use_seconds,
+            on_store_return,
             self._journal,
             self._clock,
         )
@@ -191,18 +191,18 @@
         VMs whose calls to the store fail are readers only if no others are available.
         """
         own = self._members.own
-        active = self._members.active() or [own, *self._members.live_others()]
+        serving = self._members.strong_serving() or [own, *self._members.live_others()]
         in_region = [
             member
-            for member in active
+            for member in serving
             if member.region == own.region and member is not own
         ]
         candidates = [member.vm for member in in_region if not member.store_lost]
-        if not self.store_lost and (own in active or not in_region):
+        if not self.is_store_lost and (own in serving or not in_region):
             candidates.append(own.vm)
         names = candidates or [own.vm, *(member.vm for member in in_region)]
         regions = len(set(self._settings.regions.values()))
-        return own.vm in rank_by_weight("reader", names)[: ceil(READERS / regions)]
+        return own.vm in rank_by_weight("reader", names)[: ceil(READER_COUNT / regions)]
 
     def reads_member_table(self):
         """Return whether this VM keeps reading the members' table after its start.
@@ -211,7 +211,7 @@
         """
         return self._members.topology.is_mesh or self.is_reader()
 
-    def _is_answered_elsewhere(self):
+    def _is_store_answering_elsewhere(self):
         return any(each.store_answers for each in self._members.live_others())
 
     def _apply_operator_rows(self, snapshot):
@@ -220,8 +220,8 @@
         if not snapshot.is_whole and not changed:
             return changed
         try:
-            rows = self.operator.snapshot().rows
-            table, evacuated = decode_operator_rows(rows)
+            rows = self.operator_rows.snapshot().rows
+            routing_table, evacuated = decode_operator_rows(rows)
         except ValueError as error:
             self._journal.write(
                 Event.CONFIGURATION_REJECTED,
@@ -230,8 +230,8 @@
             )
             return []
         self._registry.evacuate(evacuated)
-        if table is not None:
-            self._adopt(table)
+        if routing_table is not None:
+            self._adopt(routing_table)
         return changed
 
     def _apply_target_rows(self, snapshot):
@@ -242,10 +242,12 @@
             row.key for row in rows if row.key not in decoded
         )
         if snapshot.is_whole:
-            changed = self._registry.replace(entries, snapshot.lapsing)
+            changed = self._registry.replace(entries, snapshot.remaining_use_seconds)
         else:
             removed = [row.key for row in snapshot.rows if row.value is None]
-            changed = self._registry.update(entries, removed, snapshot.lapsing)
+            changed = self._registry.update(
+                entries, removed, snapshot.remaining_use_seconds
+            )
         return [*rejected, *changed]
 
     def _decode_target(self, row):
@@ -274,7 +276,7 @@
             except ValueError as error:
                 self._rejections.log(row.key, error)
 
-    async def _ask_peers(self, table, version, since, version_of):
+    async def _fetch_from_nearest(self, table, version, since, version_of):
         """Return a newer snapshot from the nearest VM that has one, or ``None``."""
         newer_members = [
             member
@@ -284,21 +286,21 @@
         if not newer_members:
             return None
         waited = self._clock.now() - since
-        nearest = min(newer_members, key=self._relay_delay)
-        if waited < self._relay_delay(nearest):
+        nearest = min(newer_members, key=self._fetch_delay)
+        if waited < self._fetch_delay(nearest):
             return None
         asked_at = self._clock.now()
         fetching = self._fetch(nearest.ip, table, version)
         try:
             snapshot = await with_deadline(
-                asked_at + RELAY_TIMEOUT_SECONDS, self._clock, fetching
+                asked_at + PEER_FETCH_TIMEOUT_SECONDS, self._clock, fetching
             )
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
             raise PeerError(f"{nearest.vm}: {error!r}") from None
-        snapshot.reduce_lapsing(self._clock.now() - asked_at)
+        snapshot.reduce_remaining_use(self._clock.now() - asked_at)
         return snapshot
 
-    def _relay_delay(self, member):
+    def _fetch_delay(self, member):
         """Return the seconds to wait for a nearer VM before fetching from one."""
         own = self._members.own
         if member.failure_domain == own.failure_domain:
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -49,7 +49,7 @@
         return result
 
     async def _run_forwarded(self, call, destination, avoid, wait_until):
-        member = self._members.live(destination.vm)
+        member = self._members.find_live(destination.vm)
         round_trip = self._round_trip(destination.vm)
         capacity = None
         if destination.target is not None:
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -32,7 +32,7 @@
         VM.
         """
         if owner == self._members.own.vm:
-            return self._admission.expected_wait(call)
+            return self._admission.expected_wait_seconds(call)
         if not self._capacity_reports.is_known(owner):
             return 0.0
         waits = self._capacity_reports.wait_estimate(owner, call.service)
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -105,7 +105,7 @@
     def _no_slot_result(self, call):
         is_too_long = self._admission.is_wait_too_long(call)
         reason = NO_SLOT_IN_TIME if is_too_long else "no free slot"
-        wait = self._admission.expected_wait(call)
+        wait = self._admission.expected_wait_seconds(call)
         return AttemptResult(AttemptOutcome.NOT_SENT, wait=wait, reason=reason)
 
     async def _send(self, call, slot_use, preferred):
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -112,12 +112,12 @@
 def limit_sender(view, name=b"k=1"):
     view.answer(name=name)
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for life in LIVES[: SENDER_POLICY.crashes_to_refuse]:
+    for life in LIVES[: SENDER_POLICY.refusal_threshold]:
         view.end(life, name=name)
 
 
 def limit_strangers(view):
-    for life in LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]:
+    for life in LIVES[: UNKNOWN_SENDERS_POLICY.refusal_threshold]:
         view.end(life)
 
 
@@ -167,7 +167,7 @@
 def test_strangers_are_refused_together_and_known_senders_are_not(view):
     view.answer(name=b"known")
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for number, life in enumerate(LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]):
+    for number, life in enumerate(LIVES[: UNKNOWN_SENDERS_POLICY.refusal_threshold]):
         view.end(life, name=b"new-%d" % number)
     assert view.is_refused(b"another new one")
     assert view.is_refused()
@@ -175,7 +175,7 @@
 
 
 def test_answer_to_a_stranger_speaks_for_one_end(view):
-    for life in LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse - 1]:
+    for life in LIVES[: UNKNOWN_SENDERS_POLICY.refusal_threshold - 1]:
         view.end(life)
     view.answer()
     view.end(LIVES[-1])
@@ -186,12 +186,12 @@
 
 def test_answers_to_strangers_speak_for_as_many_ends_at_once_after_them(view):
     """As where a third of the targets ends at once, beside many new callers."""
-    for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         view.answer()
     limit_strangers(view)
     assert not view.is_refused()
-    for life in LIVES[UNKNOWN_SENDERS_POLICY.crashes_to_refuse :][
-        : UNKNOWN_SENDERS_POLICY.crashes_to_refuse
+    for life in LIVES[UNKNOWN_SENDERS_POLICY.refusal_threshold :][
+        : UNKNOWN_SENDERS_POLICY.refusal_threshold
     ]:
         view.end(life)
     assert view.is_refused()
@@ -257,7 +257,7 @@
 def test_answers_at_one_vm_clear_strangers_at_another():
     clock = ManualClock()
     here, there = View(clock), View(clock)
-    for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         there.answer()
     limit_strangers(here)
     tell(here.suspects, there.suspects)
@@ -455,14 +455,14 @@
 def test_credits_of_answers_are_bounded(view):
     for _ in range(3 * MAX_CREDITS):
         view.answer()
-    for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.refusal_threshold):
         view.end(f"i-{number}")
     assert view.is_refused()
 
 
 #: Ends that the attempts may cost: those up to the limit of strangers, as many while
 #: VMs tell each other, and two for a trial at each VM; without a limit two for each.
-MOST_RUNS = 2 * UNKNOWN_SENDERS_POLICY.crashes_to_refuse + 2 * 6
+MOST_RUNS = 2 * UNKNOWN_SENDERS_POLICY.refusal_threshold + 2 * 6
 SERVED_SHARE = 0.95
 #: Seconds in which the other callers become known to all VMs.
 WARM_UP_SECONDS = 3.0
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -8,7 +8,7 @@
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.capacity.registry import TargetRegistry
 from heathercleat.steering.process.membership.gossip import (
-    INTERVAL,
+    HEARTBEAT_INTERVAL_SECONDS,
     LEAVE_SECONDS,
     MAX_REPAIRED_AT_ONCE,
 )
@@ -16,7 +16,7 @@
     MONITORED_IN_REGION,
     MONITORED_OUTSIDE_REGION,
 )
-from heathercleat.steering.process.store.tables import READERS, Tables
+from heathercleat.steering.process.store.tables import READER_COUNT, Tables
 from standins.stop_simulation import (
     RESTART_SECONDS,
     SERVICES,
@@ -56,7 +56,7 @@
     return [
         vm
         for vm in fleet.vms.values()
-        if vm.running and any(each.vm in names for each in vm.members.active())
+        if vm.running and any(each.vm in names for each in vm.members.strong_serving())
     ]
 
 
@@ -73,7 +73,10 @@
 def test_vms_that_leave_together_are_named_for_a_heartbeat_at_most(size, stop):
     fleet = converged_fleet(size)
     stopped = stop(fleet)
-    assert seconds_until_unnamed(fleet, stopped) <= HOPS[size] * INTERVAL + LOOK_SECONDS
+    assert (
+        seconds_until_unnamed(fleet, stopped)
+        <= HOPS[size] * HEARTBEAT_INTERVAL_SECONDS + LOOK_SECONDS
+    )
 
 
 @pytest.mark.parametrize("size", [SMALL, LARGE])
@@ -82,7 +85,7 @@
     for vm in fleet.serving()[:4]:
         fleet.stop(vm)
         seconds = seconds_until_unnamed(fleet, [vm])
-        assert seconds <= HOPS[size] * INTERVAL + LOOK_SECONDS
+        assert seconds <= HOPS[size] * HEARTBEAT_INTERVAL_SECONDS + LOOK_SECONDS
         fleet.run(STOP_INTERVAL_SECONDS - seconds)
 
 
@@ -92,7 +95,7 @@
 def test_lost_datagram_does_not_keep_a_vm_that_leaves_named(size, stop, seed):
     fleet = converged_fleet(size, 0.1, seed)
     stopped = stop(fleet)
-    bound = LEAVE_SECONDS + HOPS[size] * INTERVAL
+    bound = LEAVE_SECONDS + HOPS[size] * HEARTBEAT_INTERVAL_SECONDS
     assert seconds_until_unnamed(fleet, stopped) <= bound
 
 
@@ -101,10 +104,12 @@
     fleet = converged_fleet(size)
     stopped = fleet.serving()[0]
     fleet.stop(stopped)
-    fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + LOOK_SECONDS)
+    fleet.run(
+        STOP_SECONDS + RESTART_SECONDS + HEARTBEAT_INTERVAL_SECONDS + LOOK_SECONDS
+    )
     started = fleet.vms[stopped.ip]
     assert started is not stopped
-    assert len(started.members.active()) == size
+    assert len(started.members.strong_serving()) == size
 
 
 class Bill:
@@ -164,7 +169,7 @@
     assert max(bill.rankings, default=0) <= bill.stops * ranked
 
 
-@pytest.mark.parametrize(("size", "readers"), [(SMALL, SMALL), (LARGE, READERS)])
+@pytest.mark.parametrize(("size", "readers"), [(SMALL, SMALL), (LARGE, READER_COUNT)])
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
     fleet = converged_fleet(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -5,8 +5,8 @@
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.store.follower import (
-    IDLE_PEER_INTERVAL,
-    RETRY_INTERVAL,
+    IDLE_PEER_INTERVAL_SECONDS,
+    RETRY_INTERVAL_SECONDS,
     TableFollower,
 )
 from heathercleat.steering.process.store.protocol import (
@@ -93,7 +93,7 @@
             PAUSE,
             self._apply,
             self._relay,
-            lambda: self.peer.last_change if self.peer else 1 << 62,
+            lambda: self.peer.last_change_version if self.peer else 1 << 62,
             lambda: self.reader,
             lambda: self.answered_elsewhere,
             lambda: self.lapsing,
@@ -110,7 +110,7 @@
     async def _relay(self, version, since):
         if self.peer is None:
             raise PeerError("nobody answers")
-        return self.peer if self.peer.last_change > version else None
+        return self.peer if self.peer.last_change_version > version else None
 
     @property
     def keys(self):
@@ -136,7 +136,7 @@
     made.store.put("a", b"1")
     made.play(lambda: made.store.put("b", b"2"), lambda: made.store.put("a", None))
     assert made.keys == ["b"]
-    assert made.follower.last_change == made.store.version
+    assert made.follower.last_change_version == made.store.version
 
 
 def test_table_is_read_again_when_the_history_is_gone():
@@ -164,7 +164,7 @@
 
     made.play(lose, change_elsewhere)
     assert made.keys == ["b"]
-    assert made.follower.last_change == 9
+    assert made.follower.last_change_version == 9
 
 
 def test_store_that_returns_is_noticed():
@@ -189,7 +189,7 @@
 
     made.play(lambda: setattr(made.store, "down", True), up)
     (since,) = made.returned
-    assert up_at[0] - 1.5 * RETRY_INTERVAL <= since <= up_at[0]
+    assert up_at[0] - 1.5 * RETRY_INTERVAL_SECONDS <= since <= up_at[0]
 
 
 def test_store_that_answered_other_vms_meanwhile_was_not_away():
@@ -199,7 +199,7 @@
         lambda: setattr(made.store, "down", False),
     )
     assert made.returned == []
-    assert made.follower.is_answered
+    assert made.follower.has_recent_response
 
 
 def test_store_that_answers_others_first_was_away_for_all():
@@ -218,7 +218,7 @@
     made.play(lambda: setattr(made.store, "down", True))
     assert made.store.waits[0] == WAIT
     assert made.store.waits[-1] == 0.0
-    assert not made.follower.is_answered
+    assert not made.follower.has_recent_response
 
 
 def test_change_comes_from_another_vm_while_the_store_is_away():
@@ -227,7 +227,7 @@
     made.store.down = True
     made.play()
     assert made.keys == ["p"]
-    assert made.follower.last_change == 9
+    assert made.follower.last_change_version == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
@@ -238,7 +238,7 @@
 
 def test_vm_that_is_no_reader_takes_what_another_knows():
     made = Follower(Snapshot(0, []), reader=False)
-    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change=7)
+    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change_version=7)
     made.play(lambda: setattr(made, "peer", newer))
     assert made.keys == ["p"]
     assert made.store.calls == 1
@@ -258,7 +258,7 @@
     made.play(
         lambda: setattr(made, "matters", False), lambda: made.store.put("a", b"2")
     )
-    assert made.follower.last_change == 1
+    assert made.follower.last_change_version == 1
     assert made.follower.snapshot().version == 2
 
 
@@ -269,7 +269,7 @@
     made.lapsing = lapsing
     made.play(lambda: made.store.put("a", None))
     assert made.keys == []
-    assert made.follower.snapshot().lapsing == lapsing
+    assert made.follower.snapshot().remaining_use_seconds == lapsing
 
 
 def test_row_that_came_back_is_told_to_others():
@@ -298,14 +298,14 @@
             await sleep(0.2)
             made.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
             told_at = made.clock.now()
-            await made.follower.wake_if_behind()
+            await made.follower.fetch_if_behind()
             while made.keys != ["b"]:
                 await sleep(0.001)
             fetched_after.append(made.clock.now() - told_at)
             await group.cancel_remaining()
 
     run(main)
-    assert fetched_after[0] < IDLE_PEER_INTERVAL / 4
+    assert fetched_after[0] < IDLE_PEER_INTERVAL_SECONDS / 4
 
 
 def test_looks_are_few_while_nobody_knows_a_newer_table():
@@ -333,7 +333,11 @@
         made.store.forget = True
         made.store.follow = made.store.hang
 
-    made.play(lambda: None, forget, lambda: told.append(made.follower.announced_change))
+    made.play(
+        lambda: None,
+        forget,
+        lambda: told.append(made.follower.announced_change_version),
+    )
     assert made.store.reads == 2
     assert told == [2]
 
@@ -344,9 +348,9 @@
     made.store.follow = made.store.hang
     told = []
     made.play(
-        lambda: told.append(made.follower.announced_change),
+        lambda: told.append(made.follower.announced_change_version),
         *[lambda: None] * 10,
-        lambda: told.append(made.follower.announced_change),
+        lambda: told.append(made.follower.announced_change_version),
     )
     assert told == [0, 1]
 
@@ -355,7 +359,10 @@
     made = Follower(Snapshot(0, []), reader=False)
     made.store.put("a", b"1")
     made.play()
-    assert (made.follower.last_change, made.follower.announced_change) == (1, 0)
+    assert (
+        made.follower.last_change_version,
+        made.follower.announced_change_version,
+    ) == (1, 0)
 
 
 @pytest.mark.parametrize("reader", [True, False])
@@ -367,7 +374,7 @@
         made.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
 
     made.play(change)
-    assert made.follower.announced_change == 1
+    assert made.follower.announced_change_version == 1
 
 
 def test_only_what_changed_is_passed_on():
@@ -380,7 +387,7 @@
         made.store.put("old-7", None)
 
     known = []
-    made.play(lambda: known.append(made.follower.last_change), change)
+    made.play(lambda: known.append(made.follower.last_change_version), change)
     passed = made.follower.snapshot(known[0])
     assert not passed.is_whole
     assert [(row.key, row.value) for row in passed.rows] == [
@@ -431,7 +438,7 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    told = reader.changes_since(other.last_change, {})
+    told = reader.changes_since(other.last_change_version, {})
     assert told.is_whole
     other.replace_all(told)
     assert other.rows == []
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -22,7 +22,7 @@
     Directory,
 )
 from heathercleat.steering.process.handover import Handover
-from heathercleat.steering.process.membership.gossip import INTERVAL
+from heathercleat.steering.process.membership.gossip import HEARTBEAT_INTERVAL_SECONDS
 from heathercleat.steering.process.membership.heartbeat_composer import (
     HeartbeatComposer,
 )
@@ -48,12 +48,12 @@
 #: Upper bound of the duration of a simulated request.
 MAX_RUN_SECONDS = 3.5
 #: Longest time in which VMs may differ on the owner of a target: three heartbeats.
-AGREE_SECONDS = 3 * INTERVAL
+AGREE_SECONDS = 3 * HEARTBEAT_INTERVAL_SECONDS
 NO_TABLES = SimpleNamespace(
-    operator=SimpleNamespace(announced_change=0),
-    targets=SimpleNamespace(announced_change=0),
-    store_answers=True,
-    store_lost=False,
+    operator_rows=SimpleNamespace(announced_change_version=0),
+    target_rows=SimpleNamespace(announced_change_version=0),
+    is_store_answering=True,
+    is_store_lost=False,
 )
 
 
@@ -66,7 +66,7 @@
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2", *domain, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
-    parts.members.finish()
+    parts.members.stop_owning()
     assert owners_of(parts) == {"vm-2"}
 
 
@@ -89,7 +89,7 @@
 
 def test_vm_that_starts_or_finishes_owns_nothing():
     parts = Parts(TARGETS)
-    parts.members.finish()
+    parts.members.stop_owning()
     parts.members.record_heartbeat(beat("vm-2", stage=FINISHING))
     parts.members.record_heartbeat(beat("vm-3", stage=Stage.STARTING))
     assert owners_of(parts) == {None}
@@ -122,7 +122,7 @@
         views.append({each.id: parts.owners.owner_of(each.id) for each in TARGETS})
     assert views[0] == views[1] == views[2]
     best_stage = Stage.SERVING if serving else LEAVING
-    owners = {parts.members.live(vm).stage for vm in views[0].values()}
+    owners = {parts.members.find_live(vm).stage for vm in views[0].values()}
     assert owners == {best_stage}
 
 
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("stage", [Stage.STARTING, FINISHING])
 def test_vm_that_runs_no_requests_is_never_named(stage):
     parts = Parts(TARGETS)
-    parts.members.finish()
+    parts.members.stop_owning()
     parts.members.record_heartbeat(beat("vm-2", stage=stage))
     assert lookup(parts)[1] == []
 
@@ -378,10 +378,10 @@
     """A network in which VMs answer the first heartbeat of a VM at once."""
 
     def send(self, sender, ip, data):
-        known = ip in self.vms and self.vms[ip].members.live(sender.name)
+        known = ip in self.vms and self.vms[ip].members.find_live(sender.name)
         super().send(sender, ip, data)
         receiver = self.vms.get(ip)
-        member = receiver and receiver.members.live(sender.name)
+        member = receiver and receiver.members.find_live(sender.name)
         if member and not known:
             run_nonblocking(receiver.gossip._send_all([member]))
 
@@ -425,7 +425,7 @@
     def restart(self, vm):
         """Start an ended VM again; it serves after two heartbeat intervals."""
         restarted = OwningVm(self.network, vm.number, 2, serving=False)
-        self.network.run(2 * INTERVAL)
+        self.network.run(2 * HEARTBEAT_INTERVAL_SECONDS)
         restarted.members.set_serving(True)
         return restarted
 
@@ -500,7 +500,7 @@
     run_nonblocking(vm.gossip.notify())
     same_domain = [each for each in fleet.vms[1:] if each.domain == vm.domain]
     assert len(same_domain) > MONITORED_IN_REGION
-    assert all(each.members.live(vm.name).stage == LEAVING for each in same_domain)
+    assert all(each.members.find_live(vm.name).stage == LEAVING for each in same_domain)
 
 
 def test_successor_is_notified_at_once_of_released_slots():
@@ -540,7 +540,7 @@
         fleet.network.run(0.2)
         for each in fleet.network.running():
             assert len(each.members.topology.monitored) <= monitored[each.name]
-    assert all(not each.members.live(vm.name) for each in fleet.network.running())
+    assert all(not each.members.find_live(vm.name) for each in fleet.network.running())
 
 
 def test_vms_that_stop_may_have_clients():
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -10,7 +10,7 @@
 
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.capacity.registry import (
-    LAPSE_GRACE_SECONDS,
+    MISSING_GRACE_SECONDS,
     TargetRegistry,
 )
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
@@ -35,8 +35,10 @@
 
     def replace_all(self, snapshot):
         if self.copy.replace_all(snapshot):
-            changed = self.registry.replace(_entries(snapshot.rows), snapshot.lapsing)
-            self.copy.record_changes(changed, snapshot.last_change)
+            changed = self.registry.replace(
+                _entries(snapshot.rows), snapshot.remaining_use_seconds
+            )
+            self.copy.record_changes(changed, snapshot.last_change_version)
 
     def merge_changes(self, snapshot):
         changed = self._update(self.copy.merge_changes(snapshot))
@@ -49,15 +51,15 @@
         else:
             self._update(self.copy.merge_changes(snapshot))
         keys = [row.key for row in snapshot.rows]
-        self.copy.record_changes(keys, snapshot.last_change)
+        self.copy.record_changes(keys, snapshot.last_change_version)
 
     def _update(self, snapshot):
         removed = [row.key for row in snapshot.rows if row.value is None]
         entries = _entries(snapshot.rows)
-        return self.registry.update(entries, removed, snapshot.lapsing)
+        return self.registry.update(entries, removed, snapshot.remaining_use_seconds)
 
     def snapshot(self, after):
-        return self.copy.changes_since(after, self.registry.lapsing())
+        return self.copy.changes_since(after, self.registry.remaining_use_seconds())
 
 
 def _entries(rows):
@@ -118,8 +120,8 @@
     )
     def relay(self, source, receiver, whole):
         source, receiver = self.vms[source], self.vms[receiver]
-        if source.copy.last_change > receiver.copy.last_change:
-            after = 0 if whole else receiver.copy.last_change
+        if source.copy.last_change_version > receiver.copy.last_change_version:
+            after = 0 if whole else receiver.copy.last_change_version
             receiver.apply_relayed(source.snapshot(after))
 
     @rule()
@@ -154,7 +156,7 @@
             assert self.returned_at is not None
             assert (
                 self.clock.now()
-                <= self.returned_at + LAPSE_GRACE_SECONDS + EXPIRY_INTERVAL_SECONDS
+                <= self.returned_at + MISSING_GRACE_SECONDS + EXPIRY_INTERVAL_SECONDS
             )
 
     @invariant()
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -45,7 +45,7 @@
             for number in range(count)
         ]
 
-    def active(self):
+    def strong_serving(self):
         return self._active
 
     def leaving(self):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,10 @@
 import pytest
 
 from heathercleat.steering.process.membership import gossip
-from heathercleat.steering.process.membership.gossip import IDLE_INTERVAL, INTERVAL
+from heathercleat.steering.process.membership.gossip import (
+    HEARTBEAT_INTERVAL_SECONDS,
+    IDLE_INTERVAL_SECONDS,
+)
 from heathercleat.steering.process.membership.heartbeat import Heartbeat
 from heathercleat.steering.process.membership.member import SILENCE_SECONDS
 from heathercleat.steering.process.membership.members import PAUSE_SECONDS
@@ -133,7 +136,7 @@
     vm = next(iter(network.vms.values()))
     vm.members.leave()
     run_nonblocking(vm.gossip.leave())
-    network.run(INTERVAL)
+    network.run(HEARTBEAT_INTERVAL_SECONDS)
     assert all(vm.name not in each.serving_names for each in network.running())
 
 
@@ -183,7 +186,12 @@
     network = start(count)
     network.sent.clear()
     network.run(3.0)
-    max_messages = 3.0 / INTERVAL * 3 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+    max_messages = (
+        3.0
+        / HEARTBEAT_INTERVAL_SECONDS
+        * 3
+        * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+    )
     assert max(network.sent.values()) < max_messages
 
 
@@ -219,7 +227,7 @@
         other = SimulatedVm(network, number, alone=True)
         other.members.add_known(vm.name, vm.ip, vm.domain, "north")
         run_nonblocking(other.gossip.send())
-    vm.members.check()
+    vm.members.update_live()
     assert not vm.members.topology.is_mesh
     unheard = sum(each.last_heartbeat_at is None for each in vm.members.others())
     run_nonblocking(vm.gossip.round())
@@ -248,7 +256,10 @@
 
 def test_small_fleet_sends_no_membership_updates():
     network = start(MAX_MESH_SIZE)
-    assert all(vm.members.updates_to_send(INTERVAL) == [] for vm in network.running())
+    assert all(
+        vm.members.updates_to_send(HEARTBEAT_INTERVAL_SECONDS) == []
+        for vm in network.running()
+    )
 
 
 def start_with_idle_vms(strong, weak, loss=0.0):
@@ -265,7 +276,7 @@
     network = start_with_idle_vms(STRONG, WEAK, loss)
     for vm in list(network.vms.values())[1:3]:
         vm.running = False
-    network.run(AGREE_SECONDS + 2 * IDLE_INTERVAL)
+    network.run(AGREE_SECONDS + 2 * IDLE_INTERVAL_SECONDS)
     assert disagreeing(network) == []
 
 
@@ -297,7 +308,9 @@
     observer, dead, *_ = network.running()
     weak = network.running()[-1]
     changes = []
-    observer.members.on_change(lambda: changes.append(observer.members.active()))
+    observer.members.on_change(
+        lambda: changes.append(observer.members.strong_serving())
+    )
     weak.members.set_serving(False)
     network.run(AGREE_SECONDS)
     assert weak.name not in observer.serving_names
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -9,7 +9,7 @@
     """Advance the time with the regular checks of a running process."""
     for _ in range(int(seconds * 10)):
         parts.clock.time += 0.1
-        parts.members.check()
+        parts.members.update_live()
 
 
 def test_only_serving_vms_own_targets():
@@ -56,13 +56,13 @@
         parts.members.record_heartbeat(beat("vm-2", incarnation=4, serving=False))
         is None
     )
-    assert parts.members.live("vm-2").is_serving
+    assert parts.members.find_live("vm-2").is_serving
 
 
 def test_vm_known_from_the_store_only_is_not_live():
     parts = Parts(TARGETS)
     parts.members.add_known("vm-9", "127.0.9.9", "north-a", "north")
-    assert parts.members.live("vm-9") is None
+    assert parts.members.find_live("vm-9") is None
     assert [each.vm for each in parts.members.others()] == ["vm-9"]
 
 
@@ -94,10 +94,10 @@
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(beat("vm-2"))
     parts.clock.time += 5.0
-    parts.members.check()
-    assert parts.members.live("vm-2") is not None
+    parts.members.update_live()
+    assert parts.members.find_live("vm-2") is not None
     advance(parts, 2.0)
-    assert parts.members.live("vm-2") is None
+    assert parts.members.find_live("vm-2") is None
 
 
 def test_vm_with_a_clock_set_back_is_live_again_after_its_restart():
@@ -105,4 +105,4 @@
     parts.members.record_heartbeat(beat("vm-2", incarnation=5))
     advance(parts, 2.0)
     assert parts.members.record_heartbeat(beat("vm-2", incarnation=3)) is not None
-    assert parts.members.live("vm-2").incarnation == 3
+    assert parts.members.find_live("vm-2").incarnation == 3
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -61,20 +61,22 @@
     def __init__(self):
         self.clock = SystemClock()
         self.limits = Limits(16 << 10, 1 << 20, 3.0, 15.0)
-        self.table = RoutingTable(1, [route()], {"s1": Service("s1", 1.0)}, self.limits)
+        self.routing_table = RoutingTable(
+            1, [route()], {"s1": Service("s1", 1.0)}, self.limits
+        )
         self.shutdown = Shutdown(RunTimes(self.clock), lambda: True)
         self.retry_detector = RetryDetector()
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(1 << 30)
         self.request_log = self
         self.is_started = True
-        self.is_leaving = False
+        self.is_stopping = False
         self.pending = {}
         self.disconnected = []
 
     def stop(self):
         """Begin a stop whose keep-alive period is already over."""
-        self.is_leaving = True
+        self.is_stopping = True
         self.shutdown.begin(self.clock.now() - KEEP_ALIVE_SECONDS, GRACE_SECONDS)
 
     def choose_service(self, route):
@@ -262,7 +264,7 @@
 def test_stop_responds_to_all_read_requests_and_closes(pipelined):
     for _ in range(3):
         pipelined.send()
-    pipelined.node.is_leaving = True
+    pipelined.node.is_stopping = True
     pipelined.connection.close_idle()
     for name in ("q1", "q2", "q0"):
         pipelined.respond(name)
@@ -272,7 +274,7 @@
 
 def test_request_after_a_closing_response_is_not_read(pipelined):
     pipelined.send()
-    pipelined.node.is_leaving = True
+    pipelined.node.is_stopping = True
     pipelined.respond("q0")
     pipelined.send()
     assert pipelined.node.pending == {}
@@ -294,7 +296,7 @@
 def test_request_that_waits_for_earlier_ones_is_served_in_a_stop(pipelined):
     pipelined.send()
     pipelined.send("POST")
-    pipelined.node.is_leaving = True
+    pipelined.node.is_stopping = True
     pipelined.respond("q0")
     pipelined.respond("q1")
     assert pipelined.received == ["q0", "q1"]
@@ -304,7 +306,7 @@
 def test_malformed_head_after_an_exclusive_request_closes_in_a_stop(pipelined):
     pipelined.send("POST")
     pipelined.respond("q0")
-    pipelined.node.is_leaving = True
+    pipelined.node.is_stopping = True
     pipelined.client.sendall(b"\x00 bad\r\n\r\n")
     pipelined.settle()
     assert pipelined.connection._is_closed
@@ -328,7 +330,7 @@
         pipelined.send()
     pipelined.respond("q1")
     pipelined.respond("q2")
-    pipelined.kernel.run(pipelined.connection.cancel_blocking_requests)
+    pipelined.kernel.run(pipelined.connection.cancel_requests_before_ready_responses)
     pipelined.settle()
     assert pipelined.received == ["3002 answer_lost\n", "q1", "q2"]
     assert set(pipelined.node.pending) == {"q0", "q3"}
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,6 +1,6 @@
 import pytest
 
-from heathercleat.steering.process.capacity.registry import LAPSE_GRACE_SECONDS
+from heathercleat.steering.process.capacity.registry import MISSING_GRACE_SECONDS
 from tests.steering_parts import Parts, entry
 
 
@@ -51,7 +51,7 @@
     parts = Parts([entry("t1"), entry("t2")])
     end_store_outage(parts)
     parts.registry.update([], ["t1"])
-    parts.clock.time += LAPSE_GRACE_SECONDS - 0.01
+    parts.clock.time += MISSING_GRACE_SECONDS - 0.01
     parts.registry.expire()
     assert ids(parts) == ["t1", "t2"]
     parts.clock.time += 0.02
@@ -77,7 +77,7 @@
     parts = Parts([entry("t1", draining=True), entry("t2")])
     end_store_outage(parts)
     parts.registry.update([], ["t1"])
-    assert parts.registry.lapsing() == {}
+    assert parts.registry.remaining_use_seconds() == {}
     assert not parts.registry.knows("t1")
 
 
@@ -102,7 +102,7 @@
     parts.registry.replace([entry("t2")], {"t1": 1.0})
     parts.clock.time += 0.5
     parts.registry.replace([entry("t2")], {"t1": 1.0})
-    assert parts.registry.lapsing() == {"t1": 0.5}
+    assert parts.registry.remaining_use_seconds() == {"t1": 0.5}
 
 
 def test_removed_target_is_not_restored_by_another_vms_lapse():
--- a/tests/test_steering_path.py
+++ b/tests/test_steering_path.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heathercleat.steering.process.store.tables import OPERATOR_WAIT
+from heathercleat.steering.process.store.tables import OPERATOR_WAIT_SECONDS
 from standins.fleet import wait_for
 from standins.steering_fleet import FRONT_PORT, SteeringFleet
 from tests.platform_samples import config
@@ -229,7 +229,7 @@
     fleet.switch_store(refused=[vm.host])
     wait_for(lambda: any(line["name"] == "store_lost" for line in fleet.log(vm)))
     # A long poll that is already open still returns changes until it ends.
-    time.sleep(OPERATOR_WAIT)
+    time.sleep(OPERATOR_WAIT_SECONDS)
     fleet.put("op", "config", config("r9"))
     wait_for(lambda: '"configuration"} 9.0' in fleet.metrics(vm))
 
--- a/tests/test_target_departures.py
+++ b/tests/test_target_departures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from heathercleat.steering.process.capacity.registry import LAPSE_GRACE_SECONDS
+from heathercleat.steering.process.capacity.registry import MISSING_GRACE_SECONDS
 from heathercleat.version.hashing import rank_by_weight
 from standins.fleet import wait_for
 from standins.steering_fleet import SteeringFleet
@@ -91,7 +91,7 @@
         sent[run[0]] - returned_at for run in fleet.record(lapsing)["runs"]
     ]
     assert (
-        LAPSE_GRACE_SECONDS / 2
+        MISSING_GRACE_SECONDS / 2
         < max(request_times)
-        < LAPSE_GRACE_SECONDS + MAX_DELAY_SECONDS
+        < MISSING_GRACE_SECONDS + MAX_DELAY_SECONDS
     )
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -85,7 +85,7 @@
         request.give_up_at = request.arrived_at + self.max_wait_seconds
         now = request.arrived_at
         if not self.target.free(now):
-            waits = self.queue.estimate_wait(
+            waits = self.queue.wait_estimate(
                 SLOTS, now, self.queue.count_late_before(request, now)
             )
             wait = waits.for_call(request, now, self.queue.mean_hold_seconds)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -247,8 +247,8 @@
     Mutation(
         "DRAIN-outage-of-one-vm",
         f"{STEERING}/process/store/follower.py",
-        "        if outage.is_total:\n            self._on_return",
-        "        if True:\n            self._on_return",
+        "        if outage.is_total:\n            self._on_store_return",
+        "        if True:\n            self._on_store_return",
         "tests/test_target_departures.py",
         "tests/test_follower.py",
     ),
@@ -263,7 +263,7 @@
     Mutation(
         "DRAIN-lapse-known-by-peers",
         f"{STEERING}/process/capacity/registry.py",
-        "            if lapsing is not None:\n",
+        "            if remaining_use_seconds is not None:\n",
         "            if False:\n",
         "tests/test_registry.py",
     ),
@@ -467,7 +467,7 @@
     Mutation(
         "SIZE-long-silence-at-start",
         f"{STEERING}/process/membership/gossip.py",
-        "min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL)",
+        "min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL_SECONDS)",
         "unseen / MAX_HEARTBEATS_PER_SECOND",
         "tests/test_membership.py",
         "-k",
@@ -512,8 +512,8 @@
     Mutation(
         "HANDOVER-last-owners",
         f"{STEERING}/process/membership/members.py",
-        "        return self.active() or self.leaving()\n",
-        "        return self.active()\n",
+        "        return self.strong_serving() or self.leaving()\n",
+        "        return self.strong_serving()\n",
         "tests/test_handing_over.py",
         "-k",
         "own_targets_where_none_serves",
@@ -521,7 +521,7 @@
     Mutation(
         "HANDOVER-lookups",
         f"{STEERING}/process/directory.py",
-        "        candidates = active or self._members.leaving()\n",
+        "        candidates = serving or self._members.leaving()\n",
         "        candidates = active\n",
         "tests/test_handing_over.py",
         "-k",
@@ -578,8 +578,9 @@
         "HANDOVER-previous-owner-without-report",
         f"{STEERING}/process/capacity/held_slots.py",
         "            self._set_hold(\n"
-        "                target_id, former, "
-        "Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS)\n"
+        "                target_id,\n"
+        "                former_owner,\n"
+        "                Hold(_ALL_SLOTS, now + FORMER_OWNER_REPORT_SECONDS),\n"
         "            )\n",
         "            pass\n",
         "tests/test_handing_over.py",
@@ -607,7 +608,7 @@
     Mutation(
         "HANDOVER-new-owners",
         f"{STEERING}/process/membership/gossip.py",
-        "        live = map(self._members.live, self._new_owners())\n",
+        "        live = map(self._members.find_live, self._new_owners())\n",
         "        live = []\n",
         "tests/test_handing_over.py",
         "-k",
@@ -616,7 +617,7 @@
     Mutation(
         "HANDOVER-hold-ends",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._is_same_process(vm)\n",
+        "            if now < hold.expires_at and self._is_same_process(vm)\n",
         "            if self._is_same_process(vm)\n",
         "tests/test_handing_over.py",
         "-k",
@@ -625,7 +626,7 @@
     Mutation(
         "HANDOVER-process-exit",
         f"{STEERING}/process/capacity/held_slots.py",
-        "            if now < hold.until and self._is_same_process(vm)\n",
+        "            if now < hold.expires_at and self._is_same_process(vm)\n",
         "            if now < hold.until\n",
         "tests/test_handing_over.py",
         "-k",
@@ -634,8 +635,8 @@
     Mutation(
         "HANDOVER-reports-to-leaving-vms",
         f"{STEERING}/process/membership/members.py",
-        "        return [*self.active(), *stopping]\n",
-        "        return self.active()\n",
+        "        return [*self.strong_serving(), *stopping]\n",
+        "        return self.strong_serving()\n",
         "tests/test_handing_over.py",
         "-k",
         "still_receives_reports",
@@ -670,8 +671,8 @@
     Mutation(
         "SIZE-first-read-announced",
         f"{STEERING}/process/store/follower.py",
-        "        return self._announced_change\n",
-        "        return self.last_change\n",
+        "        return self._announced_change_version\n",
+        "        return self.last_change_version\n",
         "tests/test_follower.py",
         "-k",
         "not_told",
@@ -679,8 +680,8 @@
     Mutation(
         "SIZE-idle-polls",
         f"{STEERING}/process/store/follower.py",
-        "IDLE_PEER_INTERVAL = 0.5",
-        "IDLE_PEER_INTERVAL = 0.05",
+        "IDLE_PEER_INTERVAL_SECONDS = 0.5",
+        "IDLE_PEER_INTERVAL_SECONDS = 0.05",
         "tests/test_follower.py",
         "-k",
         "looks_are_few",
@@ -850,7 +851,7 @@
     Mutation(
         "CONTAINED-longer-refusals",
         f"{STEERING}/process/quarantine/policies.py",
-        "self.initial_refusal_seconds * 2 ** (count - self.crashes_to_refuse)",
+        "self.initial_refusal_seconds * 2 ** (count - self.refusal_threshold)",
         "self.initial_refusal_seconds",
         "tests/test_containment.py",
         "-k",
