--- a/bench/places.py
+++ b/bench/places.py
@@ -12,7 +12,7 @@
 from heathercleat.steering.process.capacity.view import TargetView
 from heathercleat.steering.request.destinations import DestinationSelector
 from heathercleat.steering.request.estimates import Estimates
-from tests.steering_parts import Parts, beat, call, entry, route
+from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
 VMS_EACH = 6
@@ -56,7 +56,7 @@
     parts = Parts()
     for domain, region in DOMAINS.items():
         for number in range(VMS_EACH):
-            made = beat(f"{domain}-{number}", domain, region)
+            made = make_heartbeat(f"{domain}-{number}", domain, region)
             parts.members.record_heartbeat(made)
     names = list(DOMAINS)
     parts.registry.replace(
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -10,7 +10,7 @@
 from standins.demo import demo_text
 from standins.fleet import Fleet, wait_for
 from standins.load import Load
-from tests.test_covers import LONG_MS, SLOTS, long_text
+from tests.test_covers import LONG_TIMEOUT_MS, SLOTS, long_text
 
 NO_NEW_WORK_LIMIT = 5.0
 RUN_SECONDS = 8.0
@@ -239,18 +239,22 @@
     """Seconds until the idle slots of a killed VM are in use again."""
     with Fleet(long_text(), {"north-a": 2}, subnet=37) as fleet:
         slots = 2 * SLOTS
-        wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
+        wait_for(
+            lambda: fleet.free_slots() == slots, seconds=2 * LONG_TIMEOUT_MS / 1000
+        )
         time.sleep(1.0)
         home, _ = fleet.by_homes()
         home.process.kill()
         started = time.monotonic()
-        wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
+        wait_for(
+            lambda: fleet.free_slots() == slots, seconds=2 * LONG_TIMEOUT_MS / 1000
+        )
         seconds = time.monotonic() - started
     report.add(
         Row(
             "idle slots of a killed VM back",
             seconds,
-            LONG_MS / 1000,
+            LONG_TIMEOUT_MS / 1000,
             "s",
             "the longest timeout",
             0.15,
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -6,7 +6,7 @@
 from heathercleat.steering.process.directory import LOOKUP_TTL, MAX_OVER_SHARE
 from standins.simulated_clients import SimulatedClients
 from standins.stop_simulation import STOP_SECONDS, settled
-from tests.test_fleet_stops import Bill, in_turn
+from tests.test_fleet_stops import StopCosts, in_turn
 
 #: VMs of the fleets that are compared.
 SMALL, LARGE = 30, 72
@@ -44,8 +44,8 @@
 
 
 def _news_of_a_stop(size):
-    bill = Bill(settled(size), in_turn(STOPS))
-    return bill.spent.news / bill.stops / size
+    costs = StopCosts(settled(size), in_turn(STOPS))
+    return costs.spent.news / costs.stops / size
 
 
 def _most_over_share():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 
 
 #: Subnets between two workers that run tests at the same time.
-WORKER_STEP = 25
+SUBNETS_PER_WORKER = 25
 
 
 #: Tests that may fail, a line each: test, cause and issue, with bars between them.
@@ -48,7 +48,7 @@
 
 def pytest_configure(config):
     worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
-    offset = int(os.environ.get(SUBNET_VARIABLE, 0)) + WORKER_STEP * int(worker)
+    offset = int(os.environ.get(SUBNET_VARIABLE, 0)) + SUBNETS_PER_WORKER * int(worker)
     os.environ[SUBNET_VARIABLE] = str(offset)
 
 
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -82,7 +82,7 @@
     return made
 
 
-def beat(
+def make_heartbeat(
     vm="vm-2",
     domain="north-a",
     region="north",
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -45,10 +45,10 @@
 from tests.fakes import ManualClock
 from tests.steering_parts import call, entry
 from tests.test_crashing_requests import (
-    ATTEMPT_GAP,
+    ATTEMPT_INTERVAL_SECONDS,
     ATTEMPTS,
     DOWN_SECONDS,
-    Others,
+    OtherCallers,
     fleet,  # noqa: F401
 )
 from tests.test_steer import Scene
@@ -476,12 +476,12 @@
     paths = [f"/one/two/fatal-{number}" for number in range(ATTEMPTS)]
     fleet.set_fatal(paths, DOWN_SECONDS)
     vms = list(fleet.vms.values())
-    with Others(fleet, named=True) as others:
+    with OtherCallers(fleet, named=True) as others:
         time.sleep(WARM_UP_SECONDS)
         for number, path in enumerate(paths):
             name = "same" if is_known else f"new-{number}"
             vm, cookie = vms[number % len(vms)], f"Affinity-Key={name}"
             fleet.send(vm, "GET", path, f"q{number}", Cookie=cookie)
-            time.sleep(ATTEMPT_GAP)
+            time.sleep(ATTEMPT_INTERVAL_SECONDS)
     assert len(fleet.ends()) <= MOST_RUNS
     assert others.statuses.count(200) / len(others.statuses) >= SERVED_SHARE
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -20,7 +20,7 @@
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_members import heartbeat, record
 
-LONG_MS = 20_000
+LONG_TIMEOUT_MS = 20_000
 WORK_SECONDS = 6.0
 SLOTS = 2
 
@@ -168,7 +168,7 @@
         "method": "PUT",
         "path": "/",
         "run": "upload",
-        "timeout_ms": LONG_MS,
+        "timeout_ms": LONG_TIMEOUT_MS,
     }
     targets = {
         f"long-{number}": {"failure_domain": "north-a", "slots": SLOTS}
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -42,7 +42,7 @@
 from heathercleat.steering.request.local import LocalDispatcher
 from standins.steering_fleet import SteeringFleet
 from tests.platform_samples import config
-from tests.steering_parts import Parts, beat, call, entry
+from tests.steering_parts import Parts, call, entry, make_heartbeat
 from tests.test_steer import Scene, answered
 
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
@@ -51,7 +51,7 @@
 }
 #: Seconds that a target takes to come back, and between two attempts of the caller.
 DOWN_SECONDS = 1.0
-ATTEMPT_GAP = 0.25
+ATTEMPT_INTERVAL_SECONDS = 0.25
 ATTEMPTS = 40
 #: Seconds after the third end from which every VM that runs undisturbed knows of it,
 #: and runs after that: the most that operators bear.
@@ -82,7 +82,7 @@
         yield started
 
 
-class Others:
+class OtherCallers:
     """Callers that send another request of the same route without pause.
 
     :param named: whether their requests tell who sends them.
@@ -122,7 +122,7 @@
             self.statuses.append(answer[0])
 
 
-def send_again_and_again(fleet, method, path, attempts=ATTEMPTS):
+def send_repeatedly(fleet, method, path, attempts=ATTEMPTS):
     """Send the same request at each VM in turn; return the statuses."""
     vms = list(fleet.vms.values())
     statuses = []
@@ -130,7 +130,7 @@
         vm = vms[number % len(vms)]
         answer = fleet.send(vm, method, path, f"q{number}", Cookie="Affinity-Key=28")
         statuses.append(answer[0])
-        time.sleep(ATTEMPT_GAP)
+        time.sleep(ATTEMPT_INTERVAL_SECONDS)
     return statuses
 
 
@@ -139,8 +139,8 @@
 )
 def test_request_that_ended_three_targets_is_not_sent_on(fleet, method, path):
     fleet.set_fatal([path], DOWN_SECONDS)
-    with Others(fleet) as others:
-        statuses = send_again_and_again(fleet, method, path)
+    with OtherCallers(fleet) as others:
+        statuses = send_repeatedly(fleet, method, path)
     ends = [instant for instant, _ in fleet.ends()]
     later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
     served = others.statuses.count(200) / len(others.statuses)
@@ -152,7 +152,7 @@
 
 def test_each_end_of_a_target_is_logged_with_the_request(fleet):
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
-    send_again_and_again(fleet, "POST", "/one/fatal", attempts=2)
+    send_repeatedly(fleet, "POST", "/one/fatal", attempts=2)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     ended = [line for line in lines if line["name"] == "target_ended"]
     # The logs of all VMs, one after another: the owners of the targets wrote them.
@@ -164,7 +164,7 @@
 def test_quarantine_outlives_all_vms(fleet):
     """Its row is in the store; all VMs are killed and start again."""
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
-    send_again_and_again(fleet, "POST", "/one/fatal", attempts=12)
+    send_repeatedly(fleet, "POST", "/one/fatal", attempts=12)
     before = len(fleet.ends())
     for vm in fleet.vms.values():
         fleet.stop_vm(vm, signal.SIGKILL)
@@ -172,7 +172,7 @@
         fleet.restart_vm(vm)
     fleet.wait_ready()
     time.sleep(STABLE_SECONDS)
-    statuses = send_again_and_again(fleet, "POST", "/one/fatal", attempts=12)
+    statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=12)
     assert set(statuses) == {503}
     assert len(fleet.ends()) == before
 
@@ -189,7 +189,7 @@
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.2)
     rng = random.Random(at_once)
-    with Others(fleet) as others:
+    with OtherCallers(fleet) as others:
         for _ in range(waves):
             for each in rng.sample(list(TARGETS), at_once):
                 fleet.end_target(each)
@@ -204,7 +204,7 @@
 def test_lost_answers_of_targets_that_run_on_quarantine_nothing(fleet):
     for each in TARGETS:
         fleet.switch_target(each, lose=True)
-    statuses = send_again_and_again(fleet, "POST", "/one/x", attempts=12)
+    statuses = send_repeatedly(fleet, "POST", "/one/x", attempts=12)
     assert set(statuses) == {502}
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     assert "target_ended" not in {line["name"] for line in lines}
@@ -212,14 +212,14 @@
 
 def test_operators_lift_a_quarantine_by_its_row(fleet):
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
-    send_again_and_again(fleet, "POST", "/one/fatal", attempts=8)
+    send_repeatedly(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(2.0)
     fleet.set_fatal([], DOWN_SECONDS)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     caught = next(line for line in lines if line["name"] == "request_quarantined")
     fleet.put(QUARANTINE_TABLE, caught["fingerprint"], None)
     time.sleep(STABLE_SECONDS)
-    statuses = send_again_and_again(fleet, "POST", "/one/fatal", attempts=6)
+    statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=6)
     assert set(statuses) == {200}
 
 
@@ -281,9 +281,9 @@
 
 def test_request_that_begins_to_end_targets_that_answered_it_is_caught(fleet):
     path = "/one/two/fatal"
-    assert send_again_and_again(fleet, "GET", path, attempts=4) == [200] * 4
+    assert send_repeatedly(fleet, "GET", path, attempts=4) == [200] * 4
     fleet.set_fatal([path], DOWN_SECONDS)
-    statuses = send_again_and_again(fleet, "GET", path, attempts=32)
+    statuses = send_repeatedly(fleet, "GET", path, attempts=32)
     assert statuses[-8:] == [503] * 8
     ends = [instant for instant, _ in fleet.ends()]
     later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
@@ -299,7 +299,7 @@
     scene.suspects.record_crash("", "t3")
     tries = scene.steering._dispatcher
     place = Destination("vm-2", None, (), is_remote=False)
-    scene.parts.members.record_heartbeat(beat("vm-2"))
+    scene.parts.members.record_heartbeat(make_heartbeat("vm-2"))
     run(tries.run, scene.call(), place, (), scene.parts.clock.now() + 1.0)
     assert scene.suspects.refused_until("") is not None
 
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -107,7 +107,7 @@
     assert len(started.members.active()) == size
 
 
-class Bill:
+class StopCosts:
     """What stops cost beyond an idle fleet, and how many VMs stayed meanwhile.
 
     :param act: stops VMs of a fleet.
@@ -152,7 +152,7 @@
     ],
 )
 def test_stops_cost_each_vm_that_stays_the_same_in_every_fleet(size, act):
-    bill = Bill(settled(size), act)
+    bill = StopCosts(settled(size), act)
     assert bill.stops > 0
     assert bill.spent.writes == 2 * bill.stops
     assert bill.spent.reads == bill.stops
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -33,7 +33,7 @@
     MONITORED_OUTSIDE_REGION,
 )
 from standins.membership_simulation import REGIONS, Network, SimulatedVm, drive
-from tests.steering_parts import Parts, beat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
 TARGETS = [entry(f"t{number}") for number in range(8)]
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
 def test_vms_that_leave_own_targets_where_none_serves(domain):
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2", *domain, stage=LEAVING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", *domain, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
     parts.members.finish()
     assert owners_of(parts) == {"vm-2"}
@@ -68,7 +68,7 @@
 def test_nearest_vm_that_leaves_owns_targets():
     parts = Parts([*TARGETS, entry("far", domain="south-a")])
     parts.members.leave()
-    parts.members.record_heartbeat(beat("vm-2", *FAR, stage=LEAVING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", *FAR, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
     assert parts.owners.owner_of("far") == "vm-2"
 
@@ -78,22 +78,22 @@
     parts = Parts(TARGETS)
     parts.members.leave()
     assert owners_of(parts) == {"vm-1"}
-    parts.members.record_heartbeat(beat("vm-2", *domain))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", *domain))
     assert owners_of(parts) == {"vm-2"}
 
 
 def test_vm_that_starts_or_finishes_owns_nothing():
     parts = Parts(TARGETS)
     parts.members.finish()
-    parts.members.record_heartbeat(beat("vm-2", stage=FINISHING))
-    parts.members.record_heartbeat(beat("vm-3", stage=Stage.STARTING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", stage=FINISHING))
+    parts.members.record_heartbeat(make_heartbeat("vm-3", stage=Stage.STARTING))
     assert owners_of(parts) == {None}
 
 
 def test_weak_vm_that_leaves_owns_nothing_beside_a_strong_one():
     parts = Parts(TARGETS)
     parts.members.leave()
-    parts.members.record_heartbeat(beat("vm-2", strength=0.1, stage=LEAVING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", strength=0.1, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
 
 
@@ -104,7 +104,7 @@
     regions = {"north-a": "north", "south-a": "south"}
     stages = [Stage.SERVING] * serving + [LEAVING] * (count - serving)
     record_heartbeat = [
-        beat(f"fe-{number}", domain, regions[domain], stage=stage)
+        make_heartbeat(f"fe-{number}", domain, regions[domain], stage=stage)
         for number, stage in enumerate(stages)
         for domain in [list(regions)[number % 2]]
     ]
@@ -131,7 +131,7 @@
 
 def test_vm_that_leaves_is_named_only_where_none_serves():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2", *FAR, stage=LEAVING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", *FAR, stage=LEAVING))
     found, addresses = lookup(parts)
     assert addresses == [parts.settings.ip]
     assert found.ttl > SHORT_LOOKUP_TTL_SECONDS
@@ -145,7 +145,7 @@
 def test_vm_that_runs_no_requests_is_never_named(stage):
     parts = Parts(TARGETS)
     parts.members.finish()
-    parts.members.record_heartbeat(beat("vm-2", stage=stage))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", stage=stage))
     assert lookup(parts)[1] == []
 
 
@@ -177,7 +177,7 @@
 
 
 def test_vm_has_nothing_to_hand_over_where_another_serves():
-    assert Stop(beat("vm-2")).run(0.1)
+    assert Stop(make_heartbeat("vm-2")).run(0.1)
 
 
 def test_last_vm_keeps_its_targets_while_a_request_may_end_in_time():
@@ -187,21 +187,21 @@
 
 
 def test_last_vm_hands_over_to_one_that_serves_again():
-    stop = Stop(beat("vm-2", stage=FINISHING))
+    stop = Stop(make_heartbeat("vm-2", stage=FINISHING))
     assert not stop.run(1.0)
-    stop.parts.members.record_heartbeat(beat("vm-2", incarnation=2))
+    stop.parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=2))
     assert stop.run(1.1)
 
 
 def test_one_vm_of_a_region_stays_and_the_others_go_once_they_are_quiet():
     names = [f"vm-{number}" for number in range(2, 9)]
-    stop = Stop(*(beat(name, stage=LEAVING) for name in names))
+    stop = Stop(*(make_heartbeat(name, stage=LEAVING) for name in names))
     assert not stop.run(2.4)
     assert stop.run(3.0)
 
 
 def test_last_vm_of_a_region_stays_though_its_clients_are_quiet():
-    stop = Stop(beat("vm-2", *FAR, stage=LEAVING))
+    stop = Stop(make_heartbeat("vm-2", *FAR, stage=LEAVING))
     assert not stop.run(3.0)
 
 
@@ -211,7 +211,7 @@
 ):
     stop = Stop()
     stop.run(later)
-    stop.parts.members.record_heartbeat(beat("vm-2", stage=LEAVING))
+    stop.parts.members.record_heartbeat(make_heartbeat("vm-2", stage=LEAVING))
     assert not stop.run(1.5, has_clients=True)
     stop.short_at = stop.parts.clock.now()
     assert stop.run(1.6, has_clients=True) is hands_over
@@ -219,7 +219,7 @@
 
 def test_vm_with_clients_keeps_its_targets():
     names = [f"vm-{number}" for number in range(2, 9)]
-    stop = Stop(*(beat(name, stage=LEAVING) for name in names))
+    stop = Stop(*(make_heartbeat(name, stage=LEAVING) for name in names))
     assert not stop.run(3.7, has_clients=True)
     assert stop.run(3.9, has_clients=True)
 
@@ -271,7 +271,9 @@
     def deliver(self, parts, vm):
         stage, incarnation = self.stages[vm]
         domain = self.domains[vm]
-        told = beat(vm, domain, REGIONS[domain], incarnation=incarnation, stage=stage)
+        told = make_heartbeat(
+            vm, domain, REGIONS[domain], incarnation=incarnation, stage=stage
+        )
         parts.members.record_heartbeat(told)
 
     def owners(self, parts):
@@ -532,8 +534,8 @@
 
 def test_vms_that_stop_may_have_clients():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2", stage=FINISHING))
-    parts.members.record_heartbeat(beat("vm-3", stage=Stage.STARTING))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", stage=FINISHING))
+    parts.members.record_heartbeat(make_heartbeat("vm-3", stage=Stage.STARTING))
     parts.members.leave()
     names = {each.vm for each in parts.members.serving_or_stopping()}
     assert names == {"vm-1", "vm-2"}
@@ -565,7 +567,7 @@
 def test_what_a_vm_told_is_forgotten_with_it():
     parts = Parts([entry("t1", slots=4)])
     for vm in ("vm-2", "vm-3"):
-        parts.members.record_heartbeat(beat(vm, stage=LEAVING))
+        parts.members.record_heartbeat(make_heartbeat(vm, stage=LEAVING))
         parts.held.record_report(vm, [["t1", 1, 60.0]])
     parts.held.retain({"vm-3"})
     assert parts.held.count("t1", parts.clock.now()) == 1
@@ -591,7 +593,7 @@
             self.hear(vm)
 
     def hear(self, vm):
-        told = beat(vm, incarnation=self.incarnations[vm], stage=LEAVING)
+        told = make_heartbeat(vm, incarnation=self.incarnations[vm], stage=LEAVING)
         self.parts.members.record_heartbeat(told)
 
     @rule(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
     drive,
     first_object,
 )
-from tests.steering_parts import Parts, beat
+from tests.steering_parts import Parts, make_heartbeat
 
 SMALL, LARGE = 8, 60
 #: VMs of which a VM that starts greets some only.
@@ -112,7 +112,7 @@
     def digest(*vms):
         parts = Parts()
         for vm in vms:
-            parts.members.record_heartbeat(beat(vm, incarnation=7))
+            parts.members.record_heartbeat(make_heartbeat(vm, incarnation=7))
         return parts.members.digest
 
     assert digest("i-1", "i-2") != digest("i-0", "i-3")
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -19,7 +19,7 @@
     DestinationSelector,
 )
 from heathercleat.steering.request.estimates import Estimates
-from tests.steering_parts import Parts, beat, call, entry, route
+from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 NEAR, FAR = 2, 10
 OBJECTS = 240
@@ -36,7 +36,9 @@
         ]
         self.parts = parts = Parts(entries)
         clock, members = parts.clock, parts.members
-        members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
+        members.record_heartbeat(
+            make_heartbeat("vm-3", domain="south-a", region="south")
+        )
         self.rooms = rooms = CapacityReports(clock)
         self.report(SLOTS)
         times = ResponseTimes()
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-from tests.steering_parts import Parts, beat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 TARGETS = [entry(f"t{number}") for number in range(8)]
 
@@ -19,39 +19,43 @@
 
 def test_vms_of_a_domain_share_its_targets_evenly():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2"))
+    parts.members.record_heartbeat(make_heartbeat("vm-2"))
     owners = [parts.owners.owner_of(each.id) for each in TARGETS]
     assert owners.count("vm-1") == owners.count("vm-2") == len(TARGETS) // 2
 
 
 def test_vm_of_another_domain_owns_only_what_has_no_nearer_vm():
     parts = Parts([entry("t1"), entry("t2", domain="south-a")])
-    parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     assert parts.owners.owner_of("t1") == "vm-1"
     assert parts.owners.owner_of("t2") is not None
-    parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
+    parts.members.record_heartbeat(
+        make_heartbeat("vm-3", domain="south-a", region="south")
+    )
     assert parts.owners.owner_of("t2") == "vm-3"
 
 
 def test_silent_vm_loses_its_targets():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2"))
+    parts.members.record_heartbeat(make_heartbeat("vm-2"))
     pass_time(parts, 2.0)
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_vm_that_leaves_hands_its_targets_over_at_once():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2"))
-    parts.members.record_heartbeat(beat("vm-2", serving=False))
+    parts.members.record_heartbeat(make_heartbeat("vm-2"))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", serving=False))
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_heartbeat_of_an_earlier_process_is_ignored():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2", incarnation=5))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=5))
     assert (
-        parts.members.record_heartbeat(beat("vm-2", incarnation=4, serving=False))
+        parts.members.record_heartbeat(
+            make_heartbeat("vm-2", incarnation=4, serving=False)
+        )
         is None
     )
     assert parts.members.live("vm-2").serving
@@ -67,30 +71,30 @@
 def test_weak_vms_own_nothing_beside_strong_ones():
     parts = Parts(TARGETS)
     for number in range(2, 6):
-        parts.members.record_heartbeat(beat(f"vm-{number}", strength=0.1))
+        parts.members.record_heartbeat(make_heartbeat(f"vm-{number}", strength=0.1))
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-1"}
 
 
 def test_weak_vms_take_over_when_the_strong_ones_are_gone():
     parts = Parts(TARGETS, serving=False)
-    parts.members.record_heartbeat(beat("vm-2", strength=2.0))
-    parts.members.record_heartbeat(beat("vm-3", strength=0.3))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", strength=2.0))
+    parts.members.record_heartbeat(make_heartbeat("vm-3", strength=0.3))
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-2"}
-    parts.members.record_heartbeat(beat("vm-2", strength=2.0, serving=False))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", strength=2.0, serving=False))
     assert {parts.owners.owner_of(each.id) for each in TARGETS} == {"vm-3"}
 
 
 def test_all_vms_are_used_where_the_strong_ones_are_too_few():
     parts = Parts(TARGETS, serving=False)
-    parts.members.record_heartbeat(beat("vm-2", strength=1.0))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", strength=1.0))
     for number in range(3, 13):
-        parts.members.record_heartbeat(beat(f"vm-{number}", strength=0.4))
+        parts.members.record_heartbeat(make_heartbeat(f"vm-{number}", strength=0.4))
     assert len({parts.owners.owner_of(each.id) for each in TARGETS}) > 1
 
 
 def test_pause_of_this_process_is_no_silence_of_the_others():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2"))
+    parts.members.record_heartbeat(make_heartbeat("vm-2"))
     parts.clock.time += 5.0
     parts.members.check()
     assert parts.members.live("vm-2") is not None
@@ -100,7 +104,10 @@
 
 def test_vm_whose_clock_was_set_back_is_heard_again_after_its_restart():
     parts = Parts(TARGETS)
-    parts.members.record_heartbeat(beat("vm-2", incarnation=5))
+    parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=5))
     pass_time(parts, 2.0)
-    assert parts.members.record_heartbeat(beat("vm-2", incarnation=3)) is not None
+    assert (
+        parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=3))
+        is not None
+    )
     assert parts.members.live("vm-2").incarnation == 3
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -15,7 +15,7 @@
     DOWN_SECONDS,
     STABLE_SECONDS,
     fleet,  # noqa: F401
-    send_again_and_again,
+    send_repeatedly,
 )
 
 #: Seconds in which the VM that saw the third end has written the row.
@@ -30,7 +30,7 @@
 
 def test_operators_list_show_and_lift_a_quarantine(fleet, capsys):  # noqa: F811
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
-    send_again_and_again(fleet, "POST", "/one/fatal", attempts=8)
+    send_repeatedly(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(WRITTEN_SECONDS)
     fleet.set_fatal([], DOWN_SECONDS)
     settings = "--settings", next(iter(fleet.vms.values())).settings
@@ -42,7 +42,7 @@
     assert told(capsys, "show", fingerprint, *settings) == listed
     assert told(capsys, "lift", fingerprint, *settings) == {"lifted": fingerprint}
     time.sleep(STABLE_SECONDS)
-    statuses = send_again_and_again(fleet, "POST", "/one/fatal", attempts=6)
+    statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=6)
     assert set(statuses) == {200}
     assert told(capsys, "list", *settings) == []
     with pytest.raises(SystemExit) as caught:
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -33,7 +33,7 @@
     Steering,
 )
 from heathercleat.steering.version.routing import RequestKind
-from tests.steering_parts import Parts, beat, call, entry, route
+from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 NO_SLOT = "no free slot"
 #: Where the instant to wait until stands among the arguments of a try.
@@ -248,7 +248,9 @@
     """A VM of the north whose own target is full, and a target in the south."""
     far = entry("t9", domain="south-a", slots=10)
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), far], forwarded)
-    scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
+    scene.parts.members.record_heartbeat(
+        make_heartbeat("vm-3", domain="south-a", region="south")
+    )
     (own,) = scene.parts.ledger.all()
     own.claim(scene.parts.clock.now())
     scene.rooms.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
@@ -259,7 +261,7 @@
 def test_owner_that_does_not_report_here_is_tried(sticky):
     """VMs that carry no requests get no reports, and still serve who comes to them."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
-    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     made = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
     assert scene.run(made).status == 200
     assert len(scene.forward.tried) == 1
@@ -340,7 +342,7 @@
 def home_elsewhere_scene(forwarded):
     """A target of another VM, which reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
-    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     scene.rooms.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
     scene.response_times.record("r1", 0.1, True)
     scene.response_times.record("r1", 0.5, False)
--- a/tests/test_subnets.py
+++ b/tests/test_subnets.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from pathlib import Path
 
-from tests.conftest import WORKER_STEP
+from tests.conftest import SUBNETS_PER_WORKER
 
 SUBNET = re.compile(r"subnet=(\d+)|SUBNET = (\d+)")
 
@@ -18,5 +18,5 @@
     used = Counter()
     for path in Path(__file__).parent.glob("*.py"):
         numbers = {int(a or b) for a, b in SUBNET.findall(path.read_text())}
-        used.update(number % WORKER_STEP for number in numbers)
+        used.update(number % SUBNETS_PER_WORKER for number in numbers)
     assert [each for each, count in used.items() if count > 1] == []
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -13,7 +13,7 @@
     RegionTargets,
     TargetView,
 )
-from tests.steering_parts import Parts, beat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 ANY = lambda candidate: True  # noqa: E731
 
@@ -25,7 +25,7 @@
         entries = [entry(f"t{number}", slots=4) for number in range(own)]
         self.parts = Parts([*entries, entry("far", domain="south-a", slots=4)])
         self.parts.members.record_heartbeat(
-            beat("vm-3", domain="south-a", region="south")
+            make_heartbeat("vm-3", domain="south-a", region="south")
         )
         self.rooms = CapacityReports(self.parts.clock)
         self.view = TargetView(
@@ -127,7 +127,7 @@
         scene.parts.registry.update([], ["far"])
         assert "south" not in scene.view.regions("s1")
     else:
-        gone = beat("vm-3", domain="south-a", region="south", serving=False)
+        gone = make_heartbeat("vm-3", domain="south-a", region="south", serving=False)
         scene.parts.members.record_heartbeat(gone)
         assert scene.region("south").owners == ["vm-1"]
 
@@ -196,12 +196,16 @@
     losses = RegionLossRates(
         scene.parts.members, scene.rooms, pressure, scene.parts.clock
     )
-    scene.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
+    scene.parts.members.record_heartbeat(
+        make_heartbeat("vm-4", domain="south-a", region="south")
+    )
     scene.rooms.record_report("vm-3", [], [], [["s1", 0.2]])
     scene.rooms.record_report("vm-4", [], [], [["s1", 0.6]])
     assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
     assert losses.loss_rate("north", "s1") == 0.0
-    scene.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
+    scene.parts.members.record_heartbeat(
+        make_heartbeat("vm-5", domain="south-a", region="south")
+    )
     scene.parts.clock.time += CACHE_TTL_SECONDS
     assert losses.loss_rate("south", "s1") == pytest.approx(0.4)
     assert losses.loss_rate("nowhere", "s1") == 1.0
