--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,8 +7,7 @@
 from standins.demo import demo_text
 from standins.fleet import SUBNET_VARIABLE, Fleet
 
-#: Set to draw fresh examples; otherwise each run draws the same ones, so that a commit
-#: has one verdict.
+#: If set, Hypothesis draws fresh examples; otherwise its examples are reproducible.
 EXPLORE_VARIABLE = "HEATHERCLEAT_EXPLORE"
 settings.register_profile("same", derandomize=True)
 settings.register_profile("fresh", print_blob=True)
@@ -17,16 +16,16 @@
 VMS = {"north-a": 2, "north-b": 1, "south-a": 1, "south-b": 1}
 
 
-#: Subnets between two workers that run tests at the same time.
+#: Offset between the subnets of two pytest-xdist workers.
 SUBNETS_PER_WORKER = 25
 
 
-#: Tests that may fail, a line each: test, cause and issue, with bars between them.
+#: Tests that may fail, one per line: ``test | cause | issue``.
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
 def known_red():
-    """Return the cause of each test that may fail."""
+    """Return ``{test id: cause}`` of the tests that may fail."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -54,7 +53,7 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    """Five entry VMs in four failure domains of two regions, for one module."""
+    """Run five VMs in four failure domains of two regions, once per test module."""
     with Fleet(demo_text(), VMS, subnet=20) as running:
         running.wait_ready()
         yield running
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces."""
+"""Fakes of the clock, the platform, the peers and the VM."""
 
 from heathercleat.errors import PeerError, PlatformError
 from heathercleat.process.configuration.platform import ABSENT, Commit, Row
@@ -12,7 +12,7 @@
 
 
 class ManualClock:
-    """A clock that tests move by hand."""
+    """A clock that advances only when a test changes ``time``, in seconds."""
 
     def __init__(self):
         self.time = 100.0
@@ -25,7 +25,11 @@
 
 
 class FakePlatform:
-    """A table in memory whose next writes can fail before or after their effect."""
+    """A table in memory.
+
+    ``fail_before`` and ``fail_after`` are the numbers of next transactions that fail
+    before or after they take effect.
+    """
 
     def __init__(self):
         self.rows = {}
@@ -37,7 +41,7 @@
 
     async def transact(self, conditions, writes):
         self.transactions += 1
-        if self.down or self._take("fail_before"):
+        if self.down or self._consume("fail_before"):
             raise PlatformError("no effect")
         conflicts = tuple(
             each.key for each in conditions if self._version(each.key) != each.version
@@ -49,7 +53,7 @@
                     continue
                 version = self._version(write.key) + 1
                 self.rows[write.key] = Row(write.key, write.value, version)
-        if self._take("fail_after"):
+        if self._consume("fail_after"):
             raise PlatformError("the reply was lost")
         return Commit(conflicts)
 
@@ -78,11 +82,11 @@
     def _version(self, key):
         return self.rows[key].version if key in self.rows else ABSENT
 
-    def _take(self, name):
-        left = getattr(self, name)
-        if left:
-            setattr(self, name, left - 1)
-        return left > 0
+    def _consume(self, name):
+        remaining = getattr(self, name)
+        if remaining:
+            setattr(self, name, remaining - 1)
+        return remaining > 0
 
 
 class FakeLink:
@@ -91,10 +95,10 @@
 
 
 class FakeLinks:
-    """Calls to peers answered by a function, or by nobody."""
+    """Calls to peers, handled by a function; a result of ``None`` makes a call fail."""
 
-    def __init__(self, answer=None):
-        self._answer = answer
+    def __init__(self, respond=None):
+        self._respond = respond
         self.calls = []
 
     def to(self, host):
@@ -102,14 +106,14 @@
 
     async def call(self, host, item, timeout=None):
         self.calls.append((host, item))
-        answer = self._answer(host, item) if self._answer else None
-        if answer is None:
+        response = self._respond(host, item) if self._respond else None
+        if response is None:
             raise PeerError(f"{host} does not answer")
-        return answer
+        return response
 
 
 class FakeJournal:
-    """Keeps the events that were logged."""
+    """Records the logged events."""
 
     def __init__(self):
         self.events = []
@@ -119,7 +123,7 @@
 
 
 class FakeVm:
-    """The identity of a VM, for parts that are tested alone."""
+    """The identity of a VM, for components that are tested in isolation."""
 
     def __init__(self):
         self.settings = parse_settings(SETTINGS)
--- a/tests/platform_samples.py
+++ b/tests/platform_samples.py
@@ -1,4 +1,4 @@
-"""Documents of the platform, as its pages show them."""
+"""Sample documents in the formats of the platform."""
 
 SETTINGS = {
     "node": "vm-1",
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a steering VM for tests, with fakes at the interfaces."""
+"""Components of a steering VM for tests, without sockets."""
 
 from itertools import count
 
@@ -38,7 +38,7 @@
     started_ms=None,
     version=None,
 ):
-    """Return an entry, of a newer row than the ones before if no version is given."""
+    """Return a target entry; without a version, its row is newer than earlier ones."""
     return TargetEntry(
         id,
         service,
@@ -72,14 +72,14 @@
     )
 
 
-def call(clock, route=None, returned=False, affinity=None, id="c1"):
-    made = Call(id, b"GET", b"/", [], b"", route or _ROUTE, "s1", None)
-    made.arrived_at = clock.now()
-    made.deadline = clock.now() + 1.0
-    made.soft_deadline = clock.now() + 0.3
-    made.is_client_retry = returned
-    made.affinity = affinity
-    return made
+def call(clock, route=None, is_client_retry=False, affinity=None, id="c1"):
+    request = Call(id, b"GET", b"/", [], b"", route or _ROUTE, "s1", None)
+    request.arrived_at = clock.now()
+    request.deadline = clock.now() + 1.0
+    request.soft_deadline = clock.now() + 0.3
+    request.is_client_retry = is_client_retry
+    request.affinity = affinity
+    return request
 
 
 def make_heartbeat(
@@ -92,7 +92,7 @@
     store_answers=True,
     stage=None,
 ):
-    own = MemberUpdate(
+    update = MemberUpdate(
         vm,
         "127.0.9.2",
         domain,
@@ -104,11 +104,11 @@
         False,
         strength,
     )
-    return Heartbeat(own, 0.15, 0, 0, store_answers, 0, [], [], [], [], [], 0, [])
+    return Heartbeat(update, 0.15, 0, 0, store_answers, 0, [], [], [], [], [], 0, [])
 
 
 class Parts:
-    """One VM's beliefs, without sockets."""
+    """The capacity and membership components of one VM."""
 
     def __init__(self, entries=(), serving=True):
         self.clock = ManualClock()
@@ -117,8 +117,8 @@
         self.registry = TargetRegistry(self.journal, self.clock)
         self.members = Members(self.settings, self.journal, self.clock, 1)
         self.owners = Owners(self.registry, self.members)
-        self.rooms = CapacityReports(self.clock)
-        self.held = HeldSlots(self.members, self.rooms, self.clock)
+        self.capacity_reports = CapacityReports(self.clock)
+        self.held = HeldSlots(self.members, self.capacity_reports, self.clock)
         self.ledger = SlotLedger(
             self.owners,
             self.registry,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -17,15 +17,15 @@
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
 
-#: Requests at a time that would wait too long for one slot.
+#: Number of concurrent requests that would wait too long for one slot.
 BURST = 40
 
 
 class FakeMembership:
-    acts = True
+    can_act = True
 
     def may_act(self):
-        return self.acts
+        return self.can_act
 
 
 class FakeDirectory:
@@ -34,7 +34,10 @@
 
 
 class FakeHolder:
-    """Holds a lease of one slot, and tells whether a search fell short."""
+    """A lease holder with a lease of one slot.
+
+    :param fell_short: whether the last search for leases found too few slots.
+    """
 
     def __init__(self, fell_short):
         self.fell_short = fell_short
@@ -134,7 +137,7 @@
     assert order == ["early", "late"]
 
 
-def test_refusal_comes_at_once_with_an_instant_to_return_at():
+def test_refusal_is_immediate_and_has_a_retry_instant():
     vm, _, _, admission = make_parts(queue={"limit": 0, "wait_ms": 400})
 
     async def act():
@@ -151,7 +154,7 @@
     assert caught.value.retry_at > SystemClock().wall()
 
 
-def test_returns_of_refused_callers_are_spread():
+def test_retry_instants_of_refused_callers_are_spread():
     vm, _, _, admission = make_parts(queue={"limit": 0, "wait_ms": 400})
 
     async def act():
@@ -170,16 +173,16 @@
 
 def test_vm_that_may_not_act_admits_nothing_locally():
     vm, ledger, _, admission = make_parts(queue={"limit": 0, "wait_ms": 400})
-    FakeMembership.acts = False
+    FakeMembership.can_act = False
     try:
         with pytest.raises(HeathercleatError) as caught:
             run(admission.acquire, make_call(vm))
     finally:
-        FakeMembership.acts = True
+        FakeMembership.can_act = True
     assert code_of(caught) is ResultCode.NO_ROOM
 
 
-def test_requests_wait_for_a_lease_where_no_slot_is_homed():
+def test_requests_wait_for_a_lease_if_no_slot_is_homed_here():
     vm, ledger, _, admission = make_parts()
     ledger.drop_all()
 
@@ -217,14 +220,14 @@
     assert bool(refused) is fell_short
 
 
-def test_waiter_whose_time_is_over_takes_what_became_free_meanwhile():
+def test_waiter_that_times_out_gets_a_slot_freed_meanwhile():
     vm, ledger, _, admission = make_parts(queue={"limit": 8, "wait_ms": 100})
     entry = ledger.targets["t2"]
     entry.holds = [Hold(SystemClock().now() + 0.05) for _ in range(2)]
     assert run(admission.acquire, make_call(vm)).target.name == "t2"
 
 
-def test_stall_of_this_process_does_not_lengthen_the_wait_expected():
+def test_stall_of_this_process_does_not_lengthen_the_expected_wait():
     clock = ManualClock()
     vm, _, _, admission = make_parts(clock)
     call = make_call(vm, clock=clock)
@@ -239,7 +242,7 @@
     assert admission.expected_wait(call.service) < 2 * expected
 
 
-def test_cancelled_waiter_leaves_no_slot_behind():
+def test_cancelled_waiter_holds_no_slot():
     vm, ledger, _, admission = make_parts()
 
     async def act():
@@ -255,22 +258,22 @@
 
 
 class FakeCallerStream:
-    """The connection of a caller that leaves when told to."""
+    """The connection of a caller; ``disconnect`` closes it."""
 
     is_request_complete = True
 
     def __init__(self):
-        self._left = Event()
+        self._disconnected = Event()
 
-    async def leave(self):
-        await self._left.set()
+    async def disconnect(self):
+        await self._disconnected.set()
 
     async def wait_closed(self):
-        await self._left.wait()
+        await self._disconnected.wait()
         return True
 
 
-def test_caller_that_leaves_the_queue_makes_room_at_once():
+def test_disconnected_caller_leaves_the_queue_at_once():
     vm, _, _, admission = make_parts()
 
     async def act():
@@ -281,7 +284,7 @@
         waiting = await spawn(admission.acquire, call)
         await sleep(0.01)
         assert admission.waiting_count("lookup") == 1
-        await call.stream.leave()
+        await call.stream.disconnect()
         await sleep(0.01)
         assert admission.waiting_count("lookup") == 0
         with pytest.raises(TaskError) as caught:
@@ -291,7 +294,7 @@
     assert isinstance(run(act), CallerDisconnectedError)
 
 
-def test_caller_that_leaves_as_its_turn_comes_leaves_no_slot_behind():
+def test_caller_that_disconnects_when_admitted_holds_no_slot():
     vm, ledger, _, admission = make_parts()
 
     async def act():
@@ -300,7 +303,7 @@
         call.stream = FakeCallerStream()
         await spawn(admission.acquire, call, daemon=True)
         await sleep(0.01)
-        await call.stream.leave()
+        await call.stream.disconnect()
         for permit in permits:
             await admission.release(make_call(vm), permit, True)
         await sleep(0.05)
@@ -343,7 +346,7 @@
     assert ledger.targets["t2"].block_reason == "ejected"
 
 
-def test_retries_are_a_share_of_the_requests():
+def test_retries_are_limited_to_a_share_of_the_requests():
     budget = RetryBudget()
     allowed = 0
     for _ in range(1000):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -30,13 +30,13 @@
 
 
 def get(vm, path="/x", **headers):
-    place = vm.host, PORTS["caller"]
-    return call(*place, "GET", f"/s/{SERVICE}{path}", headers=headers)
+    address = vm.host, PORTS["caller"]
+    return call(*address, "GET", f"/s/{SERVICE}{path}", headers=headers)
 
 
 @contextmanager
-def raw_target(answer, host):
-    """Serve ``answer`` (bytes) to every request on ``host`` but probes."""
+def raw_target(response, host):
+    """Send ``response``, in bytes, to each request on ``host`` except for probes."""
     listener = socket.create_server((host, 9000))
     listener.settimeout(0.1)
     stopping = threading.Event()
@@ -48,8 +48,8 @@
             except TimeoutError:
                 continue
             with sock:
-                asked = sock.recv(65536)
-                sock.sendall(READY if b"/health" in asked else answer)
+                request = sock.recv(65536)
+                sock.sendall(READY if b"/health" in request else response)
 
     thread = threading.Thread(target=serve)
     thread.start()
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
@@ -83,31 +83,31 @@
     ],
     ids=["short", "cut chunks", "no length", "two lengths", "both", "garbage", "none"],
 )
-def test_a_cut_or_malformed_answer_never_looks_whole(answer):
+def test_truncated_or_malformed_response_never_looks_complete(response):
     fleet = Fleet(text_with_raw_target(), {"north-a": 1}, subnet=27)
     host = fleet.targets["raw"][0]
     fleet.targets.clear()
-    with raw_target(answer, host), fleet:
+    with raw_target(response, host), fleet:
         fleet.wait_ready()
         vm = next(iter(fleet.vms.values()))
-        got = read_all(vm)
-    assert b'"code"' in got or is_cut(got)
+        received = read_all(vm)
+    assert b'"code"' in received or is_truncated(received)
 
 
 def read_all(vm):
-    """Return what comes for one request until the connection closes."""
+    """Return the bytes received for one request until the connection closes."""
     request = f"GET /s/{SERVICE}/x HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
     with socket.create_connection((vm.host, PORTS["caller"]), timeout=5) as sock:
         sock.sendall(request.encode())
-        got = b""
+        received = b""
         while part := sock.recv(65536):
-            got += part
-    return got
+            received += part
+    return received
 
 
-def is_cut(answer):
-    """Return whether a caller can see that an answer is not whole."""
-    head, _, body = answer.partition(b"\r\n\r\n")
+def is_truncated(response):
+    """Return whether a caller can detect that a response is incomplete."""
+    head, _, body = response.partition(b"\r\n\r\n")
     head = head.lower()
     if b"content-length: 100" in head:
         return len(body) < 100
@@ -116,40 +116,44 @@
 
 def test_idempotent_request_is_retried_at_another_target(fleet, vm):
     fleet.switch_target("style-north-a", shed=True)
-    answers = [get(vm) for _ in range(10)]
-    assert {answer[0] for answer in answers} == {200}
-    assert {answer[1]["heathercleat-target"] for answer in answers} == {"style-north-b"}
+    responses = [get(vm) for _ in range(10)]
+    assert {response[0] for response in responses} == {200}
+    assert {response[1]["heathercleat-target"] for response in responses} == {
+        "style-north-b"
+    }
     assert not fleet.record("style-north-a")["runs"]
 
 
-def test_target_that_fails_its_work_but_not_its_probe_is_found(fleet, vm):
+def test_target_that_fails_requests_but_not_probes_is_ejected(fleet, vm):
     fleet.switch_target("style-north-a", fail=True, lie=True)
     for _ in range(MAX_FAILURES):
         get(vm)
-    answers = [get(vm) for _ in range(5)]
-    assert {answer[0] for answer in answers} == {200}
-    assert {answer[1]["heathercleat-target"] for answer in answers} == {"style-north-b"}
+    responses = [get(vm) for _ in range(5)]
+    assert {response[0] for response in responses} == {200}
+    assert {response[1]["heathercleat-target"] for response in responses} == {
+        "style-north-b"
+    }
 
 
-def test_server_error_of_an_edit_is_not_called_run(fleet, vm):
+def test_server_error_of_an_edit_is_not_reported_as_run(fleet, vm):
     for name in fleet.targets:
         if name.startswith("rule"):
             fleet.switch_target(name, fail=True)
-    place = vm.host, PORTS["caller"]
-    status, headers, _ = call(*place, "POST", "/s/rule-editing/rules", b"{}")
+    address = vm.host, PORTS["caller"]
+    status, headers, _ = call(*address, "POST", "/s/rule-editing/rules", b"{}")
     assert (status, headers["heathercleat-run"]) == (500, "unknown")
 
 
-def test_draining_target_gets_no_new_work_after_seconds(fleet, vm):
+def test_draining_target_gets_no_new_requests(fleet, vm):
     fleet.switch_target("style-north-a", health="draining")
     time.sleep(2.5)
     before = len(fleet.record("style-north-a")["runs"])
-    answers = [get(vm) for _ in range(10)]
-    assert {answer[0] for answer in answers} == {200}
+    responses = [get(vm) for _ in range(10)]
+    assert {response[0] for response in responses} == {200}
     assert len(fleet.record("style-north-a")["runs"]) == before
 
 
-def test_caller_that_leaves_cancels_its_request(fleet, vm):
+def test_disconnected_caller_cancels_its_request(fleet, vm):
     fleet.switch_target("style-north-a", service_s=0.9)
     with socket.create_connection((vm.host, PORTS["caller"])) as sock:
         sock.sendall(f"GET /s/{SERVICE}/x HTTP/1.1\r\nhost: x\r\n\r\n".encode())
@@ -157,7 +161,7 @@
     wait_for(lambda: fleet.record("style-north-a")["in_flight"] == 0, seconds=0.6)
 
 
-def test_late_answer_never_reaches_the_next_caller(fleet, vm):
+def test_late_response_never_reaches_the_next_caller(fleet, vm):
     fleet.switch_target("style-north-a", service_s=1.2)
     fleet.switch_target("style-north-b", service_s=1.2)
     status, headers, _ = get(vm, "/late")
@@ -170,15 +174,15 @@
         assert (status, body.split()[1]) == (200, b"GET")
 
 
-def test_pipelined_requests_get_their_own_answers_in_order(fleet, vm):
+def test_pipelined_requests_get_their_own_responses_in_order(fleet, vm):
     request = (
         "PUT /s/intake/uploads/{0} HTTP/1.1\r\nhost: x\r\ncontent-length: {0}\r\n\r\n"
     )
     data = b"".join(request.format(size).encode() + b"a" * size for size in (3, 5, 7))
     with socket.create_connection((vm.host, PORTS["caller"]), timeout=5) as sock:
         sock.sendall(data)
-        got = b""
-        while got.count(b"\n", 0) < 3 or got.count(b"PUT ") < 3:
-            got += sock.recv(65536)
-    sizes = [int(part.split()[0]) for part in got.split(b"PUT ")[1:]]
+        received = b""
+        while received.count(b"\n", 0) < 3 or received.count(b"PUT ") < 3:
+            received += sock.recv(65536)
+    sizes = [int(part.split()[0]) for part in received.split(b"PUT ")[1:]]
     assert sizes == [3, 5, 7]
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -9,7 +9,7 @@
 
 
 class FakeStream:
-    """A connection whose answer has come by the time the request is sent."""
+    """A connection that has received the complete response when a request is sent."""
 
     def __init__(self):
         self.bytes_sent = 0
@@ -44,18 +44,18 @@
     call.headers = [(b"host", b"x")]
     upstream = Upstream("t", "127.0.0.1", 1, (), None, False)
 
-    async def end():
-        await made.finish(is_complete=True)
+    async def on_end():
+        await new_attempt.finish(is_complete=True)
 
-    made = Attempt(call, upstream, FakePool(), ManualClock(), end)
-    return made
+    new_attempt = Attempt(call, upstream, FakePool(), ManualClock(), on_end)
+    return new_attempt
 
 
-def test_deadline_before_a_connection_is_not_run(attempt):
+def test_timeout_before_a_connection_is_reported_as_not_run(attempt):
     assert attempt.timeout_error().code.run is Run.NOT_RUN
 
 
-def test_deadline_after_the_end_of_the_answer_is_never_called_not_run(attempt):
+def test_timeout_after_the_response_is_never_reported_as_not_run(attempt):
     async def act():
         await attempt.send()
         await attempt.read_head()
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("is_complete", [True, False])
-def test_deadline_after_a_request_was_sent_is_never_called_not_run(
+def test_timeout_after_a_request_was_sent_is_never_reported_as_not_run(
     attempt, is_complete
 ):
     async def act():
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -16,21 +16,21 @@
     return path
 
 
-def test_binary_is_the_same_byte_for_byte(binary, tmp_path):
+def test_build_of_the_binary_is_reproducible(binary, tmp_path):
     again = tmp_path / "again"
     command = [sys.executable, str(ROOT / "tools" / "build_binary.py"), str(again)]
     subprocess.run(command, check=True, capture_output=True)
     assert again.read_bytes() == binary.read_bytes()
 
 
-def test_binary_runs_alone(binary, tmp_path):
+def test_binary_runs_without_other_files(binary, tmp_path):
     example = ROOT / "examples" / "agencia.jsonc"
     command = [sys.executable, "-I", str(binary), "check", str(example)]
     result = subprocess.run(command, capture_output=True, text=True, cwd=tmp_path)
     assert "no findings" in result.stdout
 
 
-def test_binary_serves_starts_no_process_and_writes_no_file(binary):
+def test_binary_serves_without_child_processes_or_written_files(binary):
     program = [sys.executable, "-I", str(binary)]
     with Fleet(demo_text(), {"north-a": 1}, program, subnet=28) as fleet:
         fleet.wait_ready()
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -1,14 +1,6 @@
-"""Clients that close their connection while their request waits at another VM.
+"""A request whose client disconnected must not reach a target from the owner's queue.
 
-Requests reached targets up to a second after their clients had left. The order of
-events: a request that may run once only is forwarded to the VM that owns the targets,
-and waits there for a slot; it is late, so its wait there lasts a second; its client
-leaves. The VM of the client noticed that, but told the owner only of requests that may
-run more than once: cutting a connection to a target does not undo what runs there. The
-owner's own connection is another matter: nothing has run while a request waits there.
-
-The evidence, from a day's record: the client left front-cartagena-b-1 at 26.370 s, and
-its request reached a target at 27.325 s, from front-cartagena-b-2.
+This holds also for requests that may run at most once, as waiting ones have not run.
 """
 
 import socket
@@ -23,14 +15,14 @@
 
 DOMAINS = {"north-a": "north", "north-b": "north"}
 TARGETS = {"i-1": ("s1", "north-a", 2)}
-#: Seconds that a request takes, and after which the client leaves: it is late then, and
-#: the slot comes free 0.6 s later, within one wait at the owner.
-WORK = 1.4
-LEAVE_AFTER = 0.8
+#: Seconds for which a target runs a request.
+WORK_SECONDS = 1.4
+#: Seconds after which the client disconnects, while its request waits at the owner.
+DISCONNECT_SECONDS = 0.8
 
 
 def long_config():
-    """Return a configuration with time for a long wait."""
+    """Return a configuration with a timeout of several seconds."""
     document = config()
     for path in document["hosts"][0]["paths"]:
         path["timeout"] = "5000ms"
@@ -45,7 +37,7 @@
         yield started
 
 
-def send_and_leave(vm, method, path, request_id, seconds):
+def send_and_disconnect(vm, method, path, request_id, seconds):
     """Send a request and close the connection some seconds later."""
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {request_id}\r\n"
@@ -59,10 +51,12 @@
 @pytest.mark.parametrize(
     ("method", "path"), [("POST", "/one/x"), ("GET", "/one/two/x")]
 )
-def test_request_whose_client_left_does_not_get_the_next_slot(fleet, method, path):
+def test_request_whose_client_disconnected_does_not_get_the_next_slot(
+    fleet, method, path
+):
     owner, other = fleet.vms["north-a-1"], fleet.vms["north-b-1"]
-    fleet.switch_target("i-1", work_s=WORK)
-    taking = [
+    fleet.switch_target("i-1", work_s=WORK_SECONDS)
+    occupying = [
         threading.Thread(
             target=fleet.send,
             args=(owner, "POST", "/one/x", f"q{number}"),
@@ -70,11 +64,11 @@
         )
         for number in range(2)
     ]
-    for each in taking:
+    for each in occupying:
         each.start()
     wait_for(lambda: len(fleet.runs()) == 2)
-    send_and_leave(other, method, path, "left", LEAVE_AFTER)
-    for each in taking:
+    send_and_disconnect(other, method, path, "left", DISCONNECT_SECONDS)
+    for each in occupying:
         each.join()
-    time.sleep(2 * WORK)
+    time.sleep(2 * WORK_SECONDS)
     assert sorted(run[0] for run in fleet.runs()) == ["q0", "q1"]
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -13,7 +13,7 @@
 SOURCES = [path.read_text() for path in (ROOT / "src").rglob("*.py")]
 
 
-def rows(name):
+def table_rows(name):
     lines = (DOCS / name).read_text().splitlines()
     cells = [line.strip("|").split("|") for line in lines if re.match(r"\| \d", line)]
     return [[cell.strip(" `") for cell in row] for row in cells]
@@ -21,7 +21,8 @@
 
 def test_result_codes_and_their_table_agree():
     documented = [
-        (row[0], row[1], row[2], row[3], row[5]) for row in rows("result-codes.md")
+        (row[0], row[1], row[2], row[3], row[5])
+        for row in table_rows("result-codes.md")
     ]
     coded = [
         (
@@ -37,7 +38,7 @@
 
 
 def test_events_and_their_catalogue_agree():
-    documented = [(row[0], row[1]) for row in rows("events.md")]
+    documented = [(row[0], row[1]) for row in table_rows("events.md")]
     assert documented == [(str(event.number), event.name.lower()) for event in Event]
 
 
@@ -48,7 +49,7 @@
 
 
 @pytest.mark.parametrize("event", Event, ids=lambda event: event.name)
-def test_every_event_is_written_somewhere(event):
+def test_every_event_is_logged_somewhere(event):
     assert any(f"Event.{event.name}" in source for source in SOURCES)
 
 
@@ -67,7 +68,7 @@
     assert documented == own
 
 
-def test_links_between_pages_lead_somewhere():
+def test_links_between_pages_are_not_broken():
     pages = [*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")]
     for page in pages:
         for target in re.findall(r"\]\(([^)#]+)", page.read_text()):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -32,7 +32,7 @@
     return Edit(edit_id, "operator", base, make_document(comment))
 
 
-def make_keeper(platform=None):
+def make_manager(platform=None):
     vm, clock, directory = FakeVm(), ManualClock(), Directory()
     links = FakeLinks()
     membership = Membership(vm, links, clock)
@@ -54,13 +54,13 @@
     return unpack_head(platform.rows[HEAD_KEY].value).version
 
 
-def test_edits_follow_one_another(editor, platform):
+def test_edits_create_consecutive_versions(editor, platform):
     assert run(editor.apply, make_edit("e1", 0)) == 1
     assert run(editor.apply, make_edit("e2", 1)) == 2
     assert [head.version for head in run(editor.history)] == [2, 1]
 
 
-def test_of_two_racing_edits_one_wins_and_the_other_sees_the_lines(editor, platform):
+def test_later_of_two_conflicting_edits_fails_with_the_changed_lines(editor, platform):
     run(editor.apply, make_edit("e1", 0))
     run(editor.apply, make_edit("e2", 1, comment="theirs"))
     with pytest.raises(ConflictError) as caught:
@@ -75,14 +75,14 @@
     assert head_version(platform) == 1
 
 
-def test_repeated_edit_takes_effect_once(editor, platform):
+def test_retried_edit_takes_effect_once(editor, platform):
     run(editor.apply, make_edit("e1", 0))
     run(editor.apply, make_edit("e2", 1))
     assert run(editor.apply, make_edit("e1", 0)) == 1
     assert head_version(platform) == 2
 
 
-def test_edit_without_an_answer_is_unknown_not_refused(editor, platform):
+def test_edit_without_a_reply_is_unknown_not_refused(editor, platform):
     platform.fail_before = 99
     with pytest.raises(HeathercleatError) as caught:
         run(editor.apply, make_edit("e1", 0))
@@ -101,33 +101,33 @@
     assert not platform.rows
 
 
-def test_keeper_never_goes_back():
-    keeper = make_keeper()
-    assert keeper.adopt(3, make_document("three").pack(), "peer")
-    assert not keeper.adopt(2, make_document("two").pack(), "lagging peer")
-    assert not keeper.adopt(3, make_document("other three").pack(), "peer")
-    assert keeper.version == 3
-    assert keeper.document.source.startswith("// three")
+def test_manager_never_adopts_an_older_version():
+    manager = make_manager()
+    assert manager.adopt(3, make_document("three").pack(), "peer")
+    assert not manager.adopt(2, make_document("two").pack(), "lagging peer")
+    assert not manager.adopt(3, make_document("other three").pack(), "peer")
+    assert manager.version == 3
+    assert manager.document.source.startswith("// three")
 
 
-def test_keeper_keeps_what_is_in_force_when_a_newer_one_is_broken():
-    keeper = make_keeper()
-    keeper.adopt(1, make_document().pack(), "peer")
-    assert not keeper.adopt(2, b"\xc1", "peer")
-    assert not keeper.adopt(2, Document("{}", {}).pack(), "peer")
-    assert keeper.version == 1
+def test_manager_keeps_its_version_if_a_newer_one_is_invalid():
+    manager = make_manager()
+    manager.adopt(1, make_document().pack(), "peer")
+    assert not manager.adopt(2, b"\xc1", "peer")
+    assert not manager.adopt(2, Document("{}", {}).pack(), "peer")
+    assert manager.version == 1
 
 
 def test_damaged_object_is_not_adopted(editor, platform):
     run(editor.apply, make_edit("e1", 0))
     key = object_key(make_document().pack())
     platform.objects[key] = make_document("damaged").pack()
-    keeper = make_keeper(platform)
-    assert not run(keeper.read_platform)
-    assert keeper.version == 0
+    manager = make_manager(platform)
+    assert not run(manager.read_platform)
+    assert manager.version == 0
 
 
-def test_drain_that_leaves_too_little_is_refused_with_the_figure():
+def test_drain_that_leaves_too_few_slots_is_refused_with_the_numbers():
     drain = parse_drain("d1", "target", "t1", 0)
     with pytest.raises(HeathercleatError, match="2 of 6 slots") as caught:
         plan_drain(make_document(), drain, now=10.0)
@@ -144,7 +144,7 @@
     assert cancel_drain(planned, "d1", now=60.0).drains == {}
 
 
-def test_earlier_drains_count():
+def test_earlier_drains_reduce_the_headroom():
     document = make_document(min_slots=2)
     planned = plan_drain(document, parse_drain("d1", "target", "t1", 0), now=10.0)
     with pytest.raises(HeathercleatError, match="0 of 6 slots"):
@@ -160,13 +160,13 @@
 
 
 class EditsMachine(RuleBasedStateMachine):
-    """Operators race while replies are lost; readers lag behind at random."""
+    """Concurrent edits with lost replies, and readers with outdated versions."""
 
     def __init__(self):
         super().__init__()
         self.platform = FakePlatform()
         self.editor = Editor(self.platform, ManualClock())
-        self.keepers = [make_keeper(self.platform) for _ in range(2)]
+        self.managers = [make_manager(self.platform) for _ in range(2)]
         self.accepted = {}
         self.seen = [0, 0]
         self.number = 0
@@ -190,23 +190,23 @@
 
     @rule(reader=st.integers(0, 1))
     def read(self, reader):
-        run(self.keepers[reader].read_platform)
+        run(self.managers[reader].read_platform)
 
     @rule(reader=st.integers(0, 1))
     def gossip(self, reader):
-        other = self.keepers[1 - reader]
+        other = self.managers[1 - reader]
         if other.version:
-            self.keepers[reader].adopt(other.version, other.data, "peer")
+            self.managers[reader].adopt(other.version, other.data, "peer")
 
     def latest(self):
         row = self.platform.rows.get(HEAD_KEY)
         return 0 if row is None else unpack_head(row.value).version
 
     @invariant()
-    def accepted_versions_stand_and_nobody_goes_back(self):
+    def accepted_versions_persist_and_no_reader_reverts(self):
         for version, document in self.accepted.items():
             assert run(self.editor.show, version) == document
-        versions = [keeper.version for keeper in self.keepers]
+        versions = [manager.version for manager in self.managers]
         assert all(a >= b for a, b in zip(versions, self.seen, strict=True))
         self.seen = versions
 
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -81,7 +81,7 @@
     parts = Parts([entry("t1", slots=1)])
     late = call(parts.clock, id="late")
     late.soft_deadline = parts.clock.now() - 1.0
-    back = call(parts.clock, returned=True, id="back")
+    back = call(parts.clock, is_client_retry=True, id="back")
     first = call(parts.clock, id="first")
     assert order_of(parts, [late, first, back]) == ["back", "first", "late"]
 
