--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -1,7 +1,6 @@
-"""Limits on what requests cost that differ each time.
+"""A sender whose requests all differ must not crash targets without a limit.
 
-Another request each time ended two targets each: its fingerprint was new, so that no
-memory of ends held it.
+Each request has a new fingerprint, so limits per request do not apply.
 """
 
 import random
@@ -54,13 +53,13 @@
 from tests.test_steer import Scene
 from tests.test_suspects import tell
 
-HEARTBEATS = 12
+HEARTBEATS_TO_CONVERGE = 12
 ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
-LIVES = [f"i-{number}" for number in range(MAX_CRASHES + 4)]
+INCARNATIONS = [f"i-{number}" for number in range(MAX_CRASHES + 4)]
 
 
 class View:
-    """What one VM knows."""
+    """The containment of one VM, and requests that arrive there."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -69,39 +68,39 @@
         self._requests = iter(range(1_000_000))
 
     def call(self, name=None, path=None):
-        """Return a request of a sender, by default another one each time."""
-        made = call(self.clock)
+        """Return a request, by default with a new path each time."""
+        request = call(self.clock)
         path = path or b"/%d-%d" % (id(self), next(self._requests))
-        made.headers = [(b"host", b"a")]
+        request.headers = [(b"host", b"a")]
         if name is not None:
-            made.headers.append((b"cookie", name))
-        made.fingerprint = fingerprint(b"GET", path, made.headers, b"")
-        return made
+            request.headers.append((b"cookie", name))
+        request.fingerprint = fingerprint(b"GET", path, request.headers, b"")
+        return request
 
-    def refusal(self, made):
-        return self.containment.refusal(made)
+    def refusal(self, request):
+        return self.containment.refusal(request)
 
     def is_refused(self, name=None):
         return self.refusal(self.call(name)) is not None
 
-    def end(self, life, made=None, name=None):
-        """Have a target end under a request that was let through."""
-        made = made or self.call(name)
-        assert self.refusal(made) is None
-        result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
-        result.crashed_incarnation = life
-        self.containment.record_result(made, result, False)
-
-    def answer(self, made=None, name=None):
-        """Have a target answer a request that was let through."""
-        made = made or self.call(name)
-        assert self.refusal(made) is None
+    def record_crash(self, incarnation, request=None, name=None):
+        """Admit a request and record that it crashed a target."""
+        request = request or self.call(name)
+        assert self.refusal(request) is None
+        result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
+        result.crashed_incarnation = incarnation
+        self.containment.record_result(request, result, False)
+
+    def record_response(self, request=None, name=None):
+        """Admit a request, record its response, and return the request."""
+        request = request or self.call(name)
+        assert self.refusal(request) is None
         self.containment.record_result(
-            made,
+            request,
             AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
             False,
         )
-        return made
+        return request
 
 
 @pytest.fixture
@@ -110,106 +109,110 @@
 
 
 def limit_sender(view, name=b"k=1"):
-    view.answer(name=name)
+    view.record_response(name=name)
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for life in LIVES[: SENDER_POLICY.crashes_to_refuse]:
-        view.end(life, name=name)
+    for incarnation in INCARNATIONS[: SENDER_POLICY.crashes_to_refuse]:
+        view.record_crash(incarnation, name=name)
 
 
-def limit_strangers(view):
-    for life in LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]:
-        view.end(life)
+def limit_unknown_senders(view):
+    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]:
+        view.record_crash(incarnation)
 
 
-def test_sender_of_another_ending_request_each_time_is_refused(view):
+def test_sender_of_different_fatal_requests_is_refused(view):
     limit_sender(view)
     refusal = view.refusal(view.call(b"k=1"))
     assert refusal.code is ResultCode.GROUP_LIMITED
     assert refusal.retry_at == view.clock.now() + SENDER_POLICY.initial_refusal_seconds
 
 
-def test_other_senders_run_on_beside_a_limited_one(view):
-    view.answer(name=b"k=2")
+def test_other_senders_are_admitted_beside_a_limited_one(view):
+    view.record_response(name=b"k=2")
     limit_sender(view)
     assert not view.is_refused(b"k=2")
     assert not view.is_refused(b"k=3")
 
 
-def test_sender_of_one_request_again_and_again_is_known(view):
-    view.answer(view.call(b"k=1", b"/popular"))
-    view.answer(view.call(b"k=1", b"/popular"))
-    limit_strangers(view)
+def test_sender_that_repeats_one_request_is_known(view):
+    view.record_response(view.call(b"k=1", b"/popular"))
+    view.record_response(view.call(b"k=1", b"/popular"))
+    limit_unknown_senders(view)
     assert not view.is_refused(b"k=1")
 
 
-def test_limit_is_for_one_route_and_service(view):
+def test_limit_applies_to_one_route_and_service(view):
     limit_sender(view)
     elsewhere = view.call(b"k=1")
     elsewhere.service = "s2"
     assert view.refusal(elsewhere) is None
 
 
-def test_request_that_was_answered_runs_on_whatever_its_sender_sends(view):
-    popular = view.answer(view.call(b"k=1", b"/popular"))
+def test_request_that_had_a_response_is_admitted_whatever_its_sender_sends(view):
+    popular = view.record_response(view.call(b"k=1", b"/popular"))
     limit_sender(view)
     again = view.call(b"k=1", b"/popular")
     assert again.fingerprint == popular.fingerprint
     assert view.refusal(again) is None
 
 
-def test_answer_to_a_popular_request_does_not_clear_its_sender(view):
-    view.answer(view.call(b"k=1", b"/popular"))
+def test_response_to_a_popular_request_does_not_clear_its_sender(view):
+    view.record_response(view.call(b"k=1", b"/popular"))
     limit_sender(view)
-    view.answer(view.call(b"k=1", b"/popular"))
+    view.record_response(view.call(b"k=1", b"/popular"))
     assert view.is_refused(b"k=1")
 
 
-def test_strangers_are_refused_together_and_known_senders_are_not(view):
-    view.answer(name=b"known")
+def test_unknown_senders_are_refused_together_and_known_senders_are_not(view):
+    view.record_response(name=b"known")
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for number, life in enumerate(LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]):
-        view.end(life, name=b"new-%d" % number)
+    for number, incarnation in enumerate(
+        INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]
+    ):
+        view.record_crash(incarnation, name=b"new-%d" % number)
     assert view.is_refused(b"another new one")
     assert view.is_refused()
     assert not view.is_refused(b"known")
 
 
-def test_answer_to_a_stranger_speaks_for_one_end(view):
-    for life in LIVES[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse - 1]:
-        view.end(life)
-    view.answer()
-    view.end(LIVES[-1])
+def test_response_to_an_unknown_sender_offsets_one_crash(view):
+    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse - 1]:
+        view.record_crash(incarnation)
+    view.record_response()
+    view.record_crash(INCARNATIONS[-1])
     assert not view.is_refused()
-    view.end(LIVES[-2])
+    view.record_crash(INCARNATIONS[-2])
     assert view.is_refused()
 
 
-def test_answers_to_strangers_speak_for_as_many_ends_at_once_after_them(view):
-    """As where a third of the targets ends at once, beside many new callers."""
+def test_responses_to_unknown_senders_offset_as_many_crashes_at_once_after_them(view):
+    """This keeps a service available if many of its targets crash at once."""
     for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
-        view.answer()
-    limit_strangers(view)
+        view.record_response()
+    limit_unknown_senders(view)
     assert not view.is_refused()
-    for life in LIVES[UNKNOWN_SENDERS_POLICY.crashes_to_refuse :][
+    for incarnation in INCARNATIONS[UNKNOWN_SENDERS_POLICY.crashes_to_refuse :][
         : UNKNOWN_SENDERS_POLICY.crashes_to_refuse
     ]:
-        view.end(life)
+        view.record_crash(incarnation)
     assert view.is_refused()
 
 
-@pytest.mark.parametrize("ends_a_second", [1, 10])
-def test_ends_among_many_answered_strangers_limit_nobody(view, ends_a_second):
-    rng = random.Random(ends_a_second)
+@pytest.mark.parametrize("crashes_per_second", [1, 10])
+def test_crashes_among_many_responses_to_unknown_senders_limit_nobody(
+    view, crashes_per_second
+):
+    rng = random.Random(crashes_per_second)
     for number in range(600):
         view.clock.time += 0.02
-        if rng.random() < 0.02 * ends_a_second:
-            view.end(f"i-{number}")
+        if rng.random() < 0.02 * crashes_per_second:
+            view.record_crash(f"i-{number}")
         else:
-            view.answer()
+            view.record_response()
         assert not view.is_refused()
 
 
-def test_one_trial_at_a_time_after_the_hold(view):
+def test_one_trial_at_a_time_after_the_refusal_period(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     trial = view.call(b"k=1")
@@ -220,24 +223,24 @@
     assert view.refusal(other).retry_at == trial.deadline
 
 
-def test_trial_that_ends_its_target_doubles_the_hold(view):
+def test_trial_that_crashes_its_target_doubles_the_refusal_period(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
-    view.end(LIVES[-1], name=b"k=1")
+    view.record_crash(INCARNATIONS[-1], name=b"k=1")
     refusal = view.refusal(view.call(b"k=1"))
     assert (
         refusal.retry_at == view.clock.now() + 2 * SENDER_POLICY.initial_refusal_seconds
     )
 
 
-def test_trial_that_is_answered_releases_its_sender(view):
+def test_trial_with_a_response_releases_its_sender(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
-    view.answer(name=b"k=1")
+    view.record_response(name=b"k=1")
     assert not view.is_refused(b"k=1")
 
 
-def test_trial_that_left_makes_room_for_another(view):
+def test_expired_trial_allows_another(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
     trial = view.call(b"k=1")
@@ -246,7 +249,7 @@
     assert not view.is_refused(b"k=1")
 
 
-def test_limit_of_one_vm_holds_at_another():
+def test_limit_of_one_vm_applies_at_another():
     clock = ManualClock()
     here, there = View(clock), View(clock)
     limit_sender(here)
@@ -254,37 +257,37 @@
     assert there.is_refused(b"k=1")
 
 
-def test_answers_at_one_vm_clear_strangers_at_another():
+def test_responses_at_one_vm_clear_unknown_senders_at_another():
     clock = ManualClock()
     here, there = View(clock), View(clock)
     for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
-        there.answer()
-    limit_strangers(here)
+        there.record_response()
+    limit_unknown_senders(here)
     tell(here.suspects, there.suspects)
     tell(there.suspects, here.suspects)
     assert not here.is_refused()
     assert here.suspects.digest == there.suspects.digest
 
 
-def test_cleared_ends_leave_room_for_others(view):
-    """Answers in between must not use up the memory of ends."""
-    for life in LIVES[:MAX_CRASHES]:
-        view.end(life, name=b"k=1")
-        view.answer(name=b"k=1")
+def test_cleared_crashes_leave_room_for_others(view):
+    """The stored crashes are limited in number."""
+    for incarnation in INCARNATIONS[:MAX_CRASHES]:
+        view.record_crash(incarnation, name=b"k=1")
+        view.record_response(name=b"k=1")
         view.clock.time += EXEMPTION_SECONDS + 0.1
     view.clock.time += CLEARED_RETENTION_SECONDS
     limit_sender(view)
     assert view.is_refused(b"k=1")
 
 
-def test_every_limit_has_an_end(view):
-    for life in LIVES:
-        made = view.call(b"k=1")
-        made.groups = None
-        result = AttemptResult(AttemptOutcome.UNKNOWN, target=life)
-        result.crashed_incarnation = life
-        view.refusal(made)
-        view.containment.record_result(made, result, False)
+def test_every_limit_expires(view):
+    for incarnation in INCARNATIONS:
+        request = view.call(b"k=1")
+        request.groups = None
+        result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
+        result.crashed_incarnation = incarnation
+        view.refusal(request)
+        view.containment.record_result(request, result, False)
     assert view.is_refused(b"k=1")
     view.clock.time += SENDER_POLICY.retention_seconds + 0.1
     assert not view.is_refused(b"k=1")
@@ -292,13 +295,13 @@
 
 def test_memory_is_bounded_for_an_attacker_with_100_000_requests(view):
     for number in range(100_000):
-        made = view.call(b"k=%d" % number)
-        view.refusal(made)
+        request = view.call(b"k=%d" % number)
+        view.refusal(request)
         result = AttemptResult(AttemptOutcome.UNKNOWN, target="t")
         result.crashed_incarnation = f"i-{number}"
-        view.containment.record_result(made, result, False)
+        view.containment.record_result(request, result, False)
         view.containment.record_result(
-            made,
+            request,
             AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
             False,
         )
@@ -308,7 +311,7 @@
     assert len(containment._trials) <= MAX_TRIALS
 
 
-def test_sender_of_a_request_without_names_is_not_known():
+def test_request_without_credentials_has_no_sender():
     assert sender_digest([(b"host", b"a")]) is None
     named = [(b"host", b"a"), (b"cookie", b"k=1")]
     assert sender_digest(named) == sender_digest([*named, (b"request-id", b"2")])
@@ -317,57 +320,57 @@
     )
 
 
-def test_suspected_request_runs_alone_at_one_of_few_targets():
+def test_suspected_request_is_isolated_at_one_of_few_targets():
     scene = Scene([], entries=[entry(f"t{number}", slots=2) for number in range(8)])
     few = scene.view.regions("s1")["north"].confined
     few = [each.entry.id for each in few]
     others = {f"t{number}" for number in range(8)} - set(few)
     assert len(few) == 2
-    made = scene.call()
+    request = scene.call()
     for first in few:
-        made.needs_isolation = True
-        assert scene.places.select_free(made, (), ()).target == first
+        request.needs_isolation = True
+        assert scene.places.select_free(request, (), ()).target == first
         scene.parts.ledger.get(first).claim(scene.parts.clock.now())
-    assert scene.places.select_free(made, (), ()).target in others
+    assert scene.places.select_free(request, (), ()).target in others
 
 
-def test_suspected_request_takes_no_part_of_the_last_target_with_room_on_purpose():
+def test_suspected_request_is_not_isolated_at_the_only_target_with_free_slots():
     scene = Scene([], entries=[entry("t1", slots=2)])
-    made = scene.call()
-    made.needs_isolation = True
-    assert scene.places._isolated(scene.places._eligible_targets(made)) is None
-    assert scene.places.select_free(made, (), ()).target == "t1"
+    request = scene.call()
+    request.needs_isolation = True
+    assert scene.places._isolated(scene.places._eligible_targets(request)) is None
+    assert scene.places.select_free(request, (), ()).target == "t1"
 
 
-def test_request_whose_target_ended_is_confined_when_it_is_repeated(view):
-    made = view.call()
-    view.end("i-1", made)
-    assert made.needs_isolation
+def test_request_whose_target_crashed_is_isolated_when_retried(view):
+    request = view.call()
+    view.record_crash("i-1", request)
+    assert request.needs_isolation
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Several VMs with attackers and sound senders that tell each other, any order."""
+    """Several VMs with malicious and harmless senders that exchange suspects."""
 
     @initialize()
     def start(self):
         self.clock = ManualClock()
         self.views = [View(self.clock) for _ in range(3)]
-        self.lives = iter(range(1_000_000))
+        self.incarnations = iter(range(1_000_000))
         self.seen = set()
 
     def attempt(self, view, name, is_fatal):
-        made = view.call(name)
-        if view.refusal(made) is not None:
+        request = view.call(name)
+        if view.refusal(request) is not None:
             return
         if is_fatal:
-            life = f"i-{next(self.lives)}"
-            self.seen.add(life)
-            view.end(life, made)
+            incarnation = f"i-{next(self.incarnations)}"
+            self.seen.add(incarnation)
+            view.record_crash(incarnation, request)
         else:
-            view.answer(made)
+            view.record_response(request)
 
     @rule(vm=st.integers(0, 2), name=st.sampled_from([b"k=1", b"k=2", None]))
-    def end(self, vm, name):
+    def crash(self, vm, name):
         self.attempt(self.views[vm], name, is_fatal=True)
 
     @rule(vm=st.integers(0, 2), name=st.sampled_from([b"k=1", b"sound", None]))
@@ -376,12 +379,12 @@
 
     @rule(vm=st.integers(0, 2))
     def popular(self, vm):
-        """What was answered once is never refused, nor is a sender that only is."""
+        """A request that had a response is never refused."""
         view = self.views[vm]
-        made = view.call(b"sound", b"/popular")
-        if not view.suspects.has_response(made.fingerprint):
+        request = view.call(b"sound", b"/popular")
+        if not view.suspects.has_response(request.fingerprint):
             return self.attempt(view, b"sound", is_fatal=False)
-        assert view.refusal(made) is None
+        assert view.refusal(request) is None
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
     def tell(self, sender, receiver):
@@ -396,54 +399,56 @@
         self.clock.time += seconds
 
     @invariant()
-    def no_end_is_made_up_or_counted_twice(self):
+    def no_crash_is_invented_or_counted_twice(self):
         for view in self.views:
             for suspect in view.suspects.all():
                 assert len(suspect.ends) == len(set(suspect.ends)) <= MAX_CRASHES
                 assert set(suspect.cleared) <= set(suspect.ends) <= self.seen
 
     @invariant()
-    def every_refusal_has_an_end(self):
+    def every_refusal_expires(self):
         for view in self.views:
             for suspect in view.suspects.all():
                 assert suspect.refused_until <= suspect.until
 
     def teardown(self):
-        """The cut heals; then everything is forgotten everywhere."""
+        """All VMs converge after an exchange, and all limits expire."""
         if not hasattr(self, "views"):
             return
-        # A heartbeat tells of some suspects only.
-        for _ in range(HEARTBEATS):
+        # A heartbeat carries a limited number of suspects.
+        for _ in range(HEARTBEATS_TO_CONVERGE):
             for sender_view in self.views:
                 for receiver in self.views:
                     tell(sender_view.suspects, receiver.suspects)
-        known = [_known(view) for view in self.views]
-        told = set().union(*map(_told_for_long, self.views))
-        for key in told.difference(*map(_soon_forgotten, self.views)):
-            assert len({each.get(key) for each in known}) == 1
+        crashes_by_key = [_crashes_by_key(view) for view in self.views]
+        announced = set().union(*map(_announced_keys, self.views))
+        for key in announced.difference(*map(_expiring_keys, self.views)):
+            assert len({each.get(key) for each in crashes_by_key}) == 1
         self.clock.time += SENDER_POLICY.retention_seconds + 1.0
         for view in self.views:
             assert not view.is_refused(b"k=1")
             assert not view.is_refused()
 
 
-def _known(view):
+def _crashes_by_key(view):
     return {
         each.fingerprint: (frozenset(each.ends), frozenset(each.cleared))
         for each in view.suspects.all()
     }
 
 
-def _told_for_long(view):
-    """Return the keys of which a VM tells for some seconds more."""
-    least = view.clock.now() + MIN_REMAINING_SECONDS + 3.0
-    return {each.fingerprint for each in view.suspects.all() if each.until > least}
+def _announced_keys(view):
+    """Return the keys that a VM still announces for some seconds."""
+    min_expiry = view.clock.now() + MIN_REMAINING_SECONDS + 3.0
+    return {each.fingerprint for each in view.suspects.all() if each.until > min_expiry}
 
 
-def _soon_forgotten(view):
-    """Return the keys of which a VM still knows what it does not tell any more."""
-    least = view.clock.now() + MIN_REMAINING_SECONDS + 1.0
-    return {each.fingerprint for each in view.suspects.all() if each.until <= least}
+def _expiring_keys(view):
+    """Return the keys that a VM knows but no longer announces, or soon will not."""
+    min_expiry = view.clock.now() + MIN_REMAINING_SECONDS + 1.0
+    return {
+        each.fingerprint for each in view.suspects.all() if each.until <= min_expiry
+    }
 
 
 LimitMachine.TestCase.settings = settings(
@@ -452,24 +457,24 @@
 TestLimitMachine = LimitMachine.TestCase
 
 
-def test_credits_of_answers_are_bounded(view):
+def test_credits_of_responses_are_bounded(view):
     for _ in range(3 * MAX_CREDITS):
-        view.answer()
+        view.record_response()
     for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
-        view.end(f"i-{number}")
+        view.record_crash(f"i-{number}")
     assert view.is_refused()
 
 
-#: Ends that the attempts may cost: those up to the limit of strangers, as many while
-#: VMs tell each other, and two for a trial at each VM; without a limit two for each.
-MOST_RUNS = 2 * UNKNOWN_SENDERS_POLICY.crashes_to_refuse + 2 * 6
-SERVED_SHARE = 0.95
+#: The limit of unknown senders, as many again while VMs exchange updates, and two for
+#: a trial at each VM.
+MAX_TOTAL_CRASHES = 2 * UNKNOWN_SENDERS_POLICY.crashes_to_refuse + 2 * 6
+MIN_SERVED_SHARE = 0.95
 #: Seconds in which the other callers become known to all VMs.
 WARM_UP_SECONDS = 3.0
 
 
-@pytest.mark.parametrize("is_known", [True, False], ids=["sender", "strangers"])
-def test_another_ending_request_each_time_ends_a_bounded_number_of_targets(
+@pytest.mark.parametrize("is_known", [True, False], ids=["sender", "unknown senders"])
+def test_different_fatal_requests_crash_a_bounded_number_of_targets(
     fleet,  # noqa: F811
     is_known,
 ):
@@ -483,5 +488,5 @@
             vm, cookie = vms[number % len(vms)], f"Affinity-Key={name}"
             fleet.send(vm, "GET", path, f"q{number}", Cookie=cookie)
             time.sleep(ATTEMPT_INTERVAL_SECONDS)
-    assert len(fleet.ends()) <= MOST_RUNS
-    assert others.statuses.count(200) / len(others.statuses) >= SERVED_SHARE
+    assert len(fleet.ends()) <= MAX_TOTAL_CRASHES
+    assert others.statuses.count(200) / len(others.statuses) >= MIN_SERVED_SHARE
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -29,9 +29,9 @@
     longest_timeout = 60.0
 
 
-def make_parts(answer=lambda host, item: Accepted()):
+def make_parts(respond=lambda host, item: Accepted()):
     vm, clock = FakeVm(), ManualClock()
-    links = FakeLinks(answer)
+    links = FakeLinks(respond)
     membership = Membership(vm, links, clock)
     clock.time += SETTLE_SECONDS
     membership.record_tick()
@@ -39,46 +39,46 @@
     return links, clock, membership, OccupancyPublisher(vm, membership, links, clock)
 
 
-def vouched(until, gone=False, home="north-a-2"):
-    return OccupancyBound("t", home, until, gone)
+def make_bound(until, has_exited=False, home="north-a-2"):
+    return OccupancyBound("t", home, until, has_exited)
 
 
-def covers_sent(links):
+def bounds_sent(links):
     return [item.covers for _, item in links.calls if isinstance(item, OccupancyNotice)]
 
 
-def test_short_requests_need_no_cover():
+def test_short_requests_need_no_occupancy_bound():
     links, clock, _, publisher = make_parts()
     run(publisher.ensure, "t", clock.time + MAX_UNANNOUNCED_SECONDS)
     assert not links.calls
 
 
-def test_long_request_is_announced_once_for_a_while():
+def test_bound_of_long_requests_is_announced_once_for_a_while():
     links, clock, _, publisher = make_parts()
     run(publisher.ensure, "t", clock.time + 10)
     run(publisher.ensure, "t", clock.time + 11)
-    assert len(covers_sent(links)) == 1
-    assert covers_sent(links)[0]["t"][0] >= clock.time + 11
+    assert len(bounds_sent(links)) == 1
+    assert bounds_sent(links)[0]["t"][0] >= clock.time + 11
     run(publisher.ensure, "t", clock.time + 60)
-    assert len(covers_sent(links)) == 2
+    assert len(bounds_sent(links)) == 2
 
 
-def test_long_request_is_refused_when_a_monitor_does_not_acknowledge():
+def test_long_request_is_refused_if_a_monitor_does_not_acknowledge():
     _, clock, _, publisher = make_parts(lambda host, item: None)
     with pytest.raises(HeathercleatError) as caught:
         run(publisher.ensure, "t", clock.time + 10)
     assert caught.value.code is ResultCode.NO_ROOM
 
 
-def test_monitor_with_a_new_incarnation_is_told_again():
+def test_restarted_monitor_receives_the_bounds_again():
     links, clock, membership, publisher = make_parts()
     run(publisher.ensure, "t", clock.time + 10)
     membership.record(record(incarnation=2))
     run(publisher.ensure, "t", clock.time + 10)
-    assert len(covers_sent(links)) == 2
+    assert len(bounds_sent(links)) == 2
 
 
-def test_only_a_monitor_that_heard_the_home_to_its_end_vouches():
+def test_only_a_monitor_in_contact_until_the_home_failed_reports_bounds():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
@@ -86,12 +86,12 @@
     membership.record_heartbeat(heartbeat())
     clock.time += 2.0
     membership.record(record(state="dead"))
-    assert list(records.bounds_for(["t", "u"])) == [vouched(150.0)]
+    assert list(records.bounds_for(["t", "u"])) == [make_bound(150.0)]
     records.clear()
     assert list(records.bounds_for(["t"])) == []
 
 
-def test_monitor_that_stopped_hearing_the_home_does_not_vouch():
+def test_monitor_that_lost_contact_earlier_reports_no_bounds():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
@@ -101,65 +101,65 @@
     assert list(records.bounds_for(["t"])) == []
 
 
-def test_life_replaced_by_a_restart_is_vouched_for():
+def test_bounds_of_an_incarnation_replaced_by_a_restart_are_reported():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
     membership.record_heartbeat(heartbeat())
     clock.time += 1.0
     membership.record_heartbeat(heartbeat(incarnation=2))
-    assert list(records.bounds_for(["t"])) == [vouched(150.0)]
+    assert list(records.bounds_for(["t"])) == [make_bound(150.0)]
 
 
 @pytest.mark.parametrize(
-    ("each", "seconds"),
+    ("bounds", "seconds"),
     [
         ([], 60.0),
-        ([vouched(0.0)], MAX_UNANNOUNCED_SECONDS),
-        ([vouched(130.0)], 30.0),
-        ([vouched(999.0)], 60.0),
-        ([vouched(0.0, gone=True)], 0.0),
-        ([vouched(130.0), vouched(101.0, gone=True)], 1.0),
+        ([make_bound(0.0)], MAX_UNANNOUNCED_SECONDS),
+        ([make_bound(130.0)], 30.0),
+        ([make_bound(999.0)], 60.0),
+        ([make_bound(0.0, has_exited=True)], 0.0),
+        ([make_bound(130.0), make_bound(101.0, has_exited=True)], 1.0),
         (
-            [vouched(0.0, gone=True), vouched(0.0, home="north-a-3")],
+            [make_bound(0.0, has_exited=True), make_bound(0.0, home="north-a-3")],
             MAX_UNANNOUNCED_SECONDS,
         ),
     ],
 )
-def test_occupied_until(each, seconds):
+def test_occupied_until(bounds, seconds):
     clock = ManualClock()
-    assert occupied_until(clock, LongService, each) == clock.time + seconds
+    assert occupied_until(clock, LongService, bounds) == clock.time + seconds
 
 
-def find_gone(membership, clock):
-    """Let the home of a record be found gone by its monitor."""
+def find_exited(membership, clock):
+    """Record that the process of a home was found to have exited."""
     membership.record_heartbeat(heartbeat())
     member = membership.members["north-a-2"]
     run(Heartbeats(None, membership, FakeLinks(), clock).record_exit, member)
 
 
-def test_requests_of_a_home_that_is_gone_are_not_waited_for():
+def test_requests_of_an_exited_home_are_not_waited_for():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
-    find_gone(membership, clock)
-    assert list(records.bounds_for(["t"])) == [vouched(110.0, gone=True)]
+    find_exited(membership, clock)
+    assert list(records.bounds_for(["t"])) == [make_bound(110.0, has_exited=True)]
 
 
-def test_home_that_is_gone_does_not_vouch_for_another_that_may_run():
+def test_exited_home_does_not_exclude_another_that_may_run():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     membership.record(record(vm="north-a-3", state="dead"))
-    find_gone(membership, clock)
-    assert list(records.bounds_for(["t"])) == [vouched(150.0)]
+    find_exited(membership, clock)
+    assert list(records.bounds_for(["t"])) == [make_bound(150.0)]
 
 
-def test_cover_tells_what_earlier_homes_may_occupy_apart():
+def test_notice_lists_bounds_of_earlier_homes_separately():
     links, clock, _, publisher = make_parts()
     run(publisher.update, {"t": 103.0})
     run(publisher.ensure, "t", clock.time + 10)
-    assert covers_sent(links)[-1]["t"] == [clock.time + 15, 103.0]
+    assert bounds_sent(links)[-1]["t"] == [clock.time + 15, 103.0]
 
 
 def long_text():
@@ -209,13 +209,13 @@
         fleet.switch_target(name, service_s=WORK_SECONDS, cancel_s=0.1)
     hosts = [vm.host for vm in fleet.vms.values()]
 
-    def make(number):
+    def make_request(number):
         return "PUT", f"/{number}", b"data", {}
 
     def in_flight():
         return sum(fleet.record(name)["in_flight"] for name in fleet.targets)
 
-    with Load(hosts, "intake", rate=10, make=make, timeout=8.0):
+    with Load(hosts, "intake", rate=10, make=make_request, timeout=8.0):
         wait_for(lambda: in_flight() == 2 * SLOTS)
         home.process.send_signal(signal.SIGSTOP)
         wait_for(lambda: len(fleet.status(other)["targets"]) == 2)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,18 +1,6 @@
-"""A request that ends each target that begins to run it.
+"""A request that crashes targets must not be sent to more targets, from any VM.
 
-Most reads of a status page failed or were late, again and again for fifteen seconds,
-while one caller's read came back. The order of events: the read reached a target, which
-ended; all other requests under way there were cut with it. The system sent the read to
-a second target, as its route allows, which ended as well, and answered that its outcome
-is not known. The caller came back at once, at another VM, with the same path, cookie
-and body. That VM knew nothing of the two ends, and sent it to two more targets.
-
-The cause: tries were counted by attempt, repeats by service and rests by target, and
-nothing was remembered of a request beyond its attempt.
-
-The evidence: in the record of a day, one object stood in 15 of the 80 logged tries that
-ended with a target, at seven VMs, no other one in more than two; and ends stopped when
-the read stopped coming.
+Its fingerprint attributes the crashes of several targets and attempts to it.
 """
 
 import itertools
@@ -49,20 +37,22 @@
 TARGETS = {
     f"i-{number}": ("s1", list(DOMAINS)[number % 3], 4) for number in range(1, 13)
 }
-#: Seconds that a target takes to come back, and between two attempts of the caller.
+#: Seconds for which a crashed target is down.
 DOWN_SECONDS = 1.0
+#: Seconds between two attempts of the caller.
 ATTEMPT_INTERVAL_SECONDS = 0.25
 ATTEMPTS = 40
-#: Seconds after the third end from which every VM that runs undisturbed knows of it,
-#: and runs after that: the most that operators bear.
+#: Seconds after the third crash from which all running VMs know of it.
 STABLE_SECONDS = 3.0
-MOST_LATER = 3
-#: Runs in all: three ends, three more in the time in which VMs tell each other, and
-#: two of an attempt that is under way meanwhile.
-MOST_RUNS = 8
-#: Part of the other callers' requests that is served.
-SERVED_SHARE = 0.98
-OTHERS = 3
+#: Most crashes after that.
+MAX_LATER_CRASHES = 3
+#: Three crashes, three more while VMs exchange updates, and two of an attempt in
+#: progress.
+MAX_TOTAL_CRASHES = 8
+#: Minimum share of the other callers' requests that succeed.
+MIN_SERVED_SHARE = 0.98
+#: Number of other callers.
+OTHER_CALLERS = 3
 
 
 def plain_config():
@@ -83,9 +73,9 @@
 
 
 class OtherCallers:
-    """Callers that send another request of the same route without pause.
+    """Callers that send other requests of the same route without a pause.
 
-    :param named: whether their requests tell who sends them.
+    :param named: whether their requests have a cookie that identifies the sender.
     """
 
     def __init__(self, fleet, named=False):
@@ -94,7 +84,7 @@
         self._stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._run, args=(number,))
-            for number in range(OTHERS)
+            for number in range(OTHER_CALLERS)
         ]
         self.statuses = []
 
@@ -109,7 +99,7 @@
             each.join()
 
     def _run(self, number):
-        """Send a popular request and one of its own in turn."""
+        """Alternate between a request that all callers send and a new one."""
         rng = random.Random(number)
         vms = list(self._fleet.vms.values())
         headers = {"Cookie": f"Affinity-Key=o{number}"} if self._named else {}
@@ -118,18 +108,18 @@
                 return
             path = f"/one/two/{number}-{count}" if count % 2 else "/one/two/x"
             vm = rng.choice(vms)
-            answer = self._fleet.send(vm, "GET", path, f"o{number}", **headers)
-            self.statuses.append(answer[0])
+            response = self._fleet.send(vm, "GET", path, f"o{number}", **headers)
+            self.statuses.append(response[0])
 
 
 def send_repeatedly(fleet, method, path, attempts=ATTEMPTS):
-    """Send the same request at each VM in turn; return the statuses."""
+    """Send the same request to each VM in turn; return the statuses."""
     vms = list(fleet.vms.values())
     statuses = []
     for number in range(attempts):
         vm = vms[number % len(vms)]
-        answer = fleet.send(vm, method, path, f"q{number}", Cookie="Affinity-Key=28")
-        statuses.append(answer[0])
+        response = fleet.send(vm, method, path, f"q{number}", Cookie="Affinity-Key=28")
+        statuses.append(response[0])
         time.sleep(ATTEMPT_INTERVAL_SECONDS)
     return statuses
 
@@ -137,32 +127,34 @@
 @pytest.mark.parametrize(
     ("method", "path"), [("GET", "/one/two/fatal"), ("POST", "/one/fatal")]
 )
-def test_request_that_ended_three_targets_is_not_sent_on(fleet, method, path):
+def test_request_that_crashed_three_targets_is_not_sent_to_others(fleet, method, path):
     fleet.set_fatal([path], DOWN_SECONDS)
     with OtherCallers(fleet) as others:
         statuses = send_repeatedly(fleet, method, path)
-    ends = [instant for instant, _ in fleet.ends()]
-    later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
+    crash_instants = [instant for instant, _ in fleet.ends()]
+    later = [
+        each for each in crash_instants if each > crash_instants[2] + STABLE_SECONDS
+    ]
     served = others.statuses.count(200) / len(others.statuses)
-    assert len(later) <= MOST_LATER
-    assert len(ends) <= MOST_RUNS
+    assert len(later) <= MAX_LATER_CRASHES
+    assert len(crash_instants) <= MAX_TOTAL_CRASHES
     assert statuses[-1] == 503
-    assert served >= SERVED_SHARE
+    assert served >= MIN_SERVED_SHARE
 
 
-def test_each_end_of_a_target_is_logged_with_the_request(fleet):
+def test_each_crash_of_a_target_is_logged_with_the_request(fleet):
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=2)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
-    ended = [line for line in lines if line["name"] == "target_ended"]
-    # The logs of all VMs, one after another: the owners of the targets wrote them.
-    assert sorted(line["request"] for line in ended) == ["q0", "q1"]
-    assert len({line["target"] for line in ended}) == 2
-    assert len({line["fingerprint"] for line in ended}) == 1
+    crashes = [line for line in lines if line["name"] == "target_ended"]
+    # Sorted because the logs of all VMs are read one after another.
+    assert sorted(line["request"] for line in crashes) == ["q0", "q1"]
+    assert len({line["target"] for line in crashes}) == 2
+    assert len({line["fingerprint"] for line in crashes}) == 1
 
 
 def test_quarantine_outlives_all_vms(fleet):
-    """Its row is in the store; all VMs are killed and start again."""
+    """Its row is kept in the store while all VMs are killed and restarted."""
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=12)
     before = len(fleet.ends())
@@ -182,9 +174,7 @@
     [(1, 10, 0.6), (4, 4, 1.5)],
     ids=["one after the other", "a third of the service at once"],
 )
-def test_wave_of_ends_by_no_requests_fault_quarantines_nothing(
-    fleet, at_once, waves, gap
-):
+def test_crashes_not_caused_by_requests_quarantine_nothing(fleet, at_once, waves, gap):
     fleet.set_fatal([], DOWN_SECONDS)
     for each in TARGETS:
         fleet.switch_target(each, work_s=0.2)
@@ -201,7 +191,7 @@
     assert others.statuses.count(200) > 0
 
 
-def test_lost_answers_of_targets_that_run_on_quarantine_nothing(fleet):
+def test_lost_responses_of_targets_that_run_on_quarantine_nothing(fleet):
     for each in TARGETS:
         fleet.switch_target(each, lose=True)
     statuses = send_repeatedly(fleet, "POST", "/one/x", attempts=12)
@@ -210,7 +200,7 @@
     assert "target_ended" not in {line["name"] for line in lines}
 
 
-def test_operators_lift_a_quarantine_by_its_row(fleet):
+def test_operators_lift_a_quarantine_by_removing_its_row(fleet):
     fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(2.0)
@@ -223,7 +213,7 @@
     assert set(statuses) == {200}
 
 
-def test_request_whose_targets_ended_while_it_waited_is_not_sent():
+def test_request_whose_targets_crashed_while_it_waited_is_not_sent():
     parts = Parts([entry("t1", slots=1)])
     suspects = Suspects(parts.journal, parts.clock)
     local = LocalDispatcher(
@@ -248,8 +238,8 @@
         until = parts.clock.now() + 5.0
         task = await spawn(local.run, request, (), (), until)
         await sleep(0)
-        for life in ("t2", "t3", "t4"):
-            suspects.record_crash("f", life)
+        for incarnation in ("t2", "t3", "t4"):
+            suspects.record_crash("f", incarnation)
         await local._admission.release(use, False)
         return await task.join()
 
@@ -258,7 +248,7 @@
 
 
 def test_refusal_of_the_owner_is_final():
-    """It may know of an end before the news of it has come here."""
+    """The owner may know of a crash before this VM is notified."""
     refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
     scene = Scene([refused, answered()])
     with pytest.raises(RequestError) as caught:
@@ -268,8 +258,8 @@
     assert len(scene.local.tried) == 1
 
 
-def test_attempt_that_ran_before_ends_at_once_when_it_is_quarantined():
-    """Its outcome is not known: a refusal would say that it has not run."""
+def test_quarantine_after_an_attempt_reports_an_unknown_outcome():
+    """A refusal would state that it has not run."""
     unknown = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
     refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
     scene = Scene([unknown, refused, answered()])
@@ -279,28 +269,30 @@
     assert len(scene.local.tried) == 2
 
 
-def test_request_that_begins_to_end_targets_that_answered_it_is_caught(fleet):
+def test_request_that_begins_to_crash_targets_is_quarantined(fleet):
     path = "/one/two/fatal"
     assert send_repeatedly(fleet, "GET", path, attempts=4) == [200] * 4
     fleet.set_fatal([path], DOWN_SECONDS)
     statuses = send_repeatedly(fleet, "GET", path, attempts=32)
     assert statuses[-8:] == [503] * 8
-    ends = [instant for instant, _ in fleet.ends()]
-    later = [each for each in ends if each > ends[2] + STABLE_SECONDS]
-    assert len(later) <= MOST_LATER
-
-
-def test_end_that_another_vm_saw_counts_at_once():
-    ended = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
-    ended.crashed_incarnation = "t1"
-    far = [entry("t1", domain="south-a")]
-    scene = Scene([], entries=far, forwarded=[ended])
+    crash_instants = [instant for instant, _ in fleet.ends()]
+    later = [
+        each for each in crash_instants if each > crash_instants[2] + STABLE_SECONDS
+    ]
+    assert len(later) <= MAX_LATER_CRASHES
+
+
+def test_crash_reported_by_another_vm_counts_at_once():
+    crashed = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
+    crashed.crashed_incarnation = "t1"
+    remote = [entry("t1", domain="south-a")]
+    scene = Scene([], entries=remote, forwarded=[crashed])
     scene.suspects.record_crash("", "t2")
     scene.suspects.record_crash("", "t3")
-    tries = scene.steering._dispatcher
-    place = Destination("vm-2", None, (), is_remote=False)
+    dispatcher = scene.steering._dispatcher
+    destination = Destination("vm-2", None, (), is_remote=False)
     scene.parts.members.record_heartbeat(make_heartbeat("vm-2"))
-    run(tries.run, scene.call(), place, (), scene.parts.clock.now() + 1.0)
+    run(dispatcher.run, scene.call(), destination, (), scene.parts.clock.now() + 1.0)
     assert scene.suspects.refused_until("") is not None
 
 
@@ -316,7 +308,7 @@
         {"headers": [(b"host", b"a")]},
     ],
 )
-def test_another_request_has_another_fingerprint(change):
+def test_different_requests_have_different_fingerprints(change):
     sent = {
         "method": b"GET",
         "path": b"/one/x",
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -9,7 +9,8 @@
 from standins.fleet import PORTS, Fleet, call, wait_for
 from standins.load import Load
 
-NO_NEW_WORK_SECONDS = 3.0
+#: Seconds after which a drained VM or target gets no new requests.
+DRAIN_SECONDS = 3.0
 
 
 @pytest.fixture
@@ -20,13 +21,13 @@
         yield running
 
 
-def named_hosts(vm):
+def looked_up_hosts(vm):
     path = "/lookup?service=style-lookup"
     _, _, body = call(vm.host, PORTS["caller"], "GET", path)
     return {each["address"] for each in json.loads(body)["vms"]}
 
 
-def homes_of(fleet, vm):
+def home_count(fleet, vm):
     status = fleet.status(vm)
     return len(status["targets"]) if status else None
 
@@ -35,25 +36,25 @@
     return fleet.run("drain", "plan", *args, "--json", check=False)
 
 
-def test_drained_vm_leaves_look_ups_and_homes_and_returns_when_cancelled(fleet):
+def test_drained_vm_has_no_homes_and_is_not_looked_up_until_cancelled(fleet):
     drained, other = fleet.vms["north-a-1"], fleet.vms["north-a-2"]
     hosts = [vm.host for vm in fleet.vms.values()]
     with Load(hosts, "style-lookup", rate=50) as load:
         assert drain(fleet, "d1", "vm", drained.name).returncode == 0
-        wait_for(lambda: drained.host not in named_hosts(other), NO_NEW_WORK_SECONDS)
-        wait_for(lambda: homes_of(fleet, drained) == 0)
+        wait_for(lambda: drained.host not in looked_up_hosts(other), DRAIN_SECONDS)
+        wait_for(lambda: home_count(fleet, drained) == 0)
         fleet.run("drain", "cancel", "d1")
-        wait_for(lambda: drained.host in named_hosts(other))
-        wait_for(lambda: homes_of(fleet, drained) > 0)
+        wait_for(lambda: drained.host in looked_up_hosts(other))
+        wait_for(lambda: home_count(fleet, drained) > 0)
     assert set(load.count()) == {200}
 
 
-def test_drained_domain_gets_no_new_work_and_no_request_fails(fleet):
+def test_drained_domain_gets_no_new_requests_and_no_request_fails(fleet):
     hosts = [vm.host for vm in fleet.vms.values() if vm.domain == "north-a"]
     with Load(hosts, "style-lookup", rate=50) as load:
         time.sleep(0.5)
         assert drain(fleet, "d1", "failure_domain", "north-a").returncode == 0
-        time.sleep(NO_NEW_WORK_SECONDS)
+        time.sleep(DRAIN_SECONDS)
         before = len(fleet.record("style-north-a")["runs"])
         time.sleep(1.0)
         assert len(fleet.record("style-north-a")["runs"]) == before
@@ -61,18 +62,18 @@
 
 
 def test_callers_in_a_closed_loop_under_leases_are_never_refused(fleet):
-    """A caller may send its next request before the granter has seen the last end."""
+    """A caller may send a request before the granter knows that its last one ended."""
     assert drain(fleet, "d1", "target", "style-north-a").returncode == 0
     hosts = [vm.host for vm in fleet.vms.values() if vm.domain == "north-a"]
     statuses = []
-    until = time.monotonic() + 4.0
+    deadline = time.monotonic() + 4.0
 
-    def run():
+    def send_requests():
         caller = Caller(hosts)
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             statuses.append(caller.send("style-lookup", "GET", "/x")[0])
 
-    threads = [threading.Thread(target=run) for _ in range(6)]
+    threads = [threading.Thread(target=send_requests) for _ in range(6)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -80,17 +81,17 @@
     assert set(statuses) == {200}
 
 
-def test_drain_starts_at_its_instant(fleet):
+def test_drain_starts_at_its_scheduled_time(fleet):
     vm = fleet.vms["north-a-1"]
     assert drain(fleet, "d1", "target", "style-north-a", "--in", 3).returncode == 0
-    answer = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
-    assert answer[1]["heathercleat-target"] == "style-north-a"
+    response = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
+    assert response[1]["heathercleat-target"] == "style-north-a"
     time.sleep(4.0)
-    answer = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
-    assert answer[1]["heathercleat-target"] == "style-north-b"
+    response = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
+    assert response[1]["heathercleat-target"] == "style-north-b"
 
 
-def test_drain_that_leaves_too_little_is_refused_with_the_figures(fleet):
+def test_drain_that_leaves_too_few_slots_is_refused_with_the_numbers(fleet):
     assert drain(fleet, "d1", "failure_domain", "north-a").returncode == 0
     assert drain(fleet, "d2", "failure_domain", "north-b").returncode == 0
     result = drain(fleet, "d3", "failure_domain", "south-a")
@@ -100,12 +101,15 @@
 
 def test_dry_run_shows_the_headroom_and_plans_nothing(fleet):
     result = drain(fleet, "d1", "failure_domain", "north-a", "--dry-run")
-    rooms = {room["service"]: room for room in json.loads(result.stdout)["headroom"]}
-    assert rooms["style-lookup"]["left"] == 12
+    headroom = {
+        service_headroom["service"]: service_headroom
+        for service_headroom in json.loads(result.stdout)["headroom"]
+    }
+    assert headroom["style-lookup"]["left"] == 12
     assert json.loads(fleet.run("drain", "list", "--json").stdout) == []
 
 
-def test_requests_go_on_while_the_platform_is_slow(fleet):
+def test_requests_succeed_while_the_platform_is_slow(fleet):
     hosts = [vm.host for vm in fleet.vms.values()]
     fleet.switch_platform(slow_s=5.0)
     with Load(hosts, "style-lookup", rate=50) as load:
@@ -114,10 +118,10 @@
     assert load.latency(0.9) < 1.0
 
 
-def test_edits_of_callers_go_on_without_claims_while_the_platform_is_slow(fleet):
+def test_edits_of_callers_succeed_without_claims_while_the_platform_is_slow(fleet):
     fleet.switch_platform(slow_s=5.0)
     vm = fleet.vms["north-a-1"]
-    words = []
+    run_states = []
     for number in range(10):
         path = "/lookup?service=rule-editing"
         _, _, body = call(vm.host, PORTS["caller"], "GET", path)
@@ -126,9 +130,11 @@
             "idempotency-key": f"slow-{number}",
         }
         path = "/s/rule-editing/rules"
-        _, given, _ = call(vm.host, PORTS["caller"], "POST", path, b"{}", headers)
-        words.append(given["heathercleat-run"])
+        _, response_headers, _ = call(
+            vm.host, PORTS["caller"], "POST", path, b"{}", headers
+        )
+        run_states.append(response_headers["heathercleat-run"])
     runs = [run[2] for run in fleet.runs() if run[2].startswith("slow-")]
-    assert words[-1] == "run"
-    assert set(words) <= {"run", "not-run"}
-    assert len(runs) == len(set(runs)) == words.count("run")
+    assert run_states[-1] == "run"
+    assert set(run_states) <= {"run", "not-run"}
+    assert len(runs) == len(set(runs)) == run_states.count("run")
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -14,8 +14,8 @@
 SUBNET = 37 + int(os.environ.get(SUBNET_VARIABLE, 0))
 HOST = f"127.{SUBNET}.1.1"
 CONTROL, LISTEN, SERVER = 7900, 7901, 7902
-#: Seconds after which a byte counts as held back.
-HELD = 0.3
+#: Seconds after which bytes count as held back.
+HELD_SECONDS = 0.3
 
 
 def echo(connection):
@@ -24,7 +24,7 @@
             connection.sendall(data)
 
 
-def accept(listener):
+def accept_connections(listener):
     while True:
         try:
             connection, _ = listener.accept()
@@ -39,16 +39,18 @@
     link = f"one={HOST}:{LISTEN}>{HOST}:{SERVER}"
     command = [sys.executable, "-m", "standins.fault_proxy", f"{HOST}:{CONTROL}", link]
     with socket.create_server((HOST, SERVER)) as listener:
-        threading.Thread(target=accept, args=(listener,), daemon=True).start()
+        threading.Thread(
+            target=accept_connections, args=(listener,), daemon=True
+        ).start()
         processes.start("proxy", command)
-        wait_for(counts)
+        wait_for(read_counts)
         yield
-        # Wakes up the thread that accepts.
+        # Ends the thread that accepts connections.
         listener.shutdown(socket.SHUT_RDWR)
     processes.stop()
 
 
-def counts():
+def read_counts():
     try:
         return json.loads(call(HOST, CONTROL, "GET", "/counts")[2])
     except OSError:
@@ -61,12 +63,12 @@
 
 def client():
     connection = socket.create_connection((HOST, LISTEN))
-    connection.settimeout(HELD)
+    connection.settimeout(HELD_SECONDS)
     return connection
 
 
-def echoed(connection, data=b"x"):
-    """Return what comes back: the bytes, ``None`` when nothing, ``b""`` at an end."""
+def send_and_receive(connection, data=b"x"):
+    """Return the bytes received, ``None`` if there are none, ``b""`` once closed."""
     try:
         connection.sendall(data)
         return connection.recv(100)
@@ -78,61 +80,61 @@
 
 def test_bytes_pass_both_ways(proxy):
     with client() as connection:
-        assert echoed(connection, b"hello") == b"hello"
-    assert counts() == {"one": 1}
+        assert send_and_receive(connection, b"hello") == b"hello"
+    assert read_counts() == {"one": 1}
 
 
 @pytest.mark.parametrize("direction", ["up", "down", "both"])
-def test_a_cut_holds_bytes_back_until_it_ends(proxy, direction):
+def test_cut_holds_bytes_back_until_it_ends(proxy, direction):
     with client() as connection:
-        assert echoed(connection) == b"x"
+        assert send_and_receive(connection) == b"x"
         switch(cut=direction)
-        assert echoed(connection) is None
+        assert send_and_receive(connection) is None
         switch(cut=None)
         connection.settimeout(10.0)
         assert connection.recv(100) == b"x"
 
 
-def test_silence_is_for_the_connections_of_that_moment(proxy):
+def test_silence_affects_only_open_connections(proxy):
     with client() as before:
-        assert echoed(before) == b"x"
+        assert send_and_receive(before) == b"x"
         switch(silence=True)
-        assert echoed(before) is None
+        assert send_and_receive(before) is None
         with client() as after:
-            assert echoed(after) == b"x"
+            assert send_and_receive(after) == b"x"
 
 
 @pytest.mark.parametrize("faults", [{"reset": True}, {"reset": True, "refuse": True}])
-def test_a_reset_ends_open_connections(proxy, faults):
+def test_reset_closes_open_connections(proxy, faults):
     with client() as connection:
-        assert echoed(connection) == b"x"
+        assert send_and_receive(connection) == b"x"
         switch(**faults)
         connection.settimeout(10.0)
-        assert echoed(connection) == b""
+        assert send_and_receive(connection) == b""
 
 
-def test_a_refused_connection_is_reset(proxy):
+def test_refused_connection_is_reset(proxy):
     switch(refuse=True)
     with client() as connection:
         connection.settimeout(10.0)
-        assert echoed(connection) == b""
+        assert send_and_receive(connection) == b""
 
 
 def test_delayed_bytes_arrive_late(proxy):
-    switch(delay_s=2 * HELD)
+    switch(delay_s=2 * HELD_SECONDS)
     with client() as connection:
-        assert echoed(connection) is None
+        assert send_and_receive(connection) is None
         connection.settimeout(10.0)
         assert connection.recv(100) == b"x"
 
 
-def test_a_link_is_read_from_its_text():
+def test_link_is_parsed_from_its_text():
     link = parse_link("a:b=127.0.0.1:1>127.0.0.2:2")
     assert (link.name, link.listen) == ("a:b", ("127.0.0.1", 1))
 
 
-#: Prints by how many tens of seconds both forms of the time of day were shifted.
-SHIFTED = """
+#: Prints the shifts of both forms of the time of day, in tens of seconds.
+CLOCK_SHIFT_SCRIPT = """
 import time
 from standins.skewed import skew_clock
 real = time.time()
@@ -144,6 +146,6 @@
 
 @pytest.mark.parametrize("seconds", [-3600, 3600])
 def test_time_of_day_is_shifted(seconds):
-    command = [sys.executable, "-c", SHIFTED.format(seconds=seconds)]
+    command = [sys.executable, "-c", CLOCK_SHIFT_SCRIPT.format(seconds=seconds)]
     result = subprocess.run(command, capture_output=True, text=True)
     assert result.stdout.split() == [str(seconds // 10)] * 2
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -1,4 +1,4 @@
-"""A fenced VM gets no answer from the platform."""
+"""A fenced VM must not connect to the platform."""
 
 import pytest
 from curio import run, sleep, spawn, tcp_server
@@ -8,27 +8,27 @@
 from heathercleat.process.configuration.platform import HttpPlatform
 from heathercleat.process.fence import Fence
 
-TIMEOUT = 0.2
-#: Seconds for the stand-in to listen.
-STARTED = 0.2
+TIMEOUT_SECONDS = 0.2
+#: Seconds until the fake platform listens.
+STARTUP_SECONDS = 0.2
 
 
 async def _call_fenced(host):
-    asked = []
+    clients = []
 
     async def serve(sock, address):
-        asked.append(address)
+        clients.append(address)
 
     server = await spawn(tcp_server, host, 7441, serve, daemon=True)
-    await sleep(STARTED)
+    await sleep(STARTUP_SECONDS)
     fence = Fence([f"{host}/32"])
-    platform = HttpPlatform(host, 7441, SystemClock(), TIMEOUT, lambda: fence)
+    platform = HttpPlatform(host, 7441, SystemClock(), TIMEOUT_SECONDS, lambda: fence)
     try:
         with pytest.raises(PlatformError):
             await platform.list_vms(0)
     finally:
         await server.cancel()
-    return asked
+    return clients
 
 
 def test_fenced_platform_is_not_reached():
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of simulated VMs: what they cost, and whom look-ups name meanwhile."""
+"""Planned stops of simulated VMs: their cost, and how long lookups list stopped VMs."""
 
 import random
 
@@ -31,18 +31,19 @@
 )
 from tests.platform_samples import SETTINGS
 
-#: A fleet in which all VMs hear each other, and one in which they tell each other news.
-SMALL, LARGE = 9, 30
-#: Heartbeats in which news crosses a fleet of this size, the one of the VM included.
-HOPS = {SMALL: 1, LARGE: 2}
-LOOK_SECONDS = 0.05
-#: VMs that pick a VM or that it picks.
-PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-#: Heartbeats that tell a piece of news to a partner, and what is told of a stop: that
-#: the VM leaves, that it is gone, that it is back.
-TOLD, PIECES = 3, 3
-#: Changes of who owns targets: the VM leaves and is back.
-CHANGES = 2
+#: Sizes of a fleet in which all VMs exchange heartbeats, and of one that needs gossip.
+SMALL_FLEET, LARGE_FLEET = 9, 30
+#: Heartbeats in which an update reaches all VMs of a fleet, by its size.
+HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
+#: Seconds between two checks of the lookups.
+POLL_SECONDS = 0.05
+#: Most VMs that monitor a VM or that it monitors.
+MAX_PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
+#: Heartbeats that carry an update to a partner, and updates for each stop: the VM is
+#: leaving, is gone, is back.
+HEARTBEATS_PER_UPDATE, UPDATES_PER_STOP = 3, 3
+#: Changes of the owners of targets for each stop: the VM leaves, and is back.
+OWNER_CHANGES_PER_STOP = 2
 
 
 @pytest.fixture(autouse=True)
@@ -50,8 +51,8 @@
     random.seed(5)
 
 
-def naming(fleet, stopped):
-    """Return the running VMs whose look-ups may name one of the stopped ones."""
+def vms_listing(fleet, stopped):
+    """Return the running VMs whose lookups may list one of the stopped ones."""
     names = {vm.name for vm in stopped}
     return [
         vm
@@ -60,71 +61,75 @@
     ]
 
 
-def seconds_until_unnamed(fleet, stopped, limit=STOP_SECONDS):
-    """Return the seconds until no look-up names the stopped VMs."""
+def seconds_until_unlisted(fleet, stopped, limit=STOP_SECONDS):
+    """Return the seconds until no lookup lists the stopped VMs."""
     began = fleet.clock.time
-    while naming(fleet, stopped) and fleet.clock.time < began + limit:
-        fleet.run(LOOK_SECONDS)
+    while vms_listing(fleet, stopped) and fleet.clock.time < began + limit:
+        fleet.run(POLL_SECONDS)
     return fleet.clock.time - began
 
 
-@pytest.mark.parametrize("size", [SMALL, LARGE])
+@pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
-def test_vms_that_leave_together_are_named_for_a_heartbeat_at_most(size, stop):
+def test_vms_that_leave_together_are_listed_for_a_heartbeat_at_most(size, stop):
     fleet = settled(size)
     stopped = stop(fleet)
-    assert seconds_until_unnamed(fleet, stopped) <= HOPS[size] * INTERVAL + LOOK_SECONDS
+    assert (
+        seconds_until_unlisted(fleet, stopped) <= HOPS[size] * INTERVAL + POLL_SECONDS
+    )
 
 
-@pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_vm_that_leaves_does_not_name_those_that_leave_after_it(size):
+@pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
+def test_vm_that_leaves_does_not_list_those_that_leave_after_it(size):
     fleet = settled(size)
     for vm in fleet.serving()[:4]:
         fleet.stop(vm)
-        seconds = seconds_until_unnamed(fleet, [vm])
-        assert seconds <= HOPS[size] * INTERVAL + LOOK_SECONDS
+        seconds = seconds_until_unlisted(fleet, [vm])
+        assert seconds <= HOPS[size] * INTERVAL + POLL_SECONDS
         fleet.run(TURN_SECONDS - seconds)
 
 
-@pytest.mark.parametrize("size", [SMALL, LARGE])
+@pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_lost_datagram_does_not_keep_a_vm_that_leaves_named(size, stop, seed):
+def test_lost_datagram_does_not_keep_a_vm_that_leaves_listed(size, stop, seed):
     fleet = settled(size, 0.1, seed)
     stopped = stop(fleet)
     bound = LEAVE_SECONDS + HOPS[size] * INTERVAL
-    assert seconds_until_unnamed(fleet, stopped) <= bound
+    assert seconds_until_unlisted(fleet, stopped) <= bound
 
 
-@pytest.mark.parametrize("size", [SMALL, LARGE])
-def test_vm_that_starts_again_names_all_others_with_its_next_heartbeat(size):
+@pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
+def test_vm_that_starts_again_lists_all_others_with_its_next_heartbeat(size):
     fleet = settled(size)
     stopped = fleet.serving()[0]
     fleet.stop(stopped)
-    fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + LOOK_SECONDS)
-    started = fleet.vms[stopped.ip]
-    assert started is not stopped
-    assert len(started.members.active()) == size
+    fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + POLL_SECONDS)
+    restarted = fleet.vms[stopped.ip]
+    assert restarted is not stopped
+    assert len(restarted.members.active()) == size
 
 
 class StopCosts:
-    """What stops cost beyond an idle fleet, and how many VMs stayed meanwhile.
+    """The cost of stops beyond that of an idle fleet.
 
-    :param act: stops VMs of a fleet.
+    :param act: stops VMs of the fleet.
     """
 
     def __init__(self, fleet, act):
         idle = fleet.spent(SETTLE_SECONDS)
         before, began = fleet.costs, fleet.clock.time
-        started = {vm.name: vm.owners.rankings for vm in fleet.vms.values()}
+        rankings_before = {vm.name: vm.owners.rankings for vm in fleet.vms.values()}
         act(fleet)
         fleet.run(SETTLE_SECONDS)
         seconds = fleet.clock.time - began
         self.spent = fleet.costs.minus(before)
         self.messages = self.spent.messages - idle.messages * seconds / SETTLE_SECONDS
-        stayed = [vm for vm in fleet.vms.values() if vm.started_at < began]
-        self.rankings = [vm.owners.rankings - started[vm.name] for vm in stayed]
-        self.stops = len(fleet.vms) - len(stayed)
+        remaining = [vm for vm in fleet.vms.values() if vm.started_at < began]
+        self.rankings = [
+            vm.owners.rankings - rankings_before[vm.name] for vm in remaining
+        ]
+        self.stops = len(fleet.vms) - len(remaining)
 
 
 def tables_of(vm):
@@ -137,7 +142,7 @@
 
 
 def in_turn(stops):
-    """Return what stops so many VMs in turn."""
+    """Return a function that stops as many VMs of a fleet, one after another."""
     return lambda fleet: stop_in_turn(fleet, stops)
 
 
@@ -151,20 +156,24 @@
         (72, in_turn(3)),
     ],
 )
-def test_stops_cost_each_vm_that_stays_the_same_in_every_fleet(size, act):
-    bill = StopCosts(settled(size), act)
-    assert bill.stops > 0
-    assert bill.spent.writes == 2 * bill.stops
-    assert bill.spent.reads == bill.stops
-    # A VM that stays sends a round more at most, and each partner what is told.
-    assert bill.messages <= bill.stops * size * PARTNERS
-    told = PARTNERS * TOLD * (PIECES + MAX_REPAIRED_AT_ONCE)
-    assert bill.spent.news <= bill.stops * size * told
-    ranked = CHANGES * len(SERVICES) * TARGETS_OF_SERVICE
-    assert max(bill.rankings, default=0) <= bill.stops * ranked
-
-
-@pytest.mark.parametrize(("size", "readers"), [(SMALL, SMALL), (LARGE, READERS)])
+def test_cost_of_stops_for_each_remaining_vm_does_not_grow_with_the_fleet(size, act):
+    costs = StopCosts(settled(size), act)
+    assert costs.stops > 0
+    assert costs.spent.writes == 2 * costs.stops
+    assert costs.spent.reads == costs.stops
+    # A remaining VM sends at most one more round, and the updates to each partner.
+    assert costs.messages <= costs.stops * size * MAX_PARTNERS
+    max_updates = (
+        MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
+    )
+    assert costs.spent.news <= costs.stops * size * max_updates
+    max_rankings = OWNER_CHANGES_PER_STOP * len(SERVICES) * TARGETS_OF_SERVICE
+    assert max(costs.rankings, default=0) <= costs.stops * max_rankings
+
+
+@pytest.mark.parametrize(
+    ("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READERS)]
+)
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
     fleet = settled(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -16,13 +16,13 @@
 )
 from heathercleat.steering.process.store.table_copy import MAX_REMOVALS, TableCopy
 
-WAIT = 0.02
-PAUSE = 0.01
+WAIT_SECONDS = 0.02
+PAUSE_SECONDS = 0.01
 SILENT_SECONDS = 60.0
 
 
 class ScriptedStore:
-    """A table whose calls can fail."""
+    """A table in memory whose calls can fail."""
 
     def __init__(self):
         self.rows = {}
@@ -61,7 +61,7 @@
         return Snapshot(self.version, changes, is_whole=False)
 
     async def hang(self, table, after, wait):
-        """Tell once that the history is gone, then wait for a change for long."""
+        """Report a lost history once, then wait for a change for a long time."""
         if self.forget:
             self.forget = False
             raise HistoryLostError("gone")
@@ -73,8 +73,8 @@
             raise PlatformError("down")
 
 
-class Follower:
-    """A follower of a scripted store, and what it applied."""
+class FollowerHarness:
+    """A follower of a scripted store, and the snapshots that it applied."""
 
     def __init__(self, peer=None, reader=True, answered_elsewhere=False):
         self.store = ScriptedStore()
@@ -83,14 +83,14 @@
         self.applied = []
         self.answered_elsewhere = answered_elsewhere
         self.returned = []
-        self.matters = True
+        self.is_relevant = True
         self.lapsing = {}
         self.clock = SystemClock()
         self.follower = TableFollower(
             "op",
             self.store,
-            WAIT,
-            PAUSE,
+            WAIT_SECONDS,
+            PAUSE_SECONDS,
             self._apply,
             self._relay,
             lambda: self.peer.changed if self.peer else 1 << 62,
@@ -105,7 +105,7 @@
     def _apply(self, snapshot):
         keys = sorted(row.key for row in snapshot.rows)
         self.applied.append((snapshot.is_whole, keys))
-        return keys if self.matters else []
+        return keys if self.is_relevant else []
 
     async def _relay(self, version, since):
         if self.peer is None:
@@ -116,8 +116,8 @@
     def keys(self):
         return sorted(row.key for row in self.follower.snapshot().rows)
 
-    def play(self, *steps):
-        """Follow while each step is done, a few calls apart."""
+    def run_steps(self, *steps):
+        """Run the follower while calling each step, a few store calls apart."""
 
         async def main():
             async with TaskGroup(wait=any) as group:
@@ -131,152 +131,157 @@
         run(main)
 
 
-def test_rows_come_and_go():
-    made = Follower()
-    made.store.put("a", b"1")
-    made.play(lambda: made.store.put("b", b"2"), lambda: made.store.put("a", None))
-    assert made.keys == ["b"]
-    assert made.follower.changed == made.store.version
+def test_added_changed_and_removed_rows_are_followed():
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
+    harness.run_steps(
+        lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None)
+    )
+    assert harness.keys == ["b"]
+    assert harness.follower.changed == harness.store.version
 
 
-def test_table_is_read_again_when_the_history_is_gone():
-    made = Follower()
-    made.store.put("a", b"1")
+def test_table_is_read_again_when_the_history_is_lost():
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
 
     def forget():
-        made.store.put("b", b"2")
-        made.store.forget = True
+        harness.store.put("b", b"2")
+        harness.store.forget = True
 
-    made.play(forget)
-    assert made.keys == ["a", "b"]
-    assert made.store.reads == 2
+    harness.run_steps(forget)
+    assert harness.keys == ["a", "b"]
+    assert harness.store.reads == 2
 
 
-def test_reader_whose_call_is_not_answered_takes_what_others_know():
-    made = Follower()
-    made.store.put("a", b"1")
+def test_reader_whose_call_hangs_takes_the_table_of_a_peer():
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
 
-    def lose():
-        made.store.silent = True
+    def make_silent():
+        harness.store.silent = True
 
     def change_elsewhere():
-        made.peer = Snapshot(9, [StoreRow("b", b"2", 9)])
+        harness.peer = Snapshot(9, [StoreRow("b", b"2", 9)])
 
-    made.play(lose, change_elsewhere)
-    assert made.keys == ["b"]
-    assert made.follower.changed == 9
+    harness.run_steps(make_silent, change_elsewhere)
+    assert harness.keys == ["b"]
+    assert harness.follower.changed == 9
 
 
-def test_store_that_returns_is_noticed():
-    made = Follower()
-    made.play(
-        lambda: setattr(made.store, "down", True),
-        lambda: made.store.put("a", b"1"),
-        lambda: setattr(made.store, "down", False),
+def test_end_of_an_outage_is_reported():
+    harness = FollowerHarness()
+    harness.run_steps(
+        lambda: setattr(harness.store, "down", True),
+        lambda: harness.store.put("a", b"1"),
+        lambda: setattr(harness.store, "down", False),
     )
-    assert len(made.returned) == 1
-    assert not made.follower.lost
-    assert made.keys == ["a"]
+    assert len(harness.returned) == 1
+    assert not harness.follower.lost
+    assert harness.keys == ["a"]
 
 
-def test_store_returned_after_the_last_call_that_failed_was_begun():
-    made = Follower()
+def test_outage_ends_after_the_start_of_the_last_failed_call():
+    harness = FollowerHarness()
     up_at = []
 
     def up():
-        up_at.append(made.clock.now())
-        made.store.down = False
+        up_at.append(harness.clock.now())
+        harness.store.down = False
 
-    made.play(lambda: setattr(made.store, "down", True), up)
-    (since,) = made.returned
+    harness.run_steps(lambda: setattr(harness.store, "down", True), up)
+    (since,) = harness.returned
     assert up_at[0] - 1.5 * RETRY_INTERVAL <= since <= up_at[0]
 
 
-def test_store_that_answered_other_vms_meanwhile_was_not_away():
-    made = Follower(answered_elsewhere=True)
-    made.play(
-        lambda: setattr(made.store, "down", True),
-        lambda: setattr(made.store, "down", False),
+def test_store_that_answered_other_vms_had_no_outage():
+    harness = FollowerHarness(answered_elsewhere=True)
+    harness.run_steps(
+        lambda: setattr(harness.store, "down", True),
+        lambda: setattr(harness.store, "down", False),
     )
-    assert made.returned == []
-    assert made.follower.answered
+    assert harness.returned == []
+    assert harness.follower.answered
 
 
-def test_store_that_answers_others_first_was_away_for_all():
-    made = Follower()
+def test_outage_counts_if_the_store_answers_others_first_at_its_end():
+    harness = FollowerHarness()
 
     def up():
-        made.store.down = False
-        made.answered_elsewhere = True
+        harness.store.down = False
+        harness.answered_elsewhere = True
 
-    made.play(lambda: setattr(made.store, "down", True), up)
-    assert len(made.returned) == 1
+    harness.run_steps(lambda: setattr(harness.store, "down", True), up)
+    assert len(harness.returned) == 1
 
 
-def test_call_does_not_wait_for_a_change_while_the_store_is_away():
-    made = Follower()
-    made.play(lambda: setattr(made.store, "down", True))
-    assert made.store.waits[0] == WAIT
-    assert made.store.waits[-1] == 0.0
-    assert not made.follower.answered
+def test_call_does_not_wait_for_a_change_while_the_store_is_unavailable():
+    harness = FollowerHarness()
+    harness.run_steps(lambda: setattr(harness.store, "down", True))
+    assert harness.store.waits[0] == WAIT_SECONDS
+    assert harness.store.waits[-1] == 0.0
+    assert not harness.follower.answered
 
 
-def test_change_comes_from_another_vm_while_the_store_is_away():
+def test_change_comes_from_a_peer_while_the_store_is_unavailable():
     peer = Snapshot(9, [StoreRow("p", b"1", 9)])
-    made = Follower(peer)
-    made.store.down = True
-    made.play()
-    assert made.keys == ["p"]
-    assert made.follower.changed == 9
+    harness = FollowerHarness(peer)
+    harness.store.down = True
+    harness.run_steps()
+    assert harness.keys == ["p"]
+    assert harness.follower.changed == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
-    made = Follower(Snapshot(0, []), reader=False)
-    made.play()
-    assert made.store.calls == 1
+    harness = FollowerHarness(Snapshot(0, []), reader=False)
+    harness.run_steps()
+    assert harness.store.calls == 1
 
 
-def test_vm_that_is_no_reader_takes_what_another_knows():
-    made = Follower(Snapshot(0, []), reader=False)
+def test_vm_that_is_no_reader_takes_the_table_of_a_peer():
+    harness = FollowerHarness(Snapshot(0, []), reader=False)
     newer = Snapshot(12, [StoreRow("p", b"1", 7)], changed=7)
-    made.play(lambda: setattr(made, "peer", newer))
-    assert made.keys == ["p"]
-    assert made.store.calls == 1
+    harness.run_steps(lambda: setattr(harness, "peer", newer))
+    assert harness.keys == ["p"]
+    assert harness.store.calls == 1
 
 
-def test_older_table_of_another_vm_changes_nothing():
-    made = Follower(Snapshot(1, [StoreRow("old", b"1", 1)]))
-    made.store.put("a", b"1")
-    made.store.put("b", b"1")
-    made.play(lambda: setattr(made.store, "down", True))
-    assert made.keys == ["a", "b"]
+def test_older_table_of_a_peer_changes_nothing():
+    harness = FollowerHarness(Snapshot(1, [StoreRow("old", b"1", 1)]))
+    harness.store.put("a", b"1")
+    harness.store.put("b", b"1")
+    harness.run_steps(lambda: setattr(harness.store, "down", True))
+    assert harness.keys == ["a", "b"]
 
 
-def test_change_that_does_not_matter_is_not_told_to_others():
-    made = Follower()
-    made.store.put("a", b"1")
-    made.play(
-        lambda: setattr(made, "matters", False), lambda: made.store.put("a", b"2")
+def test_irrelevant_change_is_not_told_to_others():
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
+    harness.run_steps(
+        lambda: setattr(harness, "is_relevant", False),
+        lambda: harness.store.put("a", b"2"),
     )
-    assert made.follower.changed == 1
-    assert made.follower.snapshot().version == 2
+    assert harness.follower.changed == 1
+    assert harness.follower.snapshot().version == 2
 
 
 @pytest.mark.parametrize("lapsing", [{}, {"a": 1.5}])
 def test_removed_row_is_told_to_others_as_lapsing_only(lapsing):
-    made = Follower()
-    made.store.put("a", b"1")
-    made.lapsing = lapsing
-    made.play(lambda: made.store.put("a", None))
-    assert made.keys == []
-    assert made.follower.snapshot().lapsing == lapsing
-
-
-def test_row_that_came_back_is_told_to_others():
-    made = Follower()
-    made.store.put("a", b"old")
-    made.play(lambda: made.store.put("a", None), lambda: made.store.put("a", b"new"))
-    assert [row.value for row in made.follower.snapshot().rows] == [b"new"]
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
+    harness.lapsing = lapsing
+    harness.run_steps(lambda: harness.store.put("a", None))
+    assert harness.keys == []
+    assert harness.follower.snapshot().lapsing == lapsing
+
+
+def test_row_that_was_added_again_is_told_to_others():
+    harness = FollowerHarness()
+    harness.store.put("a", b"old")
+    harness.run_steps(
+        lambda: harness.store.put("a", None), lambda: harness.store.put("a", b"new")
+    )
+    assert [row.value for row in harness.follower.snapshot().rows] == [b"new"]
 
 
 def test_earlier_change_of_a_row_does_not_undo_a_later_one():
@@ -287,107 +292,107 @@
     assert {row.key: row.value for row in copy.rows} == {"a": b"new", "b": b"1"}
 
 
-def test_table_is_fetched_at_once_when_a_heartbeat_tells_of_a_newer_one():
-    made = Follower(Snapshot(0, []), reader=False)
-    made.store.put("a", b"1")
+def test_table_is_fetched_at_once_when_a_heartbeat_announces_a_newer_one():
+    harness = FollowerHarness(Snapshot(0, []), reader=False)
+    harness.store.put("a", b"1")
     fetched_after = []
 
     async def main():
         async with TaskGroup(wait=any) as group:
-            await group.spawn(made.follower.run)
+            await group.spawn(harness.follower.run)
             await sleep(0.2)
-            made.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
-            told_at = made.clock.now()
-            await made.follower.wake_if_behind()
-            while made.keys != ["b"]:
+            harness.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
+            told_at = harness.clock.now()
+            await harness.follower.wake_if_behind()
+            while harness.keys != ["b"]:
                 await sleep(0.001)
-            fetched_after.append(made.clock.now() - told_at)
+            fetched_after.append(harness.clock.now() - told_at)
             await group.cancel_remaining()
 
     run(main)
     assert fetched_after[0] < IDLE_PEER_INTERVAL / 4
 
 
-def test_looks_are_few_while_nobody_knows_a_newer_table():
-    made = Follower(Snapshot(0, []), reader=False)
-    looks = []
-    look = made.follower._ask_peer
+def test_peers_are_polled_rarely_while_none_has_a_newer_table():
+    harness = FollowerHarness(Snapshot(0, []), reader=False)
+    polls = []
+    poll = harness.follower._ask_peer
 
-    async def counted():
-        looks.append(made.clock.now())
-        await look()
+    async def count_poll():
+        polls.append(harness.clock.now())
+        await poll()
 
-    made.follower._ask_peer = counted
-    made.play(lambda: None)
-    # 0.8 s: with a look each 0.1 s there are seven and more.
-    assert len(looks) <= 3
+    harness.follower._ask_peer = count_poll
+    harness.run_steps(lambda: None)
+    # Polling every 0.1 s would exceed this within the 0.8 s of the run.
+    assert len(polls) <= 3
 
 
 def test_change_that_is_found_by_reading_again_is_told_at_once():
-    made = Follower()
-    made.store.put("a", b"1")
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
     told = []
 
     def forget():
-        made.store.put("b", b"2")
-        made.store.forget = True
-        made.store.follow = made.store.hang
+        harness.store.put("b", b"2")
+        harness.store.forget = True
+        harness.store.follow = harness.store.hang
 
-    made.play(lambda: None, forget, lambda: told.append(made.follower.told))
-    assert made.store.reads == 2
+    harness.run_steps(lambda: None, forget, lambda: told.append(harness.follower.told))
+    assert harness.store.reads == 2
     assert told == [2]
 
 
 def test_reader_tells_what_it_read_at_its_start_before_the_next_change():
-    made = Follower()
-    made.store.put("a", b"1")
-    made.store.follow = made.store.hang
+    harness = FollowerHarness()
+    harness.store.put("a", b"1")
+    harness.store.follow = harness.store.hang
     told = []
-    made.play(
-        lambda: told.append(made.follower.told),
+    harness.run_steps(
+        lambda: told.append(harness.follower.told),
         *[lambda: None] * 10,
-        lambda: told.append(made.follower.told),
+        lambda: told.append(harness.follower.told),
     )
     assert told == [0, 1]
 
 
 def test_whole_table_read_at_the_start_is_not_told_to_others():
-    made = Follower(Snapshot(0, []), reader=False)
-    made.store.put("a", b"1")
-    made.play()
-    assert (made.follower.changed, made.follower.told) == (1, 0)
+    harness = FollowerHarness(Snapshot(0, []), reader=False)
+    harness.store.put("a", b"1")
+    harness.run_steps()
+    assert (harness.follower.changed, harness.follower.told) == (1, 0)
 
 
 @pytest.mark.parametrize("reader", [True, False])
-def test_change_is_told_to_others_by_who_read_it_and_who_was_told(reader):
-    made = Follower(Snapshot(0, []), reader=reader)
+def test_change_is_told_to_others_by_readers_and_by_those_told(reader):
+    harness = FollowerHarness(Snapshot(0, []), reader=reader)
 
     def change():
-        made.store.put("a", b"1")
-        made.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
+        harness.store.put("a", b"1")
+        harness.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
 
-    made.play(change)
-    assert made.follower.told == 1
+    harness.run_steps(change)
+    assert harness.follower.told == 1
 
 
 def test_only_what_changed_is_passed_on():
-    made = Follower()
+    harness = FollowerHarness()
     for number in range(400):
-        made.store.put(f"old-{number}", b"1")
+        harness.store.put(f"old-{number}", b"1")
 
     def change():
-        made.store.put("new", b"1")
-        made.store.put("old-7", None)
-
-    known = []
-    made.play(lambda: known.append(made.follower.changed), change)
-    passed = made.follower.snapshot(known[0])
-    assert not passed.is_whole
-    assert [(row.key, row.value) for row in passed.rows] == [
+        harness.store.put("new", b"1")
+        harness.store.put("old-7", None)
+
+    versions = []
+    harness.run_steps(lambda: versions.append(harness.follower.changed), change)
+    delta = harness.follower.snapshot(versions[0])
+    assert not delta.is_whole
+    assert [(row.key, row.value) for row in delta.rows] == [
         ("new", b"1"),
         ("old-7", None),
     ]
-    assert len(made.follower.snapshot().rows) == 400
+    assert len(harness.follower.snapshot().rows) == 400
 
 
 def test_vm_that_missed_removals_is_told_the_whole_table():
@@ -402,28 +407,22 @@
     assert not copy.since(11, {}).is_whole
 
 
-def test_table_that_is_read_again_tells_what_went_meanwhile():
+def test_table_that_is_read_again_tells_of_removed_rows():
     copy = TableCopy()
     rows = [StoreRow("a", b"1", 3), StoreRow("b", b"1", 4)]
     copy.replace_all(Snapshot(10, rows))
     copy.record_changes(["a", "b"], 10)
     copy.replace_all(Snapshot(20, rows[1:]))
-    passed = copy.since(10, {})
-    assert [(row.key, row.value, row.version) for row in passed.rows] == [
+    delta = copy.since(10, {})
+    assert [(row.key, row.value, row.version) for row in delta.rows] == [
         ("a", None, 20)
     ]
 
 
-def test_row_that_came_and_went_between_two_whole_readings_is_told_as_gone():
-    """A target that had left stayed in use at VMs that had seen it come.
-
-    The order of events: a VM reads the table whole; a target comes, and another VM
-    learns of it; the target goes; the first VM reads the table whole again, since the
-    history is gone. It never saw the target, and tells the other one what changed:
-    nothing. That one is as new as the first then, and asks nobody.
+def test_row_added_and_removed_between_two_full_reads_is_told_as_removed():
+    """A VM that never had the row must still make others remove it.
 
-    The evidence: the two copies played by hand, and the machine in test_lapses, which
-    found it in one run of four.
+    Otherwise a removed target would stay in use at VMs that had learned of it.
     """
     reader, other = TableCopy(), TableCopy()
     reader.replace_all(Snapshot(2, [], 2))
@@ -437,7 +436,7 @@
     assert other.rows == []
 
 
-def test_row_from_before_the_whole_table_is_no_news():
+def test_row_older_than_the_whole_table_is_ignored():
     copy = TableCopy()
     copy.replace_all(Snapshot(10, []))
     late = Snapshot(9, [StoreRow("a", b"1", 9)], is_whole=False)
@@ -445,46 +444,39 @@
     assert copy.version == 10
 
 
-def test_outage_that_proves_to_be_for_all_between_two_calls_is_one_for_all():
-    made = Follower(Snapshot(0, []), reader=True, answered_elsewhere=True)
+def test_outage_found_to_affect_all_between_two_calls_is_reported_once():
+    harness = FollowerHarness(Snapshot(0, []), reader=True, answered_elsewhere=True)
 
-    made.play(
-        lambda: setattr(made.store, "down", True),
-        lambda: setattr(made, "reader", False),
-        lambda: setattr(made, "answered_elsewhere", False),
+    harness.run_steps(
+        lambda: setattr(harness.store, "down", True),
+        lambda: setattr(harness, "reader", False),
+        lambda: setattr(harness, "answered_elsewhere", False),
         *[lambda: None] * 6,
-        lambda: setattr(made, "answered_elsewhere", True),
-        lambda: setattr(made.store, "down", False),
+        lambda: setattr(harness, "answered_elsewhere", True),
+        lambda: setattr(harness.store, "down", False),
         *[lambda: None] * 20,
     )
-    assert len(made.returned) == 1
+    assert len(harness.returned) == 1
 
 
 @pytest.mark.parametrize(("reads", "keys"), [(False, ["a"]), (True, [])])
-def test_vm_that_asks_whether_the_store_is_back_leaves_its_changes_to_readers(
-    reads, keys
-):
-    """A target whose entry lapsed in an outage was given up too early.
-
-    The order of events: the store is away for all; a target's entry lapses; the store
-    returns. A VM that does not read for others asks each two seconds, and is answered
-    first. Of the return it knows only that it came after its last call, two seconds
-    ago; it counts the lapse from there, gives the target up, and tells the others so.
-
-    The evidence: two of five VMs gave the target up 0.4 s after the return in place of
-    2.4 s, and readers, which ask each 0.3 s, knew of it from them.
+def test_vm_that_probes_a_lost_store_leaves_its_changes_to_readers(reads, keys):
+    """A target whose entry expired in an outage must not be dropped too early.
+
+    A VM that is no reader calls rarely, so its estimate of the end of the outage is
+    earlier than that of readers.
     """
-    made = Follower(Snapshot(0, []))
-    made.store.put("a", b"1")
-    made.play(
-        lambda: setattr(made.store, "down", True),
-        lambda: setattr(made, "reader", False),
-        lambda: made.store.put("a", None),
-        lambda: setattr(made.store, "down", False),
+    harness = FollowerHarness(Snapshot(0, []))
+    harness.store.put("a", b"1")
+    harness.run_steps(
+        lambda: setattr(harness.store, "down", True),
+        lambda: setattr(harness, "reader", False),
+        lambda: harness.store.put("a", None),
+        lambda: setattr(harness.store, "down", False),
         *[lambda: None] * 25,
-        lambda: setattr(made, "reader", reads),
+        lambda: setattr(harness, "reader", reads),
         *[lambda: None] * 10,
     )
-    assert not made.follower.lost
-    assert len(made.returned) == 1
-    assert made.keys == keys
+    assert not harness.follower.lost
+    assert len(harness.returned) == 1
+    assert harness.keys == keys
--- a/tests/test_forwarded.py
+++ b/tests/test_forwarded.py
@@ -1,4 +1,4 @@
-"""Requests of other VMs, as the owner of a target takes them."""
+"""Requests that other VMs forward to the owner of a target."""
 
 import socket
 
@@ -18,20 +18,20 @@
 from tests.fakes import ManualClock
 from tests.steering_parts import call
 
-#: Bytes of an answer that no buffer of a connection holds.
-LARGE = 32 << 20
-#: Turns of the loop in which all has happened that waits for nothing else.
-ROUNDS = 20
+#: Size of a response that exceeds all buffers of a connection.
+LARGE_BODY_BYTES = 32 << 20
+#: Rounds of the event loop after which all tasks that can run have run.
+SETTLE_ROUNDS = 20
 
 
 class Owner:
-    """A connection of another VM, and what it asks for."""
+    """The owner of a target, with a connection from another VM."""
 
-    def __init__(self, answer=b""):
+    def __init__(self, body=b""):
         self.clock = ManualClock()
         self.active_requests = ActiveRequests()
         self.calls = []
-        self._answer = answer
+        self._body = body
         with socket.create_server(("127.0.0.1", 0)) as listener:
             self.client = socket.create_connection(listener.getsockname())
             server, _ = listener.accept()
@@ -40,31 +40,36 @@
         )
 
     async def run(self, call, preferred, avoid, until):
-        """Answer a request as a target does."""
+        """Return a result with a response, in place of a dispatcher."""
         self.calls.append(call)
         return AttemptResult(
-            AttemptOutcome.ANSWERED, TargetResponse(200, [], self._answer), "t1", 0.1
+            AttemptOutcome.ANSWERED, TargetResponse(200, [], self._body), "t1", 0.1
         )
 
     def send(self, **fields):
-        """Send the head of a request with a body of two bytes."""
-        made = call(self.clock)
+        """Send the head of a forwarded request whose body has two bytes.
+
+        :param fields: attributes to set on the :class:`Call`.
+        """
+        forwarded_call = call(self.clock)
         for name, value in fields.items():
-            setattr(made, name, value)
+            setattr(forwarded_call, name, value)
         now = self.clock.now()
-        order = ForwardOrder.from_call(made, (), (), now + 1.0, 0.0, now).pack()
+        order = ForwardOrder.from_call(
+            forwarded_call, (), (), now + 1.0, 0.0, now
+        ).pack()
         headers = [("host", "a"), (ORDER_HEADER, order), ("content-length", "2")]
         request = h11.Request(method="POST", target="/", headers=headers)
         self.client.sendall(h11.Connection(h11.CLIENT).send(request))
 
 
 async def settle():
-    for _ in range(ROUNDS):
+    for _ in range(SETTLE_ROUNDS):
         await sleep(0.005)
 
 
 @pytest.mark.parametrize("name", ["deadline", "send_deadline"])
-def test_slow_body_does_not_lengthen_the_time_of_a_request(name):
+def test_slow_body_does_not_extend_the_deadlines_of_a_request(name):
     owner = Owner()
     until = owner.clock.now() + 4.0
 
@@ -81,16 +86,16 @@
     assert getattr(owner.calls[0], name) == pytest.approx(until)
 
 
-def test_vm_is_busy_until_its_answer_to_another_one_is_sent():
-    owner = Owner(bytes(LARGE))
+def test_forwarded_request_is_active_until_its_response_is_sent():
+    owner = Owner(bytes(LARGE_BODY_BYTES))
 
     async def main():
         task = await spawn(owner.connection.serve)
         owner.send()
         owner.client.sendall(b"hi")
         await settle()
-        busy = owner.active_requests.count
+        active_count = owner.active_requests.count
         await task.cancel()
-        return busy
+        return active_count
 
     assert run(main) == 1
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -683,7 +683,7 @@
         "IDLE_PEER_INTERVAL = 0.05",
         "tests/test_follower.py",
         "-k",
-        "looks_are_few",
+        "polled_rarely",
     ),
     Mutation(
         "LAPSE-left-to-readers",
@@ -701,7 +701,7 @@
         "return False",
         "tests/test_follower.py",
         "-k",
-        "came_and_went",
+        "added_and_removed",
     ),
     Mutation(
         "QUARANTINE-third-end",
