--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -56,7 +56,7 @@
 ):
     owner, other = fleet.vms["north-a-1"], fleet.vms["north-b-1"]
     fleet.switch_target("i-1", work_s=WORK_SECONDS)
-    occupying = [
+    threads = [
         threading.Thread(
             target=fleet.send,
             args=(owner, "POST", "/one/x", f"q{number}"),
@@ -64,11 +64,11 @@
         )
         for number in range(2)
     ]
-    for each in occupying:
-        each.start()
+    for thread in threads:
+        thread.start()
     wait_for(lambda: len(fleet.runs()) == 2)
     send_and_disconnect(other, method, path, "left", DISCONNECT_SECONDS)
-    for each in occupying:
-        each.join()
+    for thread in threads:
+        thread.join()
     time.sleep(2 * WORK_SECONDS)
     assert sorted(run[0] for run in fleet.runs()) == ["q0", "q1"]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -89,14 +89,14 @@
         self.statuses = []
 
     def __enter__(self):
-        for each in self._threads:
-            each.start()
+        for thread in self._threads:
+            thread.start()
         return self
 
     def __exit__(self, *exc_info):
         self._stopping.set()
-        for each in self._threads:
-            each.join()
+        for thread in self._threads:
+            thread.join()
 
     def _run(self, number):
         """Alternate between a request that all callers send and a new one."""
@@ -133,7 +133,9 @@
         statuses = send_repeatedly(fleet, method, path)
     crash_instants = [instant for instant, _ in fleet.ends()]
     later = [
-        each for each in crash_instants if each > crash_instants[2] + STABLE_SECONDS
+        instant
+        for instant in crash_instants
+        if instant > crash_instants[2] + STABLE_SECONDS
     ]
     served = others.statuses.count(200) / len(others.statuses)
     assert len(later) <= MAX_LATER_CRASHES
@@ -176,13 +178,13 @@
 )
 def test_crashes_not_caused_by_requests_quarantine_nothing(fleet, at_once, waves, gap):
     fleet.set_fatal([], DOWN_SECONDS)
-    for each in TARGETS:
-        fleet.switch_target(each, work_s=0.2)
+    for target in TARGETS:
+        fleet.switch_target(target, work_s=0.2)
     rng = random.Random(at_once)
     with OtherCallers(fleet) as others:
         for _ in range(waves):
-            for each in rng.sample(list(TARGETS), at_once):
-                fleet.end_target(each)
+            for target in rng.sample(list(TARGETS), at_once):
+                fleet.end_target(target)
             time.sleep(gap)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     names = {line["name"] for line in lines}
@@ -192,8 +194,8 @@
 
 
 def test_lost_responses_of_targets_that_run_on_quarantine_nothing(fleet):
-    for each in TARGETS:
-        fleet.switch_target(each, lose=True)
+    for target in TARGETS:
+        fleet.switch_target(target, lose=True)
     statuses = send_repeatedly(fleet, "POST", "/one/x", attempts=12)
     assert set(statuses) == {502}
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
@@ -277,7 +279,9 @@
     assert statuses[-8:] == [503] * 8
     crash_instants = [instant for instant, _ in fleet.ends()]
     later = [
-        each for each in crash_instants if each > crash_instants[2] + STABLE_SECONDS
+        instant
+        for instant in crash_instants
+        if instant > crash_instants[2] + STABLE_SECONDS
     ]
     assert len(later) <= MAX_LATER_CRASHES
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -29,8 +29,8 @@
         self.changes = []
         self.version = 0
         self.down = False
-        self.forget = False
-        self.silent = False
+        self.is_history_lost = False
+        self.is_silent = False
         self.waits = []
         self.reads = 0
         self.calls = 0
@@ -51,19 +51,19 @@
     async def follow(self, table, after, wait):
         self.waits.append(wait)
         self._call()
-        if self.silent:
+        if self.is_silent:
             await sleep(SILENT_SECONDS)
             raise PlatformError("no answer")
-        if self.forget:
-            self.forget = False
+        if self.is_history_lost:
+            self.is_history_lost = False
             raise HistoryLostError("gone")
         changes = [row for row in self.changes if row.version > after]
         return Snapshot(self.version, changes, is_whole=False)
 
     async def hang(self, table, after, wait):
         """Report a lost history once, then wait for a change for a long time."""
-        if self.forget:
-            self.forget = False
+        if self.is_history_lost:
+            self.is_history_lost = False
             raise HistoryLostError("gone")
         await sleep(SILENT_SECONDS)
 
@@ -131,7 +131,7 @@
         run(main)
 
 
-def test_added_changed_and_removed_rows_are_followed():
+def test_additions_and_removals_of_rows_are_followed():
     harness = FollowerHarness()
     harness.store.put("a", b"1")
     harness.run_steps(
@@ -145,11 +145,11 @@
     harness = FollowerHarness()
     harness.store.put("a", b"1")
 
-    def forget():
+    def lose_history():
         harness.store.put("b", b"2")
-        harness.store.forget = True
+        harness.store.is_history_lost = True
 
-    harness.run_steps(forget)
+    harness.run_steps(lose_history)
     assert harness.keys == ["a", "b"]
     assert harness.store.reads == 2
 
@@ -159,7 +159,7 @@
     harness.store.put("a", b"1")
 
     def make_silent():
-        harness.store.silent = True
+        harness.store.is_silent = True
 
     def change_elsewhere():
         harness.peer = Snapshot(9, [StoreRow("b", b"2", 9)])
@@ -183,15 +183,15 @@
 
 def test_outage_ends_after_the_start_of_the_last_failed_call():
     harness = FollowerHarness()
-    up_at = []
+    recovered_at = []
 
-    def up():
-        up_at.append(harness.clock.now())
+    def recover():
+        recovered_at.append(harness.clock.now())
         harness.store.down = False
 
-    harness.run_steps(lambda: setattr(harness.store, "down", True), up)
+    harness.run_steps(lambda: setattr(harness.store, "down", True), recover)
     (since,) = harness.returned
-    assert up_at[0] - 1.5 * RETRY_INTERVAL <= since <= up_at[0]
+    assert recovered_at[0] - 1.5 * RETRY_INTERVAL <= since <= recovered_at[0]
 
 
 def test_store_that_answered_other_vms_had_no_outage():
@@ -207,11 +207,11 @@
 def test_outage_counts_if_the_store_answers_others_first_at_its_end():
     harness = FollowerHarness()
 
-    def up():
+    def recover():
         harness.store.down = False
         harness.answered_elsewhere = True
 
-    harness.run_steps(lambda: setattr(harness.store, "down", True), up)
+    harness.run_steps(lambda: setattr(harness.store, "down", True), recover)
     assert len(harness.returned) == 1
 
 
@@ -333,12 +333,14 @@
     harness.store.put("a", b"1")
     told = []
 
-    def forget():
+    def lose_history():
         harness.store.put("b", b"2")
-        harness.store.forget = True
+        harness.store.is_history_lost = True
         harness.store.follow = harness.store.hang
 
-    harness.run_steps(lambda: None, forget, lambda: told.append(harness.follower.told))
+    harness.run_steps(
+        lambda: None, lose_history, lambda: told.append(harness.follower.told)
+    )
     assert harness.store.reads == 2
     assert told == [2]
 
