--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -270,7 +270,7 @@
 
 
 def test_cleared_crashes_leave_room_for_others(view):
-    """The stored crashes are limited in number."""
+    """Cleared crashes must not use up the limited number of stored crashes."""
     for incarnation in INCARNATIONS[:MAX_CRASHES]:
         view.record_crash(incarnation, name=b"k=1")
         view.record_response(name=b"k=1")
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -34,7 +34,7 @@
 GRACE_SECONDS = 6.0
 #: Seconds after the stop signal at which the last responses are sent.
 LAST_RESPONSE_SECONDS = GRACE_SECONDS - KILL_MARGIN_SECONDS - FLUSH_SECONDS
-#: Seconds to a deadline after the end of the process.
+#: Seconds from now to a deadline after the end of the process.
 DISTANT_SECONDS = 20.0
 
 
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -33,7 +33,7 @@
 
 #: Sizes of a fleet in which all VMs exchange heartbeats, and of one that needs gossip.
 SMALL_FLEET, LARGE_FLEET = 9, 30
-#: Heartbeats in which an update reaches all VMs of a fleet, by its size.
+#: Heartbeats after which all VMs of a fleet have an update, by fleet size.
 HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
 #: Seconds between two checks of the lookups.
 POLL_SECONDS = 0.05
@@ -142,7 +142,7 @@
 
 
 def in_turn(stops):
-    """Return a function that stops as many VMs of a fleet, one after another."""
+    """Return a function that stops ``stops`` VMs of a fleet, one after another."""
     return lambda fleet: stop_in_turn(fleet, stops)
 
 
