--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -115,16 +115,16 @@
             call = await self._reader.read(request)
             response = await self._steer(request, call)
             await self._send(request, response.status, response.headers, response.body)
-            self._node.request_log.answered(call, response, self._clock.now())
+            self._node.request_log.record_response(call, response, self._clock.now())
         except RequestError as error:
-            self._node.request_log.refused(call, error, self._clock.now())
+            self._node.request_log.record_refusal(call, error, self._clock.now())
             await self._refuse(request, error)
         except CallerDisconnectedError:
-            self._node.request_log.left(call, self._clock.now())
+            self._node.request_log.record_disconnect(call, self._clock.now())
             self._abort()
             raise
         finally:
-            self._node.body_memory.give(request.reserved_bytes)
+            self._node.body_memory.release(request.reserved_bytes)
 
     async def _steer(self, request, call):
         """Return the :class:`TargetResponse` to a call.
@@ -180,7 +180,7 @@
     async def _refuse_head(self, error):
         """Send the refusal of a request whose head could not be read."""
         await self._pipeline.drain()
-        self._node.request_log.refused(None, error, self._clock.now())
+        self._node.request_log.record_refusal(None, error, self._clock.now())
         await self._refuse(
             PipelinedRequest(self._stream, None, self._clock.now()), error
         )
@@ -203,7 +203,7 @@
         """Send a response after those to earlier requests."""
         await request.wait_for_turn()
         headers = [*headers, (b"content-length", str(len(body)).encode())]
-        is_closing = self._node.leaving and self._pipeline.is_last(request)
+        is_closing = self._node.is_leaving and self._pipeline.is_last(request)
         if is_closing and (b"connection", b"close") not in headers:
             headers.append((b"connection", b"close"))
         # The client may retry requests that were not read before the close.
--- a/src/heathercleat/steering/process/moving_average.py
+++ b/src/heathercleat/steering/process/moving_average.py
@@ -1,4 +1,4 @@
-"""Moving means by key."""
+"""Exponential moving averages by key."""
 
 
 def update_moving_average(means, key, value, weight):
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -1,4 +1,4 @@
-"""The daemon of a VM that steers requests on the platform."""
+"""The steering process of a VM: wiring, main loops and shutdown."""
 
 from signal import SIGHUP, SIGINT, SIGTERM
 from time import time_ns
@@ -58,29 +58,30 @@
 from heathercleat.steering.version.routing import Limits
 from heathercleat.steering.version.split import Splitter
 
-#: Limits on clients before the first configuration is known.
-FIRST_LIMITS = Limits(16 << 10, 64 << 20, 3.0, 15.0)
-#: Seconds for which an idle connection to a target or another VM is kept.
-IDLE_SECONDS = 8.0
-#: Seconds between two looks at slots that come free and at targets that are given up by
-#: the passing of time; the other one is for slow targets and idle connections.
-UPKEEP_INTERVAL = 0.05
-JUDGE_INTERVAL = 0.5
-#: The same of a VM that owns no target and uses none without its entry: it has nothing
-#: that the passing of time ends but idle connections.
-IDLE_UPKEEP_INTERVAL = 0.25
-SUMMARY_INTERVAL = 5.0
-#: Seconds after which a loop that failed starts again.
-RESTART_PAUSE = 0.05
-#: Seconds between two looks whether a leaving VM has finished its requests.
-LEAVING_INTERVAL = 0.05
+#: Limits on clients until the first configuration is loaded.
+INITIAL_LIMITS = Limits(16 << 10, 64 << 20, 3.0, 15.0)
+#: Idle timeout of connections to targets and other VMs, in seconds.
+IDLE_TIMEOUT_SECONDS = 8.0
+#: Seconds between checks for freed slots and expired targets.
+MAINTENANCE_SECONDS = 0.05
+#: Seconds between checks for slow targets, expired suspects and idle connections.
+SLOW_CHECK_SECONDS = 0.5
+#: Replaces ``MAINTENANCE_SECONDS`` on a VM without owned or lapsing targets.
+IDLE_MAINTENANCE_SECONDS = 0.25
+SUMMARY_SECONDS = 5.0
+#: Seconds before a failed loop is restarted.
+RESTART_DELAY_SECONDS = 0.05
+#: Seconds between checks whether a leaving VM has finished its requests.
+SHUTDOWN_CHECK_SECONDS = 0.05
 
 
 class SteeringNode:
-    """One VM: its parts, its listeners and its graceful shutdown.
+    """The steering process of one VM.
 
     :param settings: the :class:`NodeSettings`.
-    :param metrics_port: port for metrics, or ``None``.
+    :param metrics_port: port of the metrics page, or ``None``.
+    :param log_writer: counts dropped log lines; ``None`` if not known.
+    :param clock: a :class:`Clock`; the system clock by default.
     """
 
     def __init__(self, settings, metrics_port=None, log_writer=None, clock=None):
@@ -95,43 +96,43 @@
         self.retry_detector = RetryDetector()
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(settings.memory)
-        # Each part takes those above it.
-        self._build_beliefs()
+        # In order of dependency.
+        self._build_state()
         self._build_store()
         self._build_gossip()
         self._build_steering()
-        self._build_edges()
+        self._build_listeners()
 
-    def _build_beliefs(self):
-        """Build what this VM believes of VMs, targets and requests."""
+    def _build_state(self):
+        """Build the state of VMs, targets and requests."""
         settings, journal, clock = self._settings, self._journal, self.clock
-        # Wall-clock time only tells incarnations of this VM apart.
+        # Wall-clock time, used only to tell incarnations of this VM apart.
         incarnation = time_ns()
         self._registry = TargetRegistry(journal, clock)
         self._members = Members(settings, journal, clock, incarnation)
         self._owners = Owners(self._registry, self._members)
-        self._rooms = CapacityReports(clock)
-        self._held = HeldSlots(self._members, self._rooms, clock)
+        self._capacity_reports = CapacityReports(clock)
+        self._held_slots = HeldSlots(self._members, self._capacity_reports, clock)
         self._ledger = SlotLedger(
             self._owners,
             self._registry,
             self._service,
             settings.bounds,
-            self._held,
+            self._held_slots,
             journal,
             clock,
         )
-        self._handover = Handover(self._members, self._owners, self._is_short)
+        self._handover = Handover(self._members, self._owners, self._is_time_short)
         self._admission = Admission(self._ledger, self._members.region_of, clock)
         self._response_times = ResponseTimes()
         self.shutdown = Shutdown(RunTimes(clock), lambda: bool(self._members.serving()))
-        self._pressure = LossRates()
+        self._loss_rates = LossRates()
         self._suspects = Suspects(journal, clock)
         self._containment = Containment(self._suspects, clock)
         self._shift = RegionShiftLimit(settings.bounds.shift_share, clock)
 
     def _build_store(self):
-        """Build what follows and writes the tables of the store."""
+        """Build the followers and writers of the store's tables."""
         settings, journal, clock = self._settings, self._journal, self.clock
         self._peer_pool = self._new_pool()
         self._tables = Tables(
@@ -139,7 +140,7 @@
             self._registry,
             self._members,
             self._peer_pool,
-            self._adopt,
+            self._apply_configuration,
             journal,
             clock,
         )
@@ -155,14 +156,14 @@
         self._suspects.on_quarantine(self._quarantines.enqueue)
 
     def _build_gossip(self):
-        """Build the heartbeats."""
+        """Build the gossip between VMs."""
         settings, journal, clock = self._settings, self._journal, self.clock
         composer = HeartbeatComposer(
             self._members,
             self._tables,
             self._ledger,
             self._admission,
-            self._pressure,
+            self._loss_rates,
             self._suspects,
             lambda: self._table.services if self._table else (),
             clock,
@@ -170,8 +171,8 @@
         self._gossip = Gossip(
             settings,
             self._members,
-            self._rooms,
-            self._held,
+            self._capacity_reports,
+            self._held_slots,
             self._ledger.new_owners,
             self._ledger.pop_new_owners,
             self._suspects,
@@ -182,10 +183,14 @@
         )
 
     def _build_steering(self):
-        """Build what finds places for requests and tries them."""
+        """Build target selection and request attempts."""
         settings, journal, clock = self._settings, self._journal, self.clock
         view = TargetView(
-            self._members, self._registry, self._owners, self._ledger, self._rooms
+            self._members,
+            self._registry,
+            self._owners,
+            self._ledger,
+            self._capacity_reports,
         )
         self._target_pool = self._new_pool()
         self._local = LocalDispatcher(
@@ -200,14 +205,16 @@
             journal,
             clock,
         )
-        self._members.on_change(self._forget_rooms)
+        self._members.on_change(self._forget_reports)
         self._registry.on_change(self._update_serving)
-        losses = RegionLossRates(self._members, self._rooms, self._pressure, clock)
+        losses = RegionLossRates(
+            self._members, self._capacity_reports, self._loss_rates, clock
+        )
         estimates = Estimates(
             self._members,
             self._admission,
-            self._rooms,
-            self._gossip.trip,
+            self._capacity_reports,
+            self._gossip.round_trip,
             self._response_times,
             clock,
         )
@@ -218,8 +225,8 @@
             self._local,
             ForwardDispatcher(self._peer_pool, settings.forward_port, clock),
             self._members,
-            self._rooms,
-            self._gossip.trip,
+            self._capacity_reports,
+            self._gossip.round_trip,
             self._containment,
         )
         self._steering = Steering(
@@ -228,19 +235,19 @@
             self._shift,
             self._budget,
             self._response_times,
-            self._pressure,
+            self._loss_rates,
             self.shutdown,
             self._containment,
             journal,
             clock,
         )
 
-    def _build_edges(self):
-        """Build what meets clients, the platform and other VMs' requests."""
+    def _build_listeners(self):
+        """Build the listeners and what they serve."""
         settings, journal, clock = self._settings, self._journal, self.clock
-        self._warm = WarmConnections(
+        self._warm_connections = WarmConnections(
             self._peer_pool,
-            self._gossip.partners,
+            self._gossip.reporting_members,
             settings.region,
             settings.forward_port,
             clock,
@@ -252,7 +259,7 @@
             settings.bounds.lookup_ttl,
             clock,
         )
-        self._metrics = SteeringMetrics(self._beliefs)
+        self._metrics = SteeringMetrics(self._read_gauges)
         self.request_log = RequestLog(self._metrics, journal, clock)
         self._listeners = Listeners(
             self,
@@ -269,7 +276,11 @@
     def _new_pool(self):
         fence = Fence()
         return ConnectionPool(
-            self.clock, self._settings.ip, lambda: fence, enable_keepalive, IDLE_SECONDS
+            self.clock,
+            self._settings.ip,
+            lambda: fence,
+            enable_keepalive,
+            IDLE_TIMEOUT_SECONDS,
         )
 
     @property
@@ -280,67 +291,69 @@
     @property
     def limits(self):
         """Return the :class:`Limits` on clients in force."""
-        return self._table.limits if self._table else FIRST_LIMITS
+        return self._table.limits if self._table else INITIAL_LIMITS
 
     @property
-    def leaving(self):
-        """Return whether this VM takes no new clients."""
-        return self._members.own.stops
+    def is_leaving(self):
+        """Return whether this VM is shutting down."""
+        return self._members.own.is_stopping
 
     @property
-    def started(self):
-        """Return whether the configuration and the targets are known."""
+    def is_started(self):
+        """Return whether the configuration and the targets are loaded."""
         return self._table is not None and self._registry.is_loaded
 
     @property
-    def ready(self):
-        """Return whether this VM takes clients."""
-        return self._members.own.serving
+    def is_ready(self):
+        """Return whether this VM accepts clients."""
+        return self._members.own.is_serving
 
     async def steer(self, call):
-        """Return a target's final answer to a call; see :meth:`Steering.run`."""
+        """Return the final response to a call; see :meth:`Steering.run`."""
         return await self._steering.run(call)
 
     def choose_service(self, route):
-        """Return the service that runs the next request of a route."""
+        """Return the service for the next request of a route, by its traffic split."""
         splitter = self._splitters.get(route.name)
         if splitter is None:
             splitter = self._splitters[route.name] = Splitter(route.shares)
         return splitter.next()
 
     async def serve(self):
-        """Run until a graceful shutdown has ended."""
+        """Run until a graceful shutdown completes."""
         self._journal.write(Event.VM_STARTED, incarnation=self._members.own.incarnation)
         signals = SignalWatch(self.clock, SIGTERM, SIGINT, SIGHUP)
         await self._gossip.open()
         async with TaskGroup(wait=any) as group:
             await group.spawn(self._shut_down, signals)
             for run in self._loops():
-                await group.spawn(run_supervised, run, self._journal, RESTART_PAUSE)
+                await group.spawn(
+                    run_supervised, run, self._journal, RESTART_DELAY_SECONDS
+                )
             await self._listeners.start(group)
 
     def _loops(self):
         return (
             self._gossip.listen,
-            self._gossip.beat,
+            self._gossip.run,
             self._tables.operator.run,
             self._tables.targets.run,
             self._tables.follow_members,
             self._quarantines.follow,
             self._quarantines.write,
             self.active_requests.run,
-            self._keep_up,
-            self._summarise,
-            self._warm.run,
+            self._run_maintenance,
+            self._log_summaries,
+            self._warm_connections.run,
         )
 
-    async def _keep_up(self):
-        """Do what the passing of time calls for."""
-        judge_at = 0.0
+    async def _run_maintenance(self):
+        """Run periodic maintenance."""
+        slow_checks_at = 0.0
         while True:
             now = self.clock.now()
-            if now >= judge_at:
-                judge_at = now + JUDGE_INTERVAL
+            if now >= slow_checks_at:
+                slow_checks_at = now + SLOW_CHECK_SECONDS
                 self._ledger.update_slow_targets()
                 self._suspects.expire()
                 await self._target_pool.sweep()
@@ -349,18 +362,18 @@
             await self._admission.admit_all_queued()
             await self._gossip.notify()
             has_work = self._ledger.all() or self._registry.lapsing()
-            await sleep(UPKEEP_INTERVAL if has_work else IDLE_UPKEEP_INTERVAL)
+            await sleep(MAINTENANCE_SECONDS if has_work else IDLE_MAINTENANCE_SECONDS)
 
-    async def _summarise(self):
+    async def _log_summaries(self):
         while True:
-            await sleep(SUMMARY_INTERVAL)
-            self.request_log.flush(**self._beliefs())
+            await sleep(SUMMARY_SECONDS)
+            self.request_log.flush(**self._read_gauges())
 
     async def _shut_down(self, signals):
-        """Wait for a stop signal, then leave without cutting any request."""
+        """Wait for a stop signal, then shut down gracefully."""
         while await signals.next() is SIGHUP:
             self._reload()
-        # A busy loop reads the signal later, and the kill does not wait for it.
+        # The grace period starts when the signal arrived, not when it was handled.
         self.shutdown.begin(signals.received_at, self._settings.bounds.stop_grace)
         self._members.leave()
         self._handover.begin(
@@ -375,15 +388,15 @@
         await self._listeners.cancel_blocking_requests()
         self._listeners.close()
         while self._is_busy() and self.clock.now() < self.shutdown.ends_at:
-            await sleep(LEAVING_INTERVAL)
+            await sleep(SHUTDOWN_CHECK_SECONDS)
         self._record_abandoned()
 
     def _record_abandoned(self):
-        """Log the requests that end with this process, and how long the stop took."""
+        """Log the unfinished requests and the duration of the shutdown."""
         now = self.clock.now()
         calls = self.active_requests.calls()
         for call in calls:
-            self.request_log.abandoned(call, now)
+            self.request_log.record_abandoned(call, now)
         self._journal.write(
             Event.VM_STOPPED,
             seconds=round(self.shutdown.elapsed(now), 3),
@@ -391,23 +404,25 @@
         )
 
     async def _finish_requests(self):
-        """Serve on until nothing is under way, or it is time for the last answers."""
-        busy_at = self.clock.now()
-        keeps = True
+        """Keep serving until all requests are done or the final flush is due."""
+        last_busy_at = self.clock.now()
+        keeps_connections = True
         while (now := self.clock.now()) < self.shutdown.flush_at:
-            if keeps and now >= self.shutdown.keep_alive_until:
-                keeps = False
+            if keeps_connections and now >= self.shutdown.keep_alive_until:
+                keeps_connections = False
                 self._listeners.close_idle()
             if self._is_busy():
-                busy_at = now
+                last_busy_at = now
             self._handover.check(now, self._listeners.is_busy)
-            is_quiet = now - busy_at >= QUIET_SECONDS and self._handover.is_over
-            if not keeps and is_quiet:
+            is_done = (
+                now - last_busy_at >= QUIET_SECONDS and self._handover.has_released
+            )
+            if not keeps_connections and is_done:
                 return
-            await sleep(LEAVING_INTERVAL)
+            await sleep(SHUTDOWN_CHECK_SECONDS)
 
-    def _is_short(self, now):
-        """Return whether some route's requests cannot end in time any more."""
+    def _is_time_short(self, now):
+        """Return whether requests of some route may not complete before the exit."""
         routes = self._table.routes if self._table else ()
         return any(self.shutdown.is_time_short(route, now) for route in routes)
 
@@ -415,11 +430,11 @@
         return bool(self.active_requests.count) or self._listeners.is_busy
 
     def _update_serving(self):
-        if self.started and self._members.own.stage == Stage.STARTING:
+        if self.is_started and self._members.own.stage == Stage.STARTING:
             self._members.set_serving(True)
 
-    def _adopt(self, table):
-        """Take a new configuration; an older one is ignored."""
+    def _apply_configuration(self, table):
+        """Apply a new configuration; ignore one that is not newer."""
         if self._table is not None and table.version <= self._table.version:
             return
         self._journal.write(
@@ -447,14 +462,14 @@
             )
         return budget
 
-    def _forget_rooms(self):
-        """Drop the reports of VMs that are gone for good."""
+    def _forget_reports(self):
+        """Drop the reports of forgotten VMs."""
         known = {member.vm for member in self._members.others()}
-        self._rooms.retain(known)
-        self._held.retain(known)
+        self._capacity_reports.retain(known)
+        self._held_slots.retain(known)
 
-    def _beliefs(self):
-        """Return figures on what this VM knows and how old it is."""
+    def _read_gauges(self):
+        """Return the current gauges, for metrics and the periodic log line."""
         now = self.clock.now()
         return {
             "members": len(self._members.serving()),
@@ -472,7 +487,7 @@
         }
 
     def _reload(self):
-        """Take the bounds of a changed settings file; all else needs a new start."""
+        """Reload the bounds of the settings file; other settings need a restart."""
         path = self._settings.path
         try:
             bounds = load_node_settings(path).bounds
@@ -481,10 +496,10 @@
                 Event.TASK_FAILED, task="reload settings", reason=error.render()
             )
             return
-        self._settings.bounds.take(bounds)
+        self._settings.bounds.update_from(bounds)
         self._journal.write(Event.SETTINGS_RELOADED, path=path)
 
 
 def _age(instant, now):
-    """Return the seconds since an instant; -1 when there was none."""
+    """Return the seconds since an instant; -1 if it is ``None``."""
     return -1 if instant is None else round(now - instant, 3)
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -113,7 +113,7 @@
         try:
             update = decode_quarantine(row, self._clock)
         except ValueError as error:
-            self._rejected_rows.note(row.key, error)
+            self._rejected_rows.log(row.key, error)
             return
         if update is not None:
             self._suspects.merge(update)
--- a/src/heathercleat/steering/process/store/rejected_rows.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -1,39 +1,39 @@
-"""Rows of tables that cannot be used, in the log."""
+"""Log lines for invalid table rows."""
 
 from heathercleat.events import Event
 
-#: Lines that are written in a window, and its seconds: a writer that repeats itself
-#: each millisecond fills no log (2 lines a second; an estimate of what a reader needs).
+#: Maximum lines per window.
 MAX_LINES_PER_WINDOW = 20
+#: Length of a window, in seconds.
 WINDOW_SECONDS = 10.0
-#: Characters of a key and of a reason that a line shows.
-_SHOWN = 200
+#: Maximum characters of a key and of a reason in a line.
+_MAX_SHOWN_CHARS = 200
 
 
 class RejectedRowLog:
-    """Logs rejected rows, a bounded number of lines a window."""
+    """Logs rejected rows, with a rate limit."""
 
     def __init__(self, journal, clock):
         self._journal = journal
         self._clock = clock
         self._window_until = 0.0
         self._lines = 0
-        self._left_out = 0
+        self._omitted = 0
 
-    def note(self, key, error):
-        """Log that the row of a key was rejected."""
+    def log(self, key, error):
+        """Log a rejected row, or count it if the rate limit is reached."""
         now = self._clock.now()
         if now >= self._window_until:
             self._window_until = now + WINDOW_SECONDS
             self._lines = 0
         if self._lines >= MAX_LINES_PER_WINDOW:
-            self._left_out += 1
+            self._omitted += 1
             return
         self._lines += 1
         self._journal.write(
             Event.ROW_REJECTED,
-            key=key[:_SHOWN],
-            reason=str(error)[:_SHOWN],
-            left_out=self._left_out,
+            key=key[:_MAX_SHOWN_CHARS],
+            reason=str(error)[:_MAX_SHOWN_CHARS],
+            left_out=self._omitted,
         )
-        self._left_out = 0
+        self._omitted = 0
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -1,20 +1,19 @@
-"""A VM's copy of one table of the store."""
+"""A VM's local copy of one table of the store."""
 
 from heathercleat.steering.process.store.protocol import Snapshot, StoreRow
 
-#: Removals that are remembered, to tell other VMs what changed: a fleet whose targets
-#: are all replaced within minutes. A VM that missed more is told the whole table.
+#: Maximum remembered removals. A VM that missed more of them gets the whole table.
 MAX_REMOVALS = 1024
-#: Spans of versions that are remembered of which this VM saw the end only.
-MOST_GAPS = 16
+#: Maximum remembered :class:`Gap` objects.
+MAX_GAPS = 16
 
 
 class Gap:
-    """Versions of which a VM saw the end only, since it read the table again.
+    """A range of versions skipped by reading the whole table again.
 
-    A row that came and went between them left no trace here.
+    Rows that were added and removed within it are not known here.
 
-    :param since: the version that was known before.
+    :param since: the version before the read.
     :param until: the version that was read.
     """
 
@@ -24,153 +23,153 @@
         self.since = since
         self.until = until
 
-    def holds(self, version):
-        """Return whether rows as of a version may have come and gone unseen."""
+    def contains(self, version):
+        """Return whether a version is inside the range."""
         return self.since < version < self.until
 
 
 class TableCopy:
     """The rows of a table as of one version of the store.
 
-    It holds what the store told, and nothing that a VM believes beyond that. VMs pass
-    their copies on, and a removed row that one of them kept for a while would be a row
-    of the table at the others, and stay one: they have passed its removal already. So
-    a target that had left came back at 3 of 12 VMs after 1.3 s (seen once on a day
-    with an outage of the store for all).
+    It contains only what the store returned. VMs pass their copies on, so a removed row
+    that one of them kept would reappear permanently at others that already processed
+    its removal.
     """
 
     __slots__ = (
         "_rows",
         "_version",
-        "_changed",
-        "_changed_at",
+        "_last_change",
+        "_change_versions",
         "_removals",
-        "_floor",
+        "_removals_since",
         "_gaps",
     )
 
     def __init__(self):
         self._rows = {}
         self._version = 0
-        self._changed = 0
-        # Version of the last change of each row that mattered, and of its removal.
-        self._changed_at = {}
+        self._last_change = 0
+        # By key: version of the last significant change, and of the removal.
+        self._change_versions = {}
         self._removals = {}
-        # Version since which every removal is remembered.
-        self._floor = 0
+        # Version since which all removals are remembered.
+        self._removals_since = 0
         self._gaps = []
 
     @property
     def version(self):
-        """Return the store's version that the rows are current as of."""
+        """Return the store version of the rows; 0 before the first read."""
         return self._version
 
     @property
-    def changed(self):
-        """Return the store's version of the last change that mattered."""
-        return self._changed
+    def last_change(self):
+        """Return the store version of the last significant change."""
+        return self._last_change
 
     @property
     def rows(self):
-        """Return a list of all rows."""
+        """Return a list of all :class:`StoreRow` objects."""
         return list(self._rows.values())
 
     def replace_all(self, snapshot):
-        """Take all rows of the table; return whether they were not older than these.
+        """Replace all rows, unless the snapshot is older; return whether it was used.
 
-        Another VM may have been ahead of an answer of the store that was on its way.
+        It may be older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
-            self._changed = max(self._changed, snapshot.changed)
+            self._last_change = max(self._last_change, snapshot.last_change)
             return False
         if self._version:
-            self._note_gap(Gap(self._version, snapshot.version))
+            self._add_gap(Gap(self._version, snapshot.version))
         else:
-            self._floor = snapshot.version
+            self._removals_since = snapshot.version
         self._version = snapshot.version
         before, self._rows = self._rows, {row.key: row for row in snapshot.rows}
         for key in before.keys() - self._rows.keys():
-            self._forget(key, snapshot.version)
+            self._record_removal(key, snapshot.version)
         for key in self._rows.keys() - before.keys():
             self._removals.pop(key, None)
         return True
 
     def merge_changes(self, snapshot):
-        """Take changed rows; return a :class:`Snapshot` of those that were news.
+        """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
-        A table that is read in pages may hold rows that are newer than its version: an
-        earlier change of such a row must not undo the later one.
+        Rows may be newer than the version of the table, which is read in pages, and
+        must not be overwritten by older changes.
         """
-        news = [each for each in snapshot.rows if self._take(each)]
+        new_rows = [each for each in snapshot.rows if self._merge_row(each)]
         self._version = max(self._version, snapshot.version)
         return Snapshot(
-            self._version, news, snapshot.changed, snapshot.lapsing, is_whole=False
+            self._version,
+            new_rows,
+            snapshot.last_change,
+            snapshot.lapsing,
+            is_whole=False,
         )
 
     def record_changes(self, keys, version):
-        """Note that the rows of some keys changed in a way that mattered.
+        """Record significant changes to the rows with some keys.
 
-        :param version: the version of the last change of the table that mattered.
+        :param version: the version of the table's last significant change.
         """
-        self._changed = max(self._changed, version)
+        self._last_change = max(self._last_change, version)
         for key in keys:
             row = self._rows.get(key)
             if row is not None:
-                self._changed_at[key] = min(row.version, self._changed)
+                self._change_versions[key] = min(row.version, self._last_change)
 
-    def since(self, version, lapsing):
-        """Return a :class:`Snapshot` of what changed since a version, and mattered.
+    def changes_since(self, version, lapsing):
+        """Return a :class:`Snapshot` of the significant changes since a version.
 
-        It is whole for a VM that knows nothing (0), or that missed removals that are
-        not remembered or were not seen here. Otherwise only the few changed rows are
-        told, since every VM decodes what it is told row by row.
+        It is whole if the version is 0 or removals since then may be unknown here.
 
         :param lapsing: see :class:`Snapshot`.
         """
-        if version < self._floor or not version or self._is_in_gap(version):
-            return Snapshot(self._version, self.rows, self._changed, lapsing)
+        if version < self._removals_since or not version or self._is_in_gap(version):
+            return Snapshot(self._version, self.rows, self._last_change, lapsing)
         rows = [
             row
             for key, row in self._rows.items()
-            if self._changed_at.get(key, row.version) > version
+            if self._change_versions.get(key, row.version) > version
         ]
         rows.extend(
             StoreRow(key, None, removed)
             for key, removed in self._removals.items()
             if removed > version
         )
-        return Snapshot(self._version, rows, self._changed, lapsing, is_whole=False)
+        return Snapshot(self._version, rows, self._last_change, lapsing, is_whole=False)
 
     def _is_in_gap(self, version):
-        return any(gap.holds(version) for gap in self._gaps)
+        return any(gap.contains(version) for gap in self._gaps)
 
-    def _note_gap(self, gap):
+    def _add_gap(self, gap):
         self._gaps.append(gap)
-        if len(self._gaps) > MOST_GAPS:
-            self._floor = max(self._floor, self._gaps.pop(0).until)
+        if len(self._gaps) > MAX_GAPS:
+            self._removals_since = max(self._removals_since, self._gaps.pop(0).until)
 
-    def _take(self, row):
-        """Take one changed row; return whether it was news."""
+    def _merge_row(self, row):
+        """Merge one changed row; return whether it was new."""
         known = self._rows.get(row.key)
-        if row.version <= (known.version if known else self._gone_at(row.key)):
+        if row.version <= (known.version if known else self._removed_at(row.key)):
             return False
         if row.value is None:
             self._rows.pop(row.key, None)
-            self._forget(row.key, row.version)
+            self._record_removal(row.key, row.version)
             return known is not None
         self._removals.pop(row.key, None)
         self._rows[row.key] = row
         return True
 
-    def _gone_at(self, key):
-        """Return the version as of which there was no row of a key."""
-        return max(self._floor, self._removals.get(key, 0))
+    def _removed_at(self, key):
+        """Return the latest version at which a missing row is known to be missing."""
+        return max(self._removals_since, self._removals.get(key, 0))
 
-    def _forget(self, key, version):
-        """Note the removal of a row."""
-        self._changed_at.pop(key, None)
+    def _record_removal(self, key, version):
+        """Record the removal of a row."""
+        self._change_versions.pop(key, None)
         self._removals.pop(key, None)
         self._removals[key] = version
         if len(self._removals) > MAX_REMOVALS:
             oldest = next(iter(self._removals))
-            self._floor = max(self._floor, self._removals.pop(oldest))
+            self._removals_since = max(self._removals_since, self._removals.pop(oldest))
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -93,7 +93,7 @@
             PAUSE_SECONDS,
             self._apply,
             self._relay,
-            lambda: self.peer.changed if self.peer else 1 << 62,
+            lambda: self.peer.last_change if self.peer else 1 << 62,
             lambda: self.reader,
             lambda: self.answered_elsewhere,
             lambda: self.lapsing,
@@ -110,7 +110,7 @@
     async def _relay(self, version, since):
         if self.peer is None:
             raise PeerError("nobody answers")
-        return self.peer if self.peer.changed > version else None
+        return self.peer if self.peer.last_change > version else None
 
     @property
     def keys(self):
@@ -138,7 +138,7 @@
         lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None)
     )
     assert harness.keys == ["b"]
-    assert harness.follower.changed == harness.store.version
+    assert harness.follower.last_change == harness.store.version
 
 
 def test_table_is_read_again_when_the_history_is_lost():
@@ -166,7 +166,7 @@
 
     harness.run_steps(make_silent, change_elsewhere)
     assert harness.keys == ["b"]
-    assert harness.follower.changed == 9
+    assert harness.follower.last_change == 9
 
 
 def test_end_of_an_outage_is_reported():
@@ -177,7 +177,7 @@
         lambda: setattr(harness.store, "down", False),
     )
     assert len(harness.returned) == 1
-    assert not harness.follower.lost
+    assert not harness.follower.is_store_lost
     assert harness.keys == ["a"]
 
 
@@ -201,7 +201,7 @@
         lambda: setattr(harness.store, "down", False),
     )
     assert harness.returned == []
-    assert harness.follower.answered
+    assert harness.follower.is_answered
 
 
 def test_outage_counts_if_the_store_answers_others_first_at_its_end():
@@ -220,7 +220,7 @@
     harness.run_steps(lambda: setattr(harness.store, "down", True))
     assert harness.store.waits[0] == WAIT_SECONDS
     assert harness.store.waits[-1] == 0.0
-    assert not harness.follower.answered
+    assert not harness.follower.is_answered
 
 
 def test_change_comes_from_a_peer_while_the_store_is_unavailable():
@@ -229,7 +229,7 @@
     harness.store.down = True
     harness.run_steps()
     assert harness.keys == ["p"]
-    assert harness.follower.changed == 9
+    assert harness.follower.last_change == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
@@ -240,7 +240,7 @@
 
 def test_vm_that_is_no_reader_takes_the_table_of_a_peer():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
-    newer = Snapshot(12, [StoreRow("p", b"1", 7)], changed=7)
+    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change=7)
     harness.run_steps(lambda: setattr(harness, "peer", newer))
     assert harness.keys == ["p"]
     assert harness.store.calls == 1
@@ -261,7 +261,7 @@
         lambda: setattr(harness, "is_relevant", False),
         lambda: harness.store.put("a", b"2"),
     )
-    assert harness.follower.changed == 1
+    assert harness.follower.last_change == 1
     assert harness.follower.snapshot().version == 2
 
 
@@ -316,13 +316,13 @@
 def test_peers_are_polled_rarely_while_none_has_a_newer_table():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
     polls = []
-    poll = harness.follower._ask_peer
+    poll = harness.follower._fetch_from_peer
 
     async def count_poll():
         polls.append(harness.clock.now())
         await poll()
 
-    harness.follower._ask_peer = count_poll
+    harness.follower._fetch_from_peer = count_poll
     harness.run_steps(lambda: None)
     # Polling every 0.1 s would exceed this within the 0.8 s of the run.
     assert len(polls) <= 3
@@ -339,7 +339,7 @@
         harness.store.follow = harness.store.hang
 
     harness.run_steps(
-        lambda: None, lose_history, lambda: told.append(harness.follower.told)
+        lambda: None, lose_history, lambda: told.append(harness.follower.announced_change)
     )
     assert harness.store.reads == 2
     assert told == [2]
@@ -351,9 +351,9 @@
     harness.store.follow = harness.store.hang
     told = []
     harness.run_steps(
-        lambda: told.append(harness.follower.told),
+        lambda: told.append(harness.follower.announced_change),
         *[lambda: None] * 10,
-        lambda: told.append(harness.follower.told),
+        lambda: told.append(harness.follower.announced_change),
     )
     assert told == [0, 1]
 
@@ -362,7 +362,7 @@
     harness = FollowerHarness(Snapshot(0, []), reader=False)
     harness.store.put("a", b"1")
     harness.run_steps()
-    assert (harness.follower.changed, harness.follower.told) == (1, 0)
+    assert (harness.follower.last_change, harness.follower.announced_change) == (1, 0)
 
 
 @pytest.mark.parametrize("reader", [True, False])
@@ -374,7 +374,7 @@
         harness.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
 
     harness.run_steps(change)
-    assert harness.follower.told == 1
+    assert harness.follower.announced_change == 1
 
 
 def test_only_what_changed_is_passed_on():
@@ -387,7 +387,7 @@
         harness.store.put("old-7", None)
 
     versions = []
-    harness.run_steps(lambda: versions.append(harness.follower.changed), change)
+    harness.run_steps(lambda: versions.append(harness.follower.last_change), change)
     delta = harness.follower.snapshot(versions[0])
     assert not delta.is_whole
     assert [(row.key, row.value) for row in delta.rows] == [
@@ -401,12 +401,12 @@
     copy = TableCopy()
     copy.replace_all(Snapshot(10, [StoreRow("a", b"1", 3)]))
     copy.record_changes(["a"], 10)
-    assert copy.since(9, {}).is_whole
-    assert not copy.since(10, {}).is_whole
+    assert copy.changes_since(9, {}).is_whole
+    assert not copy.changes_since(10, {}).is_whole
     removals = [StoreRow(f"gone-{n}", None, 11 + n) for n in range(MAX_REMOVALS + 1)]
     copy.merge_changes(Snapshot(20 + MAX_REMOVALS, removals, is_whole=False))
-    assert copy.since(10, {}).is_whole
-    assert not copy.since(11, {}).is_whole
+    assert copy.changes_since(10, {}).is_whole
+    assert not copy.changes_since(11, {}).is_whole
 
 
 def test_table_that_is_read_again_tells_of_removed_rows():
@@ -415,7 +415,7 @@
     copy.replace_all(Snapshot(10, rows))
     copy.record_changes(["a", "b"], 10)
     copy.replace_all(Snapshot(20, rows[1:]))
-    delta = copy.since(10, {})
+    delta = copy.changes_since(10, {})
     assert [(row.key, row.value, row.version) for row in delta.rows] == [
         ("a", None, 20)
     ]
@@ -432,7 +432,7 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    told = reader.since(other.changed, {})
+    told = reader.changes_since(other.last_change, {})
     assert told.is_whole
     other.replace_all(told)
     assert other.rows == []
@@ -479,6 +479,6 @@
         lambda: setattr(harness, "reader", reads),
         *[lambda: None] * 10,
     )
-    assert not harness.follower.lost
+    assert not harness.follower.is_store_lost
     assert len(harness.returned) == 1
     assert harness.keys == keys
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -45,8 +45,8 @@
 #: Seconds in which VMs may differ on the owner of a target: three heartbeats.
 AGREE_SECONDS = 3 * INTERVAL
 NO_TABLES = SimpleNamespace(
-    operator=SimpleNamespace(told=0),
-    targets=SimpleNamespace(told=0),
+    operator=SimpleNamespace(announced_change=0),
+    targets=SimpleNamespace(announced_change=0),
     store_answers=True,
     store_lost=False,
 )
@@ -173,7 +173,7 @@
             for other in self.parts.members.live_others():
                 other.last_heartbeat_at = clock.time
             self.handover.check(clock.time, has_clients)
-        return self.handover.is_over
+        return self.handover.has_released
 
 
 def test_vm_has_nothing_to_hand_over_where_another_serves():
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -58,7 +58,7 @@
         )
         is None
     )
-    assert parts.members.live("vm-2").serving
+    assert parts.members.live("vm-2").is_serving
 
 
 def test_vm_known_from_the_store_only_is_not_live():
