--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -76,14 +76,14 @@
 class FollowerHarness:
     """A follower of a scripted store, and the snapshots that it applied."""
 
-    def __init__(self, peer=None, reader=True, answered_elsewhere=False):
+    def __init__(self, peer=None, reader=True, is_answered_elsewhere=False):
         self.store = ScriptedStore()
         self.peer = peer
         self.reader = reader
         self.applied = []
-        self.answered_elsewhere = answered_elsewhere
-        self.returned = []
-        self.is_relevant = True
+        self.is_answered_elsewhere = is_answered_elsewhere
+        self.outage_ends = []
+        self.is_significant = True
         self.lapsing = {}
         self.clock = SystemClock()
         self.follower = TableFollower(
@@ -95,9 +95,9 @@
             self._relay,
             lambda: self.peer.last_change if self.peer else 1 << 62,
             lambda: self.reader,
-            lambda: self.answered_elsewhere,
+            lambda: self.is_answered_elsewhere,
             lambda: self.lapsing,
-            self.returned.append,
+            self.outage_ends.append,
             Journal("vm-1", "north-a"),
             self.clock,
         )
@@ -105,7 +105,7 @@
     def _apply(self, snapshot):
         keys = sorted(row.key for row in snapshot.rows)
         self.applied.append((snapshot.is_whole, keys))
-        return keys if self.is_relevant else []
+        return keys if self.is_significant else []
 
     async def _relay(self, version, since):
         if self.peer is None:
@@ -176,7 +176,7 @@
         lambda: harness.store.put("a", b"1"),
         lambda: setattr(harness.store, "down", False),
     )
-    assert len(harness.returned) == 1
+    assert len(harness.outage_ends) == 1
     assert not harness.follower.is_store_lost
     assert harness.keys == ["a"]
 
@@ -190,17 +190,17 @@
         harness.store.down = False
 
     harness.run_steps(lambda: setattr(harness.store, "down", True), recover)
-    (since,) = harness.returned
+    (since,) = harness.outage_ends
     assert recovered_at[0] - 1.5 * RETRY_INTERVAL <= since <= recovered_at[0]
 
 
 def test_store_that_answered_other_vms_had_no_outage():
-    harness = FollowerHarness(answered_elsewhere=True)
+    harness = FollowerHarness(is_answered_elsewhere=True)
     harness.run_steps(
         lambda: setattr(harness.store, "down", True),
         lambda: setattr(harness.store, "down", False),
     )
-    assert harness.returned == []
+    assert harness.outage_ends == []
     assert harness.follower.is_answered
 
 
@@ -209,10 +209,10 @@
 
     def recover():
         harness.store.down = False
-        harness.answered_elsewhere = True
+        harness.is_answered_elsewhere = True
 
     harness.run_steps(lambda: setattr(harness.store, "down", True), recover)
-    assert len(harness.returned) == 1
+    assert len(harness.outage_ends) == 1
 
 
 def test_call_does_not_wait_for_a_change_while_the_store_is_unavailable():
@@ -254,11 +254,11 @@
     assert harness.keys == ["a", "b"]
 
 
-def test_irrelevant_change_is_not_told_to_others():
+def test_insignificant_change_is_not_announced():
     harness = FollowerHarness()
     harness.store.put("a", b"1")
     harness.run_steps(
-        lambda: setattr(harness, "is_relevant", False),
+        lambda: setattr(harness, "is_significant", False),
         lambda: harness.store.put("a", b"2"),
     )
     assert harness.follower.last_change == 1
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("lapsing", [{}, {"a": 1.5}])
-def test_removed_row_is_told_to_others_as_lapsing_only(lapsing):
+def test_removed_row_is_sent_to_others_as_lapsing_only(lapsing):
     harness = FollowerHarness()
     harness.store.put("a", b"1")
     harness.lapsing = lapsing
@@ -275,7 +275,7 @@
     assert harness.follower.snapshot().lapsing == lapsing
 
 
-def test_row_that_was_added_again_is_told_to_others():
+def test_row_that_was_added_again_is_sent_to_others():
     harness = FollowerHarness()
     harness.store.put("a", b"old")
     harness.run_steps(
@@ -302,11 +302,11 @@
             await group.spawn(harness.follower.run)
             await sleep(0.2)
             harness.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
-            told_at = harness.clock.now()
+            announced_at = harness.clock.now()
             await harness.follower.wake_if_behind()
             while harness.keys != ["b"]:
                 await sleep(0.001)
-            fetched_after.append(harness.clock.now() - told_at)
+            fetched_after.append(harness.clock.now() - announced_at)
             await group.cancel_remaining()
 
     run(main)
@@ -328,10 +328,10 @@
     assert len(polls) <= 3
 
 
-def test_change_that_is_found_by_reading_again_is_told_at_once():
+def test_change_that_is_found_by_reading_again_is_announced_at_once():
     harness = FollowerHarness()
     harness.store.put("a", b"1")
-    told = []
+    announced = []
 
     def lose_history():
         harness.store.put("b", b"2")
@@ -339,26 +339,28 @@
         harness.store.follow = harness.store.hang
 
     harness.run_steps(
-        lambda: None, lose_history, lambda: told.append(harness.follower.announced_change)
+        lambda: None,
+        lose_history,
+        lambda: announced.append(harness.follower.announced_change),
     )
     assert harness.store.reads == 2
-    assert told == [2]
+    assert announced == [2]
 
 
-def test_reader_tells_what_it_read_at_its_start_before_the_next_change():
+def test_reader_announces_its_first_read_before_the_next_change():
     harness = FollowerHarness()
     harness.store.put("a", b"1")
     harness.store.follow = harness.store.hang
-    told = []
+    announced = []
     harness.run_steps(
-        lambda: told.append(harness.follower.announced_change),
+        lambda: announced.append(harness.follower.announced_change),
         *[lambda: None] * 10,
-        lambda: told.append(harness.follower.announced_change),
+        lambda: announced.append(harness.follower.announced_change),
     )
-    assert told == [0, 1]
+    assert announced == [0, 1]
 
 
-def test_whole_table_read_at_the_start_is_not_told_to_others():
+def test_first_read_at_the_start_is_not_announced():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
     harness.store.put("a", b"1")
     harness.run_steps()
@@ -366,7 +368,7 @@
 
 
 @pytest.mark.parametrize("reader", [True, False])
-def test_change_is_told_to_others_by_readers_and_by_those_told(reader):
+def test_change_is_announced_by_readers_and_by_vms_that_fetched_it(reader):
     harness = FollowerHarness(Snapshot(0, []), reader=reader)
 
     def change():
@@ -397,7 +399,7 @@
     assert len(harness.follower.snapshot().rows) == 400
 
 
-def test_vm_that_missed_removals_is_told_the_whole_table():
+def test_vm_that_missed_removals_is_sent_the_whole_table():
     copy = TableCopy()
     copy.replace_all(Snapshot(10, [StoreRow("a", b"1", 3)]))
     copy.record_changes(["a"], 10)
@@ -409,7 +411,7 @@
     assert not copy.changes_since(11, {}).is_whole
 
 
-def test_table_that_is_read_again_tells_of_removed_rows():
+def test_removals_found_by_reading_again_are_sent_to_others():
     copy = TableCopy()
     rows = [StoreRow("a", b"1", 3), StoreRow("b", b"1", 4)]
     copy.replace_all(Snapshot(10, rows))
@@ -421,7 +423,7 @@
     ]
 
 
-def test_row_added_and_removed_between_two_full_reads_is_told_as_removed():
+def test_row_added_and_removed_between_two_full_reads_is_sent_as_removed():
     """A VM that never had the row must still make others remove it.
 
     Otherwise a removed target would stay in use at VMs that had learned of it.
@@ -432,9 +434,9 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    told = reader.changes_since(other.last_change, {})
-    assert told.is_whole
-    other.replace_all(told)
+    delta = reader.changes_since(other.last_change, {})
+    assert delta.is_whole
+    other.replace_all(delta)
     assert other.rows == []
 
 
@@ -447,18 +449,18 @@
 
 
 def test_outage_found_to_affect_all_between_two_calls_is_reported_once():
-    harness = FollowerHarness(Snapshot(0, []), reader=True, answered_elsewhere=True)
+    harness = FollowerHarness(Snapshot(0, []), reader=True, is_answered_elsewhere=True)
 
     harness.run_steps(
         lambda: setattr(harness.store, "down", True),
         lambda: setattr(harness, "reader", False),
-        lambda: setattr(harness, "answered_elsewhere", False),
+        lambda: setattr(harness, "is_answered_elsewhere", False),
         *[lambda: None] * 6,
-        lambda: setattr(harness, "answered_elsewhere", True),
+        lambda: setattr(harness, "is_answered_elsewhere", True),
         lambda: setattr(harness.store, "down", False),
         *[lambda: None] * 20,
     )
-    assert len(harness.returned) == 1
+    assert len(harness.outage_ends) == 1
 
 
 @pytest.mark.parametrize(("reads", "keys"), [(False, ["a"]), (True, [])])
@@ -480,5 +482,5 @@
         *[lambda: None] * 10,
     )
     assert not harness.follower.is_store_lost
-    assert len(harness.returned) == 1
+    assert len(harness.outage_ends) == 1
     assert harness.keys == keys
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -674,7 +674,7 @@
         "        return self.last_change\n",
         "tests/test_follower.py",
         "-k",
-        "not_told",
+        "not_announced",
     ),
     Mutation(
         "SIZE-looks-without-news",
