--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -1,8 +1,4 @@
-"""The simplest schemes that the system is measured against.
-
-:class:`LaggingChoice` is power of two choices (Mitzenmacher, 2001) over reported loads
-that lag, as several balancers without shared state would do it.
-"""
+"""Baseline load balancer for the benchmarks."""
 
 import msgpack
 from curio import sleep, spawn
@@ -14,14 +10,17 @@
     exchange,
     with_deadline,
 )
-from standins.load import MAX_ANSWER_BYTES, Load
+from standins.load import MAX_RESPONSE_BYTES, Load
 
 POLL_SECONDS = 0.2
 BALANCERS = 12
 
 
-class LaggingChoice(Load):
-    """Sends straight to targets: two at random, the one that reported less load.
+class PowerOfTwoChoices(Load):
+    """Power of two choices (Mitzenmacher, 2001) over stale load reports.
+
+    Several balancers without shared state poll the targets and send directly to the
+    less loaded of two random ones.
 
     :param targets: ``{name: (host, port, slots)}``.
     """
@@ -32,7 +31,7 @@
         self._views = [dict.fromkeys(targets, 0) for _ in range(BALANCERS)]
         self._polling = False
 
-    async def _try_places(self, method, path, body, headers):
+    async def _send_to_any(self, method, path, body, headers):
         if not self._polling:
             self._polling = True
             for view in self._views:
@@ -52,15 +51,15 @@
                 view[name] = await self._load_of(host, port, view[name])
             await sleep(POLL_SECONDS)
 
-    async def _load_of(self, host, port, known):
+    async def _load_of(self, host, port, previous):
         deadline = self._clock.now() + 1.0
         try:
             stream = await connect(host, port, deadline, self._clock)
             try:
-                asking = exchange(stream, Message(path="/load"), MAX_ANSWER_BYTES)
-                answer = await with_deadline(deadline, self._clock, asking)
+                asking = exchange(stream, Message(path="/load"), MAX_RESPONSE_BYTES)
+                response = await with_deadline(deadline, self._clock, asking)
             finally:
                 await stream.close()
         except (TimeoutError, *CONNECTION_ERRORS):
-            return known
-        return msgpack.unpackb(answer.body)["in_flight"]
+            return previous
+        return msgpack.unpackb(response.body)["in_flight"]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: shows what must hold, or exits non-zero."""
+"""Demo of the request path with separate processes; exits with 1 if a step fails."""
 
 import os
 import sys
@@ -14,12 +14,12 @@
 UPLOAD_BYTES = 8 * 1024 * 1024
 IN_FORCE_SECONDS = 5.0
 DRAIN_SECONDS = 5.0
-LOG_SECONDS = 0.3
+LOG_FLUSH_SECONDS = 0.3
 DOMAINS = ("north-a", "north-b", "south-a", "south-b")
 
 
 def demo_text():
-    """Return a small text with the services of both deployments."""
+    """Return a small configuration text with one service per kind of request."""
     return {
         "regions": {
             "north": {"failure_domains": ["north-a", "north-b"]},
@@ -67,7 +67,7 @@
 
 
 class Demo:
-    """Runs the steps against a fleet and notes what each one showed."""
+    """Runs the demo steps against a fleet and records the result of each."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -76,7 +76,7 @@
 
     @property
     def rows(self):
-        """Return ``(what, passed, detail)`` for each step."""
+        """Return ``(step, passed, detail)`` for each step."""
         return self._rows
 
     def run(self):
@@ -89,37 +89,40 @@
         self.show_killed_vm()
 
     def show_each_kind(self):
-        """Serve one request of each kind, and count the runs of those run once."""
+        """Serve one request of each kind; at-most-once requests are sent twice."""
         status, _, body = self._caller.send("style-lookup", "GET", "/style/whom")
-        self._note("style look-up", status == 200, body.split()[0].decode())
+        self._record_step("style look-up", status == 200, body.split()[0].decode())
         for service, path, what in (
             ("rule-editing", "/rules/7", "rule edit"),
             ("intake", "/corrections", "correction"),
             ("incident-registry", "/incidents", "incident declaration"),
             ("carrier-intake", "/enrolments", "enrolment"),
         ):
-            self._show_once(service, path, what)
+            self._show_at_most_once(service, path, what)
 
-    def _show_once(self, service, path, what):
+    def _show_at_most_once(self, service, path, what):
         key = f"demo {what}"
-        answers = [
-            self._caller.run_once(service, "POST", path, b"{}", key) for _ in range(2)
+        responses = [
+            self._caller.send_at_most_once(service, "POST", path, b"{}", key)
+            for _ in range(2)
         ]
         runs = sum(1 for run in self._fleet.runs() if run[2] == key)
-        same = answers[0][2] == answers[1][2]
-        passed = runs == 1 and same and all(answer[0] == 200 for answer in answers)
-        self._note(what, passed, f"sent twice, ran {runs} time(s)")
+        same = responses[0][2] == responses[1][2]
+        passed = (
+            runs == 1 and same and all(response[0] == 200 for response in responses)
+        )
+        self._record_step(what, passed, f"sent twice, ran {runs} time(s)")
 
     def show_upload(self):
-        """Upload several megabytes and compare the digest at the target."""
+        """Upload several megabytes and compare the digest with the target's."""
         data = os.urandom(UPLOAD_BYTES)
         status, _, body = self._caller.send("intake", "PUT", "/uploads/photo", data)
         digest = body.decode().split()[-1]
         passed = status == 200 and digest == sha256(data).hexdigest()
-        self._note("upload", passed, f"{UPLOAD_BYTES} bytes, digest as sent")
+        self._record_step("upload", passed, f"{UPLOAD_BYTES} bytes, digest as sent")
 
     def show_new_text(self):
-        """Apply a new text and wait until every entry VM has it in force."""
+        """Apply a new configuration and wait until it is in force on every entry VM."""
         text = self._fleet.text
         text["services"]["style-lookup"]["queue"] = {"limit": 16, "wait_ms": 300}
         started = time.monotonic()
@@ -129,11 +132,13 @@
             lambda: all(self._fleet.version(vm) == version for vm in vms),
             IN_FORCE_SECONDS,
         )
-        took = time.monotonic() - started
-        self._note("new text in force", True, f"on {len(vms)} VMs after {took:.2f} s")
+        elapsed = time.monotonic() - started
+        self._record_step(
+            "new text in force", True, f"on {len(vms)} VMs after {elapsed:.2f} s"
+        )
 
     def show_drain(self):
-        """Drain a target under load: no request is cut, no new work after seconds."""
+        """Drain a target under load: no request fails, and new requests stop."""
         target = "style-north-a"
         results, stop = [], threading.Event()
         threads = [
@@ -150,17 +155,19 @@
         for thread in threads:
             thread.join()
         record = self._fleet.record(target)
-        late = len(record["runs"]) - before
-        bad = [status for status in results if status != 200]
-        passed = not bad and not late and not record["in_flight"]
-        detail = f"{len(results)} served, {len(bad)} failed, {late} runs after 2 s"
-        if bad:
-            detail += f" ({dict(Counter(bad))}, pauses of VMs: {self._pauses()})"
-        self._note("target drained", passed, detail)
+        late_runs = len(record["runs"]) - before
+        failures = [status for status in results if status != 200]
+        passed = not failures and not late_runs and not record["in_flight"]
+        detail = (
+            f"{len(results)} served, {len(failures)} failed, {late_runs} runs after 2 s"
+        )
+        if failures:
+            detail += f" ({dict(Counter(failures))}, pauses of VMs: {self._pauses()})"
+        self._record_step("target drained", passed, detail)
         self._fleet.run("drain", "cancel", "demo")
 
     def _pauses(self):
-        """Return how often a VM found that it had not run, by name."""
+        """Return the number of detected process pauses by VM name."""
         return {
             vm.name: sum(1 for line in self._fleet.log(vm) if line.get("event") == 103)
             for vm in self._fleet.vms.values()
@@ -175,29 +182,31 @@
                 results.append(None)
 
     def show_killed_vm(self):
-        """Kill the entry VM that the caller uses; the caller is served elsewhere."""
+        """Kill the entry VM that the caller uses; another one serves the caller."""
         first = self._caller.look_up("style-lookup")["vms"][0]["vm"]
         self._fleet.vms[first].process.kill()
         started = time.monotonic()
         status, headers, _ = self._caller.send("style-lookup", "GET", "/after")
-        took = time.monotonic() - started
+        elapsed = time.monotonic() - started
         passed = status == 200
         target = headers.get("heathercleat-target")
-        self._note("entry VM killed", passed, f"served by {target} after {took:.3f} s")
+        self._record_step(
+            "entry VM killed", passed, f"served by {target} after {elapsed:.3f} s"
+        )
 
     def show_log_lines(self):
-        """Every request at a target has a numbered routing decision in a log."""
-        # Lines are written in batches; a VM that is killed would lose the last one.
-        time.sleep(LOG_SECONDS)
+        """Check that each completed request has a routing decision in a VM's log."""
+        # Log lines are written in batches.
+        time.sleep(LOG_FLUSH_SECONDS)
         logs = [line for vm in self._fleet.vms.values() for line in self._fleet.log(vm)]
         decided = {line["request"] for line in logs if line.get("event") in (210, 211)}
         done = {line["request"] for line in logs if line.get("event") == 220}
         missing = len(done - decided)
         repeats = sum(1 for line in logs if line.get("event") == 601)
         passed = missing <= repeats
-        self._note("decisions logged", passed, f"{len(decided)} routing lines")
+        self._record_step("decisions logged", passed, f"{len(decided)} routing lines")
 
-    def _note(self, what, passed, detail):
+    def _record_step(self, what, passed, detail):
         self._rows.append((what, passed, detail))
         print(f"{'ok  ' if passed else 'FAIL'}  {what:22}  {detail}", flush=True)
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,20 +1,19 @@
-"""Randomized fault soak: real processes, faults from outside, promises checked.
+"""Randomized soak test with fault injection, over separate processes.
 
-One seed starts a store, targets and VMs, sends requests all the while and injects
-faults in series and overlapping: VMs killed, paused or suspended, stopped and started
-again; a store that is busy, silent, slow, refuses a VM, loses replies or its history;
-targets that lose, cut, refuse or slow their answers; evacuations and new
-configurations; connections between clients, VMs, targets and the store that a proxy
-delays, resets, refuses, cuts one way or silences; VMs that start with another time of
-day. It checks, from what clients and targets see:
+Each seed starts a store, targets and VMs, sends requests and injects overlapping
+faults: VMs killed, paused or suspended, restarted, or started with a skewed wall clock;
+a store that is unavailable, slow, refuses a VM, or loses replies or its change history;
+targets that lose, truncate, refuse or delay responses; evacuations and new
+configurations; and network faults of :mod:`standins.fault_proxy`. It checks, from what
+clients and targets observe:
 
 - a request that is not idempotent runs at most once;
-- a refusal with 503 is true: the request has not run and does not run later;
-- a success is signed, whole, and the answer to its own request;
-- a target that leaves just after the last fault gets no requests once the VMs are bound
-  by its drain and that is over, and is used again when it starts again under its id;
+- a request refused with 503 has not run and does not run later;
+- a successful response is signed, complete and belongs to its request;
+- a target removed after the last fault gets no requests once its drain is over, and
+  gets requests again when it restarts under the same id;
 - after the last fault, requests are served again;
-- a planned stop ends no request that a target works on; see
+- a planned stop aborts no request that is running at a target; see
   :mod:`standins.soak_stops`.
 """
 
@@ -47,27 +46,26 @@
 SUBNET = 33
 CLIENTS = 6
 WAIT_MS = 1200
-FAULT_GAP = (0.1, 0.6)
-FAULT_SECONDS = (0.2, 1.5)
-#: Seconds by which the time of day of a started VM may be off.
-CLOCK_SKEWS = (-3600.0, -2.0, 2.0, 3600.0)
-#: Seconds by which a proxy delays data, from little to longer than a request waits.
-LINK_DELAYS = (0.005, 1.5)
+FAULT_GAP_SECONDS = (0.1, 0.6)
+FAULT_DURATION_SECONDS = (0.2, 1.5)
+#: Seconds of wall clock skew that a restarted VM may have.
+CLOCK_SKEW_SECONDS = (-3600.0, -2.0, 2.0, 3600.0)
+#: Shortest and longest delay in seconds on a link; the latter exceeds the deadline.
+LINK_DELAY_SECONDS = (0.005, 1.5)
 RECOVERY_SECONDS = 12.0
-#: Seconds after the last fault from which every VM is bound by the drain of a target,
-#: and that drain, as on the shortest deployment; a run begins to be told of 0.3 s later
-#: at the latest on a busy machine (an estimate).
-STABLE_SECONDS = 3.0
+#: Seconds after the last fault until every VM applies the drain of a target, the length
+#: of that drain, and the delay until a run is recorded.
+PROPAGATION_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
-REACH_SECONDS = 0.3
-#: Seconds after which a request that was given up can no longer begin to run.
-SETTLE_SECONDS = 1.0
+RUN_RECORD_SECONDS = 0.3
+#: Seconds after which an abandoned request can no longer start to run.
+ABANDONED_SECONDS = 1.0
 
 
-class Sent:
-    """A request of the soak and how it ended; ``status`` is ``None`` for no answer."""
+class SentRequest:
+    """A request and its response; ``status`` is ``None`` when there was none."""
 
-    __slots__ = ("id", "safe", "body", "status", "headers", "answer")
+    __slots__ = ("id", "safe", "body", "status", "headers", "response_body")
 
     def __init__(self, id, safe, body):
         self.id = id
@@ -75,7 +73,7 @@
         self.body = body
         self.status = None
         self.headers = {}
-        self.answer = b""
+        self.response_body = b""
 
 
 class Clients:
@@ -97,7 +95,7 @@
             thread.start()
 
     def stop(self):
-        """Stop sending and wait for the last answers."""
+        """Stop sending and wait for the last responses."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -110,7 +108,7 @@
             count += 1
             safe = rng.random() < 0.5
             body = b"" if safe else rng.randbytes(rng.randrange(1, 20_000))
-            request = Sent(f"{self._seed}-{number}-{count}", safe, body)
+            request = SentRequest(f"{self._seed}-{number}-{count}", safe, body)
             self.sent.append(request)
             self._send(rng.choice(vms), request)
             time.sleep(rng.uniform(0.0, 0.03))
@@ -118,18 +116,19 @@
     def _send(self, vm, request):
         method, path = ("GET", "/one/two/x") if request.safe else ("POST", "/one/x")
         try:
-            answer = self._fleet.send(
+            response = self._fleet.send(
                 vm, method, path, request.id, request.body or None, WAIT_MS
             )
         except (OSError, HTTPException):
             return
-        request.status, request.headers, request.answer = answer
+        request.status, request.headers, request.response_body = response
 
 
-class Faults:
-    """Injects faults, each undone after a while; some overlap.
+class FaultInjector:
+    """Injects random faults and undoes each one later; they may overlap.
 
-    :param rng: decides what happens when.
+    :param rng: source of all random choices.
+    :param config_versions: iterator over numbers for new configurations.
     """
 
     def __init__(self, fleet, rng, config_versions):
@@ -140,16 +139,16 @@
         self.log = []
 
     def run(self, seconds):
-        """Inject faults for a while, then undo all of them."""
+        """Inject faults for ``seconds``, then undo all of them."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             kind = self._rng.choice(self._kinds())
             undo = kind()
             self.log.append(f"{time.monotonic():.2f} {kind.__name__}")
             if undo is not None:
-                until = time.monotonic() + self._rng.uniform(*FAULT_SECONDS)
+                until = time.monotonic() + self._rng.uniform(*FAULT_DURATION_SECONDS)
                 self._undo.append((until, undo))
-            time.sleep(self._rng.uniform(*FAULT_GAP))
+            time.sleep(self._rng.uniform(*FAULT_GAP_SECONDS))
             self._undo_due(time.monotonic())
         self._undo_due(float("inf"))
 
@@ -190,12 +189,12 @@
 
     def _stop(self):
         vm = self._vm()
-        # By the time of the restart another fault may have started a new process.
+        # Another fault may have started a new process by the time of the restart.
         stopped = vm.process
         stopped.send_signal(signal.SIGTERM)
 
         def restart():
-            # Another fault may have paused it meanwhile.
+            # Another fault may have paused it.
             stopped.send_signal(signal.SIGCONT)
             stopped.wait(STOP_SECONDS)
             self._start(vm)
@@ -203,9 +202,9 @@
         return restart
 
     def _start(self, vm):
-        # Another fault may have started it already.
+        # Another fault may have already restarted it.
         if vm.process.poll() is not None:
-            skew = self._rng.choice((0.0, 0.0, *CLOCK_SKEWS))
+            skew = self._rng.choice((0.0, 0.0, *CLOCK_SKEW_SECONDS))
             self._fleet.start_vm(vm, clock_skew=skew)
 
     def _pause(self):
@@ -256,7 +255,7 @@
 
     def _delay_link(self):
         link = self._link()
-        self._fleet.switch_link(link, delay_s=self._rng.uniform(*LINK_DELAYS))
+        self._fleet.switch_link(link, delay_s=self._rng.uniform(*LINK_DELAY_SECONDS))
         return lambda: self._fleet.switch_link(link, delay_s=0.0)
 
     def _cut_link(self):
@@ -285,37 +284,36 @@
         self._fleet.put("op", "config", self._fleet.config)
 
 
-def check_leaving(fleet, seed):
-    """Yield a line if requests reach a target whose drain is over.
+def check_target_removal(fleet, seed):
+    """Yield a line if requests reach a removed target, or none after its restart.
 
-    Clients send all the while. The target announces that it leaves, or its entry just
-    vanishes; afterwards it starts again under its id.
+    Clients keep sending. The target either announces its drain or its entry is removed.
     """
     rng = random.Random(f"{seed}-leaving")
     target = rng.choice(list(TARGETS))
-    leaves_after = rng.uniform(0.0, STABLE_SECONDS)
-    time.sleep(leaves_after)
+    removal_delay = rng.uniform(0.0, PROPAGATION_SECONDS)
+    time.sleep(removal_delay)
     if rng.random() < 0.5:
         fleet.announce(target, state="draining", sequence=9)
     else:
         fleet.put("servers", target, None)
-    time.sleep(STABLE_SECONDS - leaves_after + DRAIN_SECONDS + REACH_SECONDS)
+    time.sleep(PROPAGATION_SECONDS - removal_delay + DRAIN_SECONDS + RUN_RECORD_SECONDS)
     count = len(fleet.record(target)["runs"])
     time.sleep(DRAIN_SECONDS)
     late = [run[0] for run in fleet.record(target)["runs"][count:]]
     if late:
-        yield f"{target} left and got requests: {late}"
+        yield f"{target} got requests after its drain: {late}"
     fleet.announce(target, sequence=1, born=1)
     try:
         wait_for(lambda: len(fleet.record(target)["runs"]) > count, RECOVERY_SECONDS)
     except TimeoutError as error:
-        yield f"{target} started again and gets no requests: {error!r}"
+        yield f"{target} gets no requests after its restart: {error!r}"
 
 
 def check(sent, runs):
-    """Yield a line for each broken promise.
+    """Yield a line for each violation.
 
-    :param sent: every :class:`Sent`.
+    :param sent: every :class:`SentRequest`.
     :param runs: ``[request id, path, milliseconds, digest]`` of every run.
     """
     counts = Counter(run[0] for run in runs)
@@ -330,23 +328,23 @@
 
 def _check_success(request):
     if request.headers.get("response-signature") != "signed":
-        yield f"{request.id}: a success without the target's signature"
+        yield f"{request.id}: successful response without the target's signature"
     if request.headers.get("request-id") != request.id:
-        yield f"{request.id}: the answer to another request"
-    if request.answer != sha256(request.body).hexdigest().encode():
-        yield f"{request.id}: not the whole answer"
+        yield f"{request.id}: response to another request"
+    if request.response_body != sha256(request.body).hexdigest().encode():
+        yield f"{request.id}: incomplete response"
 
 
 def run_seed(seed, seconds, config, vms_each=1, with_stops=True):
-    """Run one seed and return the broken promises, and how requests ended.
+    """Run one seed; return the violations and the number of requests by outcome.
 
     :param vms_each: number of VMs in each failure domain.
-    :param with_stops: have planned stops follow the faults.
+    :param with_stops: whether planned stops follow the faults.
     """
     rng = random.Random(seed)
     vms = dict.fromkeys(DOMAINS, vms_each)
     config["hosts"][0]["paths"].extend(long_routes())
-    # A paused VM sees a suspension with one seed of two.
+    # With odd seeds, a paused process behaves like a suspended VM.
     suspends = seed % 2 == 1
     with SteeringFleet(
         config,
@@ -357,34 +355,34 @@
         proxied=True,
         suspends=suspends,
     ) as fleet:
-        faults = Faults(fleet, rng, iter(range(100, 10_000)))
+        faults = FaultInjector(fleet, rng, iter(range(100, 10_000)))
         clients = Clients(fleet, seed)
-        # Its own numbers: what a seed draws for the faults stays the same.
+        # A separate generator keeps the random choices of the faults independent.
         stops = PlannedStops(fleet, DOMAINS, seed, random.Random(f"{seed}-stops"))
         clients.start()
         stops.start_clients()
         try:
             faults.run(seconds)
-            broken = list(check_leaving(fleet, seed))
+            violations = list(check_target_removal(fleet, seed))
         finally:
             clients.stop()
         if with_stops:
-            broken.extend(stops.run())
-        broken.extend(_check_recovery(fleet, seed))
+            violations.extend(stops.run())
+        violations.extend(_check_recovery(fleet, seed))
         stops.stop_clients()
-        time.sleep(SETTLE_SECONDS)
-        broken.extend(check(clients.sent, fleet.runs()))
+        time.sleep(ABANDONED_SECONDS)
+        violations.extend(check(clients.sent, fleet.runs()))
         spans = fleet.spans()
-        broken.extend(stops.check(spans))
+        violations.extend(stops.check(spans))
         ends = Counter(request.status for request in clients.sent)
-        ends.update(stops.ends(spans))
-    if broken:
-        broken.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
-    return broken, ends
+        ends.update(stops.outcome_counts(spans))
+    if violations:
+        violations.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
+    return violations, ends
 
 
 def _check_recovery(fleet, seed):
-    """Yield a line for each VM that does not serve again."""
+    """Yield a line for each VM that does not recover."""
     for vm in fleet.vms.values():
         if vm.process.poll() is not None:
             fleet.start_vm(vm)
@@ -398,26 +396,26 @@
                 RECOVERY_SECONDS,
             )
         except (TimeoutError, OSError, HTTPException) as error:
-            yield f"{vm.name} does not serve again: {error!r}"
+            yield f"{vm.name} does not recover: {error!r}"
 
 
 def main():
-    """Run seeds and report each broken promise."""
+    """Run seeds and report each violation."""
     from tests.platform_samples import config
 
     parser = ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--vms", type=int, default=1, help="VMs in a failure domain")
-    parser.add_argument("--seconds", type=float, default=8.0, help="length of a seed")
+    parser.add_argument("--seconds", type=float, default=8.0, help="seconds per seed")
     args = parser.parse_args()
     failed = []
     for seed in range(args.first, args.first + args.seeds):
-        broken, ends = run_seed(seed, args.seconds, config(), args.vms)
-        print(f"seed {seed}: {dict(ends)}, {len(broken)} lines on broken promises")
-        for line in broken:
+        violations, ends = run_seed(seed, args.seconds, config(), args.vms)
+        print(f"seed {seed}: {dict(ends)}, {len(violations)} lines on broken promises")
+        for line in violations:
             print(f"  {line}")
-        if broken:
+        if violations:
             failed.append(seed)
     print(f"{args.seeds} seeds, failed: {failed or 'none'}")
     sys.exit(1 if failed else 0)
--- a/tests/test_configuration_failures.py
+++ b/tests/test_configuration_failures.py
@@ -101,7 +101,7 @@
 
 
 def test_domain_without_the_platform_gets_versions_from_peers(fleet):
-    fleet.cut("south-a", ["platform"])
+    fleet.partition_off("south-a", ["platform"])
     time.sleep(0.5)
     fleet.apply(text_with_queue_limit(fleet, 9), 1)
     wait_for(lambda: all_have_version(fleet, 2), 2 * ADOPTION_SECONDS)
@@ -110,12 +110,12 @@
 def test_isolated_domain_keeps_serving_and_catches_up(fleet):
     fleet.wait_ready()
     vm = fleet.vms["south-a-1"]
-    fleet.cut("south-a", ["platform", "north-a", "north-b"])
+    fleet.partition_off("south-a", ["platform", "north-a", "north-b"])
     time.sleep(0.5)
     fleet.apply(text_with_queue_limit(fleet, 9), 1)
     status, headers, _ = call(vm.host, PORTS["caller"], "GET", "/s/style-lookup/x")
     assert status == 200
     assert headers["heathercleat-target"] == "style-south-a"
     assert fleet.version(vm) == 1
-    fleet.mend()
+    fleet.heal()
     wait_for(lambda: all_have_version(fleet, 2), ADOPTION_SECONDS)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -479,7 +479,7 @@
     is_known,
 ):
     paths = [f"/one/two/fatal-{number}" for number in range(ATTEMPTS)]
-    fleet.set_fatal(paths, DOWN_SECONDS)
+    fleet.set_fatal_paths(paths, DOWN_SECONDS)
     vms = list(fleet.vms.values())
     with OtherCallers(fleet, named=True) as others:
         time.sleep(WARM_UP_SECONDS)
@@ -488,5 +488,5 @@
             vm, cookie = vms[number % len(vms)], f"Affinity-Key={name}"
             fleet.send(vm, "GET", path, f"q{number}", Cookie=cookie)
             time.sleep(ATTEMPT_INTERVAL_SECONDS)
-    assert len(fleet.ends()) <= MAX_TOTAL_CRASHES
+    assert len(fleet.crashes()) <= MAX_TOTAL_CRASHES
     assert others.statuses.count(200) / len(others.statuses) >= MIN_SERVED_SHARE
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -128,10 +128,10 @@
     ("method", "path"), [("GET", "/one/two/fatal"), ("POST", "/one/fatal")]
 )
 def test_request_that_crashed_three_targets_is_not_sent_to_others(fleet, method, path):
-    fleet.set_fatal([path], DOWN_SECONDS)
+    fleet.set_fatal_paths([path], DOWN_SECONDS)
     with OtherCallers(fleet) as others:
         statuses = send_repeatedly(fleet, method, path)
-    crash_instants = [instant for instant, _ in fleet.ends()]
+    crash_instants = [instant for instant, _ in fleet.crashes()]
     later = [
         instant
         for instant in crash_instants
@@ -145,7 +145,7 @@
 
 
 def test_each_crash_of_a_target_is_logged_with_the_request(fleet):
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=2)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     crashes = [line for line in lines if line["name"] == "target_ended"]
@@ -157,9 +157,9 @@
 
 def test_quarantine_outlives_all_vms(fleet):
     """Its row is kept in the store while all VMs are killed and restarted."""
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=12)
-    before = len(fleet.ends())
+    before = len(fleet.crashes())
     for vm in fleet.vms.values():
         fleet.stop_vm(vm, signal.SIGKILL)
     for vm in fleet.vms.values():
@@ -168,7 +168,7 @@
     time.sleep(STABLE_SECONDS)
     statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=12)
     assert set(statuses) == {503}
-    assert len(fleet.ends()) == before
+    assert len(fleet.crashes()) == before
 
 
 @pytest.mark.parametrize(
@@ -177,14 +177,14 @@
     ids=["one after the other", "a third of the service at once"],
 )
 def test_crashes_not_caused_by_requests_quarantine_nothing(fleet, at_once, waves, gap):
-    fleet.set_fatal([], DOWN_SECONDS)
+    fleet.set_fatal_paths([], DOWN_SECONDS)
     for target in TARGETS:
         fleet.switch_target(target, work_s=0.2)
     rng = random.Random(at_once)
     with OtherCallers(fleet) as others:
         for _ in range(waves):
             for target in rng.sample(list(TARGETS), at_once):
-                fleet.end_target(target)
+                fleet.crash_target(target)
             time.sleep(gap)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     names = {line["name"] for line in lines}
@@ -203,10 +203,10 @@
 
 
 def test_operators_lift_a_quarantine_by_removing_its_row(fleet):
-    fleet.set_fatal(["/one/fatal"], DOWN_SECONDS)
+    fleet.set_fatal_paths(["/one/fatal"], DOWN_SECONDS)
     send_repeatedly(fleet, "POST", "/one/fatal", attempts=8)
     time.sleep(2.0)
-    fleet.set_fatal([], DOWN_SECONDS)
+    fleet.set_fatal_paths([], DOWN_SECONDS)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
     caught = next(line for line in lines if line["name"] == "request_quarantined")
     fleet.put(QUARANTINE_TABLE, caught["fingerprint"], None)
@@ -274,10 +274,10 @@
 def test_request_that_begins_to_crash_targets_is_quarantined(fleet):
     path = "/one/two/fatal"
     assert send_repeatedly(fleet, "GET", path, attempts=4) == [200] * 4
-    fleet.set_fatal([path], DOWN_SECONDS)
+    fleet.set_fatal_paths([path], DOWN_SECONDS)
     statuses = send_repeatedly(fleet, "GET", path, attempts=32)
     assert statuses[-8:] == [503] * 8
-    crash_instants = [instant for instant, _ in fleet.ends()]
+    crash_instants = [instant for instant, _ in fleet.crashes()]
     later = [
         instant
         for instant in crash_instants
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -23,11 +23,11 @@
     SETTLE_SECONDS,
     STOP_SECONDS,
     TARGETS_OF_SERVICE,
-    TURN_SECONDS,
-    settled,
+    STOP_INTERVAL_SECONDS,
+    converged_fleet,
     stop_all,
     stop_domain,
-    stop_in_turn,
+    stop_one_by_one,
 )
 from tests.platform_samples import SETTINGS
 
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
 def test_vms_that_leave_together_are_listed_for_a_heartbeat_at_most(size, stop):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     stopped = stop(fleet)
     assert (
         seconds_until_unlisted(fleet, stopped) <= HOPS[size] * INTERVAL + POLL_SECONDS
@@ -81,19 +81,19 @@
 
 @pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 def test_vm_that_leaves_does_not_list_those_that_leave_after_it(size):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     for vm in fleet.serving()[:4]:
         fleet.stop(vm)
         seconds = seconds_until_unlisted(fleet, [vm])
         assert seconds <= HOPS[size] * INTERVAL + POLL_SECONDS
-        fleet.run(TURN_SECONDS - seconds)
+        fleet.run(STOP_INTERVAL_SECONDS - seconds)
 
 
 @pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 @pytest.mark.parametrize("stop", [stop_domain, stop_all])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_lost_datagram_does_not_keep_a_vm_that_leaves_listed(size, stop, seed):
-    fleet = settled(size, 0.1, seed)
+    fleet = converged_fleet(size, 0.1, seed)
     stopped = stop(fleet)
     bound = LEAVE_SECONDS + HOPS[size] * INTERVAL
     assert seconds_until_unlisted(fleet, stopped) <= bound
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("size", [SMALL_FLEET, LARGE_FLEET])
 def test_vm_that_starts_again_lists_all_others_with_its_next_heartbeat(size):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     stopped = fleet.serving()[0]
     fleet.stop(stopped)
     fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + POLL_SECONDS)
@@ -117,7 +117,7 @@
     """
 
     def __init__(self, fleet, act):
-        idle = fleet.spent(SETTLE_SECONDS)
+        idle = fleet.run_and_count(SETTLE_SECONDS)
         before, began = fleet.costs, fleet.clock.time
         rankings_before = {vm.name: vm.owners.rankings for vm in fleet.vms.values()}
         act(fleet)
@@ -143,7 +143,7 @@
 
 def in_turn(stops):
     """Return a function that stops ``stops`` VMs of a fleet, one after another."""
-    return lambda fleet: stop_in_turn(fleet, stops)
+    return lambda fleet: stop_one_by_one(fleet, stops)
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
     ],
 )
 def test_cost_of_stops_for_each_remaining_vm_does_not_grow_with_the_fleet(size, act):
-    costs = StopCosts(settled(size), act)
+    costs = StopCosts(converged_fleet(size), act)
     assert costs.stops > 0
     assert costs.spent.writes == 2 * costs.stops
     assert costs.spent.reads == costs.stops
@@ -166,7 +166,7 @@
     max_updates = (
         MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
     )
-    assert costs.spent.news <= costs.stops * size * max_updates
+    assert costs.spent.updates <= costs.stops * size * max_updates
     max_rankings = OWNER_CHANGES_PER_STOP * len(SERVICES) * TARGETS_OF_SERVICE
     assert max(costs.rankings, default=0) <= costs.stops * max_rankings
 
@@ -175,6 +175,6 @@
     ("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READERS)]
 )
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
-    fleet = settled(size)
+    fleet = converged_fleet(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
     assert sum(each.reads_member_table() for each in tables) == readers
