--- a/bench/places.py
+++ b/bench/places.py
@@ -1,4 +1,4 @@
-"""Benchmark of the work for one request while the number of targets grows."""
+"""Benchmark of destination selection with few and with many targets."""
 
 import time
 
@@ -21,13 +21,13 @@
 CALLS = 2000
 ROUND_TRIP_SECONDS = 0.024
 FEW_TARGETS, MANY_TARGETS = 60, 1_900
-#: How many times longer it may take with many targets than with few: 6.5 and 7.3 were
-#: measured; it grew with the number of targets when each was looked at.
+#: Maximum ratio of the times with many and with few targets, far below the ratio of
+#: their numbers.
 MAX_GROWTH = 10.0
 
 
 def bench_places(report):
-    """Processor time that a refused request takes to find that there is no place."""
+    """CPU time to find that no destination has a free slot."""
     few, many = (refusal_seconds(count) for count in (FEW_TARGETS, MANY_TARGETS))
     report.add(
         Row(
@@ -42,7 +42,7 @@
 
 
 def refusal_seconds(targets):
-    """Return the mean processor time of a refusal where every slot is taken."""
+    """Return the mean CPU time of a refusal when every slot is in use."""
     parts = _parts(targets)
     selector = _selector(parts)
     calls = [_call(parts.clock, number) for number in range(CALLS)]
@@ -80,7 +80,14 @@
     return DestinationSelector(
         TargetView(members, parts.registry, parts.owners, parts.ledger, reports),
         members,
-        Estimates(members, admission, reports, lambda vm: ROUND_TRIP_SECONDS, ResponseTimes(), clock),
+        Estimates(
+            members,
+            admission,
+            reports,
+            lambda vm: ROUND_TRIP_SECONDS,
+            ResponseTimes(),
+            clock,
+        ),
         RegionLossRates(members, reports, losses, clock),
         RegionShiftLimit(0.15, clock),
         clock,
@@ -94,7 +101,7 @@
 
 
 def _refuse_all(selector, calls, clock):
-    """Look for places as a request does that is refused; 1,000 requests a second."""
+    """Select destinations as refused requests do, at 1,000 requests per second."""
     no_targets = frozenset()
     for made in calls:
         clock.time += 0.001
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -1,4 +1,4 @@
-"""Benchmark of planned stops in simulated fleets: counts, no times."""
+"""Benchmark of planned stops in simulated fleets."""
 
 import random
 
@@ -8,18 +8,18 @@
 from standins.stop_simulation import STOP_SECONDS, converged_fleet
 from tests.test_fleet_stops import StopCosts, in_turn
 
-#: VMs of the fleets that are compared.
+#: Sizes of the compared fleets.
 SMALL, LARGE = 30, 72
 STOPS = 3
 CLIENTS = 100
-#: Seconds between the starts of two VMs of a failure domain that comes back.
+#: Seconds between the restarts of the VMs of a failure domain.
 RETURN_SECONDS = 2.0
-#: Times what a stop costs each VM of the small fleet that it may cost in the large one.
+#: Maximum ratio of the cost of a stop per VM in the large and the small fleet.
 MAX_GROWTH = 2.0
 
 
 def bench_stops(report):
-    """What a stop costs each VM, by the size of the fleet, and where clients go."""
+    """Membership updates per stop and VM, and the balance of client connections."""
     random.seed(1)
     report.add(
         Row(
@@ -45,11 +45,11 @@
 
 def _updates_per_stop(size):
     costs = StopCosts(converged_fleet(size), in_turn(STOPS))
-    return costs.spent.updates / costs.stops / size
+    return costs.spent.updates / bill.stops / size
 
 
 def _max_relative_load():
-    """Return the most that one VM is named for over its even share of the clients."""
+    """Return the largest load of a VM relative to its fair share."""
     fleet = converged_fleet(LARGE, loss=0.1)
     clients = SimulatedClients(fleet, CLIENTS)
     clients.run(3 * LOOKUP_TTL_SECONDS)
@@ -60,5 +60,7 @@
     max_load = 0.0
     for _ in stopped:
         clients.run(RETURN_SECONDS)
-        max_load = max(max_load, *clients.relative_load(clients.expected_connections()).values())
+        max_load = max(
+            max_load, *clients.relative_load(clients.expected_connections()).values()
+        )
     return max_load
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -1,4 +1,4 @@
-"""Targets change owners while VMs stop and start: who owns them, and their slots."""
+"""Tests that targets keep exactly one owner and their slot limit as VMs stop."""
 
 import random
 from types import SimpleNamespace
@@ -32,17 +32,22 @@
     MONITORED_IN_REGION,
     MONITORED_OUTSIDE_REGION,
 )
-from standins.membership_simulation import REGIONS, Network, SimulatedVm, run_nonblocking
+from standins.membership_simulation import (
+    REGIONS,
+    Network,
+    SimulatedVm,
+    run_nonblocking,
+)
 from tests.steering_parts import Parts, entry, make_heartbeat
 
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
 TARGETS = [entry(f"t{number}") for number in range(8)]
 NEAR, FAR = ("north-a", "north"), ("south-a", "south")
-#: Seconds for which a leaving process lives, and until which its clients may come.
+#: Seconds from the stop signal to the end of the process, and to the end of keep-alive.
 STOP_GRACE_SECONDS, KEEP_ALIVE_SECONDS = 5.3, 2.5
-#: The longest time of a simulated request, and requests that begin in each step.
+#: Upper bound of the duration of a simulated request.
 MAX_RUN_SECONDS = 3.5
-#: Seconds in which VMs may differ on the owner of a target: three heartbeats.
+#: Longest time in which VMs may differ on the owner of a target: three heartbeats.
 AGREE_SECONDS = 3 * INTERVAL
 NO_TABLES = SimpleNamespace(
     operator=SimpleNamespace(announced_change=0),
@@ -150,14 +155,16 @@
 
 
 class LeavingVm:
-    """A VM that leaves at instant 100, with what its handover looks at."""
+    """A leaving VM and its handover."""
 
     def __init__(self, *others):
         self.parts = Parts(TARGETS)
         for other in others:
             self.parts.members.record_heartbeat(other)
         self.handover = Handover(
-            self.parts.members, self.parts.owners, lambda now: now >= self.short_of_time_at
+            self.parts.members,
+            self.parts.owners,
+            lambda now: now >= self.short_of_time_at,
         )
         self.parts.members.leave()
         now = self.parts.clock.now()
@@ -166,7 +173,7 @@
         self.short_of_time_at = now + STOP_GRACE_SECONDS
 
     def run(self, until, has_clients=False):
-        """Let time pass until so many seconds after the stop signal."""
+        """Advance to ``until`` seconds after the stop; return whether it is over."""
         clock = self.parts.clock
         while clock.time < self.started_at + until:
             clock.time += 0.05
@@ -225,7 +232,7 @@
 
 
 class OwnersMachine(RuleBasedStateMachine):
-    """Nine VMs change their stages; all hear of it, sooner or later."""
+    """VMs change their stages; three observers learn of it at different times."""
 
     COUNT = 9
 
@@ -259,7 +266,7 @@
 
     @rule(number=st.integers(2, COUNT + 1))
     def deliver_to_first(self, number):
-        """One VM's heartbeat arrives at the first observer only."""
+        """Deliver one VM's heartbeat to the first observer only."""
         self.deliver(self.views[0], f"vm-{number}")
 
     @rule()
@@ -303,7 +310,7 @@
 
 
 class OwningVm(SimulatedVm):
-    """A VM that owns targets, in a simulated network."""
+    """A simulated VM that owns targets and runs requests on them."""
 
     def __init__(self, network, number, incarnation=1, serving=True):
         super().__init__(network, number, incarnation)
@@ -344,17 +351,17 @@
         return self.ledger.pop_new_owners()
 
     def leave(self):
-        """Leave as the process does: all partners are told at once."""
+        """Leave as the process does, notifying all gossip partners at once."""
         self.members.leave()
         run_nonblocking(self.gossip.leave())
 
     def stop(self):
-        """End: the requests under way end with the process."""
+        """End the process and its requests."""
         self.running = False
         self.uses = []
 
     def run_requests(self, rng):
-        """End and begin requests, as many as there seem to be slots."""
+        """Finish requests that are due and start one on every slot that looks free."""
         run_nonblocking(self.gossip.notify())
         now = self.network.clock.now()
         for use in [each for each in self.uses if each.deadline <= now]:
@@ -368,7 +375,7 @@
 
 
 class AnsweringNetwork(Network):
-    """A network in which VMs answer the first heartbeat of another one at once."""
+    """A network in which VMs answer the first heartbeat of a VM at once."""
 
     def send(self, sender, ip, data):
         known = ip in self.vms and self.vms[ip].members.live(sender.name)
@@ -380,7 +387,7 @@
 
 
 class Fleet:
-    """VMs that keep all targets full, and how far these are over their slots."""
+    """VMs that keep all targets full; sums up the use beyond the slot limit."""
 
     SLOTS = 4
 
@@ -411,17 +418,19 @@
                 target_id = use.target.entry.id
                 running[target_id] = running.get(target_id, 0) + 1
         self.used_slot_seconds += sum(running.values()) * step
-        self.excess_slot_seconds += sum(max(0, each - self.SLOTS) for each in running.values()) * step
+        self.excess_slot_seconds += (
+            sum(max(0, each - self.SLOTS) for each in running.values()) * step
+        )
 
     def restart(self, vm):
-        """Start a VM that ended, which serves once it has heard from the others."""
+        """Start an ended VM again; it serves after two heartbeat intervals."""
         restarted = OwningVm(self.network, vm.number, 2, serving=False)
         self.network.run(2 * INTERVAL)
         restarted.members.set_serving(True)
         return restarted
 
     def longest_unowned_seconds(self, seconds):
-        """Let time pass; return the longest for which a target had no owner."""
+        """Advance the time; return the longest time that a target had no owner."""
         longest, unowned_since = 0.0, {}
         end = self.network.clock.time + seconds
         while self.network.clock.time < end:
@@ -436,7 +445,9 @@
                 if each.id in owned:
                     unowned_since.pop(each.id, None)
                 else:
-                    longest = max(longest, now - unowned_since.setdefault(each.id, now - 0.05))
+                    longest = max(
+                        longest, now - unowned_since.setdefault(each.id, now - 0.05)
+                    )
         return longest
 
 
@@ -502,7 +513,7 @@
     now = fleet.network.clock.now()
     successor.held.add_target(target.entry.id, vm.name)
     assert successor.held.count(target.entry.id, now) >= target.entry.slots
-    # What is left is the successor's alone, not that of its failure domain.
+    # Suppress the notification of the failure domain, not that of the successor.
     vm.gossip._notified_stage = LEAVING
     run_nonblocking(vm.gossip.notify())
     assert successor.held.count(target.entry.id, now) == 0
@@ -578,7 +589,7 @@
 
 
 class HoldsMachine(RuleBasedStateMachine):
-    """Two VMs tell one what they still have at its target; heartbeats get lost."""
+    """Two former owners report slots that they still hold; heartbeats get lost."""
 
     SLOTS = 4
     VMS = ("vm-2", "vm-3")
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -1,4 +1,4 @@
-"""Where the requests for an object go, over all regions."""
+"""Tests that affinity targets of objects are spread over all regions by capacity."""
 
 from collections import Counter
 
@@ -27,7 +27,7 @@
 
 
 class DestinationScene:
-    """A region with few targets beside one with many; all slots are free."""
+    """A region with few targets and one with many; all slots are free."""
 
     def __init__(self, round_trip=0.07, run_seconds=0.1, samples=MAX_SAMPLES):
         entries = [entry(f"n{number}", slots=SLOTS) for number in range(NEAR)]
@@ -47,7 +47,9 @@
         loss_rates = LossRates()
         view = TargetView(members, parts.registry, parts.owners, parts.ledger, reports)
         admission = Admission(parts.ledger, members.region_of, clock)
-        estimates = Estimates(members, admission, reports, lambda vm: round_trip, times, clock)
+        estimates = Estimates(
+            members, admission, reports, lambda vm: round_trip, times, clock
+        )
         region_loss_rates = RegionLossRates(members, reports, loss_rates, clock)
         shift = RegionShiftLimit(0.15, clock)
         self.selector = DestinationSelector(
@@ -70,13 +72,13 @@
         return self.selector.select_free(request, frozenset(), frozenset())
 
     def region_counts(self, **fields):
-        """Return how many of the objects have their home in each region."""
+        """Return the number of objects whose affinity target is in each region."""
         requests = [self.call(number, **fields) for number in range(OBJECTS)]
         return Counter(self.select(each).target[0] for each in requests)
 
 
 def test_region_with_few_targets_gets_its_share_of_the_objects():
-    """Homes in each region gave its 2 targets all 240 objects, five times the mean."""
+    """Affinity targets must not be limited to the region of the request."""
     assert DestinationScene().region_counts()["n"] == pytest.approx(
         OBJECTS * NEAR / (NEAR + FAR), rel=0.4
     )
@@ -90,16 +92,20 @@
 
 
 @pytest.mark.parametrize(
-    ("trip", "work", "uses_far_region"),
+    ("round_trip", "run_seconds", "uses_far_region"),
     [(0.07, 0.1, True), (0.25, 0.1, False), (0.07, 0.25, False)],
 )
-def test_object_stays_near_where_a_far_response_would_be_late(round_trip, run_seconds, uses_far_region):
-    assert (DestinationScene(round_trip, run_seconds).region_counts()["s"] > 0) is uses_far_region
+def test_object_stays_near_where_a_far_response_would_be_late(
+    round_trip, run_seconds, uses_far_region
+):
+    assert (
+        DestinationScene(round_trip, run_seconds).region_counts()["s"] > 0
+    ) is uses_far_region
 
 
 @pytest.mark.parametrize("samples", [0, 5, 50])
 def test_affinity_targets_do_not_move_with_the_first_response_times(samples):
-    """The first answers take three times as long; homes moved when they were over."""
+    """Slow first responses must not move affinity targets."""
     scene = DestinationScene(run_seconds=0.1)
     before = scene.region_counts()
     assert DestinationScene(run_seconds=0.3, samples=samples).region_counts() == before
@@ -118,7 +124,7 @@
 
 
 def far_call(scene):
-    """Return a call whose object has its home in the other region."""
+    """Return a call whose affinity target is in the other region."""
     calls = (scene.call(number) for number in range(OBJECTS))
     return next(each for each in calls if scene.select(each).is_remote)
 
@@ -129,7 +135,11 @@
     scene.report(0)
     assert scene.select(request) is None
     destination = scene.selector.select_queue(request, frozenset(), frozenset())
-    assert (destination.vm, destination.target, destination.is_remote) == ("vm-3", None, True)
+    assert (destination.vm, destination.target, destination.is_remote) == (
+        "vm-3",
+        None,
+        True,
+    )
 
 
 def test_late_request_uses_a_free_target_near():
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,10 +1,12 @@
+"""Tests that each target has exactly one owner, as near and strong as possible."""
+
 from tests.steering_parts import Parts, entry, make_heartbeat
 
 TARGETS = [entry(f"t{number}") for number in range(8)]
 
 
 def advance(parts, seconds):
-    """Let time pass with regular checks, as a process that runs makes them."""
+    """Advance the time with the regular checks of a running process."""
     for _ in range(int(seconds * 10)):
         parts.clock.time += 0.1
         parts.members.check()
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -1,4 +1,4 @@
-"""What operators see and do with ``heathercleat quarantine``."""
+"""Tests of the ``heathercleat quarantine`` command."""
 
 import json
 import time
@@ -18,7 +18,7 @@
     send_repeatedly,
 )
 
-#: Seconds in which the VM that saw the third end has written the row.
+#: Upper bound of the time from the third crash to the write of the row.
 ROW_WRITE_SECONDS = 2.0
 
 
@@ -40,7 +40,9 @@
     assert len(listed["ends"]) >= 3
     fingerprint = listed["fingerprint"]
     assert run_quarantine(capsys, "show", fingerprint, *settings) == listed
-    assert run_quarantine(capsys, "lift", fingerprint, *settings) == {"lifted": fingerprint}
+    assert run_quarantine(capsys, "lift", fingerprint, *settings) == {
+        "lifted": fingerprint
+    }
     time.sleep(STABLE_SECONDS)
     statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=6)
     assert set(statuses) == {200}
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -1,3 +1,5 @@
+"""Tests of the admission queue: which request gets a free slot."""
+
 import pytest
 from curio import run, sleep, spawn
 
@@ -10,7 +12,7 @@
 
 
 def fill(parts, *ids):
-    """Take every slot of some targets and return the uses."""
+    """Claim every free slot of some targets and return the uses."""
     now = parts.clock.now()
     return [
         target.claim(now)
@@ -40,7 +42,7 @@
     assert use.target.entry.id == "t2"
 
 
-@pytest.mark.parametrize(("taken", "served"), [(1, True), (3, False)])
+@pytest.mark.parametrize(("slots_in_use", "served"), [(1, True), (3, False)])
 def test_busy_target_is_reserved_for_its_known_objects(slots_in_use, served):
     parts = Parts([entry("t1", slots=4), entry("t2", slots=4)])
     fill(parts, "t1")
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -36,12 +36,12 @@
 from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 NO_SLOT = "no free slot"
-#: Where the instant to wait until stands among the arguments of a try.
+#: Index of the instant until which an attempt may wait, in the dispatcher's arguments.
 LOCAL_UNTIL_INDEX, FORWARD_UNTIL_INDEX = 2, 3
 
 
 class ScriptedDispatcher:
-    """Answers tries with the next results of a list; records where they went."""
+    """Returns scripted results of attempts and records the attempts' arguments."""
 
     def __init__(self, clock, results):
         self.clock = clock
@@ -75,7 +75,7 @@
 
 
 class Scene:
-    """Steering with scripted tries at own and at other VMs' targets."""
+    """Steering with scripted attempts at targets of this VM and of other VMs."""
 
     def __init__(self, results, entries=None, forwarded=(), slack=60.0):
         entries = entries or [entry(f"t{number}") for number in range(1, 4)]
@@ -101,7 +101,9 @@
             self.response_times,
             clock,
         )
-        region_loss_rates = RegionLossRates(members, self.reports, own_loss_rates, clock)
+        region_loss_rates = RegionLossRates(
+            members, self.reports, own_loss_rates, clock
+        )
         self.places = places = DestinationSelector(
             view, members, estimates, region_loss_rates, self.shift, clock
         )
@@ -213,14 +215,19 @@
 
 
 def test_request_without_a_slot_in_time_is_refused_at_once():
-    no_slot_in_time = AttemptResult(AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0)
+    no_slot_in_time = AttemptResult(
+        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0
+    )
     scene = full_targets_scene([no_slot_in_time] * 50)
     request = scene.call()
     with pytest.raises(RequestError) as caught:
         scene.run(request)
     assert caught.value.code is ResultCode.NO_ROOM
     assert caught.value.retry_at > scene.parts.clock.now()
-    assert scene.parts.clock.now() - request.arrived_at <= request.route.latency_objective / 4
+    assert (
+        scene.parts.clock.now() - request.arrived_at
+        <= request.route.latency_objective / 4
+    )
 
 
 @pytest.mark.parametrize("returned", [True, False])
@@ -245,7 +252,7 @@
 
 
 def remote_region_scene(free, forwarded):
-    """A VM of the north whose own target is full, and a target in the south."""
+    """Return a northern VM whose own target is full, beside a southern target."""
     remote_target = entry("t9", domain="south-a", slots=10)
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), remote_target], forwarded)
     scene.parts.members.record_heartbeat(
@@ -259,7 +266,7 @@
 
 @pytest.mark.parametrize("sticky", [True, False])
 def test_owner_without_a_report_is_tried(sticky):
-    """VMs that carry no requests get no reports, and still serve who comes to them."""
+    """A VM without traffic gets no reports, but must serve the requests it receives."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
     scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     request = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
@@ -297,7 +304,7 @@
 
 
 def full_affinity_scene():
-    """A sticky call whose home is full, beside an idle target."""
+    """Return a setup and a sticky call whose affinity target is full; one is idle."""
     scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
     request = call(scene.parts.clock, route(sticky=True), affinity="/a")
     affinity_target = scene.places.select_free(request, set(), set()).target
@@ -319,9 +326,14 @@
     request.affinity_until = scene.parts.clock.now() + 0.05
     assert scene.places.select_free(request, set(), set()) is None
     request.give_up_at = request.affinity_until
-    assert scene.places.select_queue(request, set(), set()).preferred == (affinity_target,)
+    assert scene.places.select_queue(request, set(), set()).preferred == (
+        affinity_target,
+    )
     scene.parts.clock.time = request.affinity_until
-    assert scene.places.select_free(request, set(), set()).target not in (None, affinity_target)
+    assert scene.places.select_free(request, set(), set()).target not in (
+        None,
+        affinity_target,
+    )
 
 
 @pytest.mark.parametrize(("elsewhere", "waits"), [(0.2, False), (0.5, True)])
@@ -340,7 +352,7 @@
 
 
 def remote_affinity_scene(forwarded):
-    """A target of another VM, which reports a free slot."""
+    """Return a setup whose only target belongs to a VM that reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
     scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     scene.reports.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
@@ -350,7 +362,7 @@
 
 
 def wait_deadlines(scene):
-    """Return for how long each try might wait at the owner."""
+    """Return the instants until which the attempts could wait at the owner."""
     return [where[FORWARD_UNTIL_INDEX] for where in scene.forward.tried]
 
 
@@ -363,7 +375,7 @@
 
 
 def test_full_affinity_target_is_tried_once_per_recheck_interval():
-    """A home with no room for 1 s: each send in vain carries the body again."""
+    """Each attempt at a full target sends the body again, so attempts are limited."""
     scene = remote_affinity_scene([no_slot() for _ in range(20)])
     scene.response_times.record("r1", 5.0, False)
     request = call(scene.parts.clock, route(sticky=True), affinity="/a")
--- a/tests/test_subnets.py
+++ b/tests/test_subnets.py
@@ -1,6 +1,6 @@
 """Fleets of tests that run at the same time must not share loopback addresses.
 
-Each worker shifts its subnets by ``WORKER_STEP``.
+Each worker shifts its subnets by ``SUBNETS_PER_WORKER``.
 """
 
 import re
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -19,7 +19,7 @@
 
 
 class ViewSetup:
-    """One VM's view of its own targets and of one target in the south."""
+    """A VM's view of its own targets and of one target in the south."""
 
     def __init__(self, own=3):
         entries = [entry(f"t{number}", slots=4) for number in range(own)]
@@ -127,7 +127,9 @@
         setup.parts.registry.update([], ["far"])
         assert "south" not in setup.view.regions("s1")
     else:
-        leaving = make_heartbeat("vm-3", domain="south-a", region="south", serving=False)
+        leaving = make_heartbeat(
+            "vm-3", domain="south-a", region="south", serving=False
+        )
         setup.parts.members.record_heartbeat(leaving)
         assert setup.region("south").owners == ["vm-1"]
 
@@ -168,7 +170,9 @@
     region = ViewSetup(own=MAX_RANKED_TARGETS + 3).region("north")
     order = []
     for _ in range(MAX_RANKED_TARGETS + 3):
-        (affinity_target,) = region.affinity_targets("/a", 1, lambda each: each not in order, 0.0)
+        (affinity_target,) = region.affinity_targets(
+            "/a", 1, lambda each: each not in order, 0.0
+        )
         order.append(affinity_target)
     assert len(set(ids(order))) == MAX_RANKED_TARGETS + 3
     assert region.affinity_targets("/a", 1, lambda each: each not in order, 0.0) == []
