--- a/bench/stops.py
+++ b/bench/stops.py
@@ -45,7 +45,7 @@
 
 def _updates_per_stop(size):
     costs = StopCosts(converged_fleet(size), in_turn(STOPS))
-    return costs.spent.updates / bill.stops / size
+    return costs.spent.updates / costs.stops / size
 
 
 def _max_relative_load():
