--- a/bench/routing.py
+++ b/bench/routing.py
@@ -16,7 +16,7 @@
 from standins.demo import demo_text
 from standins.fleet import Fleet, wait_for
 from standins.load import Load
-from tests.test_covers import LONG_MS, SLOTS, long_text
+from tests.test_covers import LONG_TIMEOUT_MS, SLOTS, long_text
 
 DRAIN_LIMIT_SECONDS = 5.0
 RUN_SECONDS = 8.0
@@ -249,18 +249,22 @@
     """Seconds until the idle slots of a killed VM are available again."""
     with Fleet(long_text(), {"north-a": 2}, subnet=37) as fleet:
         slots = 2 * SLOTS
-        wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
+        wait_for(
+            lambda: fleet.free_slots() == slots, seconds=2 * LONG_TIMEOUT_MS / 1000
+        )
         time.sleep(1.0)
         home, _ = fleet.vms_by_target_count()
         home.process.kill()
         started = time.monotonic()
-        wait_for(lambda: fleet.free_slots() == slots, seconds=2 * LONG_MS / 1000)
+        wait_for(
+            lambda: fleet.free_slots() == slots, seconds=2 * LONG_TIMEOUT_MS / 1000
+        )
         seconds = time.monotonic() - started
     report.add(
         Row(
             "idle slots of a killed VM back",
             seconds,
-            LONG_MS / 1000,
+            LONG_TIMEOUT_MS / 1000,
             "s",
             "the longest timeout",
             0.15,
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -6,7 +6,7 @@
 from heathercleat.steering.process.directory import LOOKUP_TTL_SECONDS, MAX_OVER_SHARE
 from standins.simulated_clients import SimulatedClients
 from standins.stop_simulation import STOP_SECONDS, converged_fleet
-from tests.test_fleet_stops import Bill, in_turn
+from tests.test_fleet_stops import StopCosts, in_turn
 
 #: Sizes of the compared fleets.
 SMALL, LARGE = 30, 72
@@ -44,8 +44,8 @@
 
 
 def _updates_per_stop(size):
-    bill = Bill(converged_fleet(size), in_turn(STOPS))
-    return bill.spent.updates / bill.stops / size
+    costs = StopCosts(converged_fleet(size), in_turn(STOPS))
+    return costs.spent.updates / costs.stops / size
 
 
 def _max_relative_load():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
     run_nonblocking,
     unpack_first,
 )
-from tests.steering_parts import Parts, beat
+from tests.steering_parts import Parts, make_heartbeat
 
 SMALL, LARGE = 8, 60
 #: Size of a fleet of which a starting VM greets only a part.
@@ -112,7 +112,7 @@
     def digest(*vms):
         parts = Parts()
         for vm in vms:
-            parts.members.record_heartbeat(beat(vm, incarnation=7))
+            parts.members.record_heartbeat(make_heartbeat(vm, incarnation=7))
         return parts.members.digest
 
     assert digest("i-1", "i-2") != digest("i-0", "i-3")
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -33,7 +33,7 @@
     Steering,
 )
 from heathercleat.steering.version.routing import RequestKind
-from tests.steering_parts import Parts, beat, call, entry, route
+from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 NO_SLOT = "no free slot"
 #: Index of the instant until which an attempt may wait, in the dispatcher's arguments.
@@ -255,7 +255,9 @@
     """Return a northern VM whose own target is full, beside a southern target."""
     remote_target = entry("t9", domain="south-a", slots=10)
     scene = Scene([no_slot()] * 50, [entry("t1", slots=1), remote_target], forwarded)
-    scene.parts.members.record_heartbeat(beat("vm-3", domain="south-a", region="south"))
+    scene.parts.members.record_heartbeat(
+        make_heartbeat("vm-3", domain="south-a", region="south")
+    )
     (own,) = scene.parts.ledger.all()
     own.claim(scene.parts.clock.now())
     scene.reports.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
@@ -266,7 +268,7 @@
 def test_owner_without_a_report_is_tried(sticky):
     """A VM without traffic gets no reports, but must serve the requests it receives."""
     scene = Scene([], [entry("t1", domain="north-b")], [answered()])
-    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     request = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
     assert scene.run(request).status == 200
     assert len(scene.forward.tried) == 1
@@ -352,7 +354,7 @@
 def remote_affinity_scene(forwarded):
     """Return a setup whose only target belongs to a VM that reports a free slot."""
     scene = Scene([], [entry("t1", domain="north-b")], forwarded)
-    scene.parts.members.record_heartbeat(beat("vm-2", domain="north-b"))
+    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     scene.reports.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
     scene.response_times.record("r1", 0.1, True)
     scene.response_times.record("r1", 0.5, False)
