--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -83,7 +83,7 @@
     parts = Parts([entry("t1", slots=1)])
     late = call(parts.clock, id="late")
     late.soft_deadline = parts.clock.now() - 1.0
-    returned = call(parts.clock, returned=True, id="back")
+    returned = call(parts.clock, is_client_retry=True, id="back")
     first = call(parts.clock, id="first")
     assert service_order(parts, [late, first, returned]) == ["back", "first", "late"]
 
