--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -13,7 +13,7 @@
     RegionTargets,
     TargetView,
 )
-from tests.steering_parts import Parts, beat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 ANY = lambda candidate: True  # noqa: E731
 
@@ -25,7 +25,7 @@
         entries = [entry(f"t{number}", slots=4) for number in range(own)]
         self.parts = Parts([*entries, entry("far", domain="south-a", slots=4)])
         self.parts.members.record_heartbeat(
-            beat("vm-3", domain="south-a", region="south")
+            make_heartbeat("vm-3", domain="south-a", region="south")
         )
         self.reports = CapacityReports(self.parts.clock)
         self.view = TargetView(
@@ -127,7 +127,9 @@
         setup.parts.registry.update([], ["far"])
         assert "south" not in setup.view.regions("s1")
     else:
-        leaving = beat("vm-3", domain="south-a", region="south", serving=False)
+        leaving = make_heartbeat(
+            "vm-3", domain="south-a", region="south", serving=False
+        )
         setup.parts.members.record_heartbeat(leaving)
         assert setup.region("south").owners == ["vm-1"]
 
@@ -198,12 +200,16 @@
     region_loss_rates = RegionLossRates(
         setup.parts.members, setup.reports, own_loss_rates, setup.parts.clock
     )
-    setup.parts.members.record_heartbeat(beat("vm-4", domain="south-a", region="south"))
+    setup.parts.members.record_heartbeat(
+        make_heartbeat("vm-4", domain="south-a", region="south")
+    )
     setup.reports.record_report("vm-3", [], [], [["s1", 0.2]])
     setup.reports.record_report("vm-4", [], [], [["s1", 0.6]])
     assert region_loss_rates.loss_rate("south", "s1") == pytest.approx(0.4)
     assert region_loss_rates.loss_rate("north", "s1") == 0.0
-    setup.parts.members.record_heartbeat(beat("vm-5", domain="south-a", region="south"))
+    setup.parts.members.record_heartbeat(
+        make_heartbeat("vm-5", domain="south-a", region="south")
+    )
     setup.parts.clock.time += CACHE_TTL_SECONDS
     assert region_loss_rates.loss_rate("south", "s1") == pytest.approx(0.4)
     assert region_loss_rates.loss_rate("nowhere", "s1") == 1.0
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -675,7 +675,7 @@
         "        return self.last_change_version\n",
         "tests/test_follower.py",
         "-k",
-        "not_told",
+        "not_announced",
     ),
     Mutation(
         "SIZE-idle-polls",
@@ -684,7 +684,7 @@
         "IDLE_PEER_INTERVAL_SECONDS = 0.05",
         "tests/test_follower.py",
         "-k",
-        "looks_are_few",
+        "polled_rarely",
     ),
     Mutation(
         "LAPSE-left-to-readers",
@@ -702,7 +702,7 @@
         "return False",
         "tests/test_follower.py",
         "-k",
-        "came_and_went",
+        "added_and_removed",
     ),
     Mutation(
         "QUARANTINE-third-crash",
