--- a/src/heathercleat/steering/process/active_requests.py
+++ b/src/heathercleat/steering/process/active_requests.py
@@ -4,7 +4,7 @@
 
 from curio import sleep
 
-#: Seconds between two checks; one task checks all requests.
+#: Seconds between two checks for disconnected callers.
 CHECK_SECONDS = 0.08
 #: The same while no request is in progress.
 IDLE_CHECK_SECONDS = 0.25
@@ -27,7 +27,7 @@
 
     @contextmanager
     def watch(self, call):
-        """Register a call for the duration of the block."""
+        """Watch a call for the duration of the block."""
         self._calls.add(call)
         try:
             yield
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -9,8 +9,8 @@
     WaitEstimate,
 )
 
-#: Seconds by which the expected wait may exceed what a request accepts; absorbs the
-#: usual variation of waits.
+#: Seconds by which the expected wait may exceed the longest wait that a request
+#: accepts; absorbs the usual variation of waits.
 WAIT_TOLERANCE_SECONDS = 0.05
 
 
@@ -60,7 +60,7 @@
         )
 
     def expected_wait_seconds(self, call):
-        """Return the expected wait in seconds, or ``None`` if no slot is in service."""
+        """Return the expected wait, or ``None`` if no slot is in service."""
         estimate = self.wait_estimate(call.service, call)
         hold_seconds = self._queue(call.service).mean_hold_seconds
         return estimate and estimate.for_call(call, self._clock.now(), hold_seconds)
@@ -92,7 +92,8 @@
     async def release(self, use, has_response):
         """Release a slot and assign it to the next waiter.
 
-        :param has_response: whether the target responded, so that the hold time counts.
+        :param has_response: whether the target responded; only then is the hold time
+            recorded.
         """
         service = use.target.entry.service
         now, queue = self._clock.now(), self._queue(service)
@@ -113,12 +114,18 @@
             await self._assign_free_slots(queue, target)
 
     async def admit_all_queued(self):
-        """Assign the slots that became free by the passing of time."""
+        """Assign the free slots of all services to waiters.
+
+        Slots also become free without a release, such as at the end of an ejection.
+        """
         for service in list(self._queues):
             await self.admit_queued(service)
 
     def is_wait_too_long(self, call):
-        """Return whether the expected wait exceeds what the request accepts."""
+        """Return whether the request would get a slot too late.
+
+        Too late is after it stops waiting, or never because no slot is in service.
+        """
         wait = self.expected_wait_seconds(call)
         return (
             wait is None
@@ -137,7 +144,7 @@
             await waiter.signal.set()
 
     async def _wait(self, waiter, wait_until):
-        """Wait until a slot is assigned, the time is up or the client disconnects."""
+        """Wait for a slot, at most until ``wait_until`` or the client's disconnect."""
         if waiter.slot_use is not None or waiter.call.is_disconnected:
             return
         waiter.call.on_disconnect = waiter
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -27,7 +27,7 @@
 
 
 class ReportedCapacity:
-    """The last report on one target, corrected by the requests sent since.
+    """The last report on one target, adjusted by the requests sent since then.
 
     :param report: the :class:`OwnerReport` of the target's owner.
     """
@@ -63,7 +63,7 @@
         return self._free if now < self._valid_until else 0
 
     def limit(self, now):
-        """Return the most concurrent requests of the target, ``None`` if unknown."""
+        """Return the maximum number of concurrent requests, ``None`` if unknown."""
         return self._limit
 
     def update(self, free, limit, used, valid_until):
@@ -78,11 +78,11 @@
         self._valid_until = 0.0
 
     def reserve(self):
-        """Count a request sent to the target."""
+        """Count a request sent to the target as a slot in use."""
         self._free = max(0, self._free - 1)
 
     def release(self):
-        """Count the end of a request sent to the target."""
+        """Count a completed request of the target as a free slot."""
         if self._limit is not None:
             self._free = min(self._limit, self._free + 1)
 
@@ -148,7 +148,7 @@
         return self._report(owner).capacities.get(target_id)
 
     def is_known(self, owner):
-        """Return whether an owner reported recently, or refused a request as full."""
+        """Return whether an owner recently reported or had no free slot."""
         return self._clock.now() < self._report(owner).valid_until
 
     def wait_estimate(self, owner, service):
@@ -163,7 +163,7 @@
         """Record that an owner had no free slot for a request.
 
         :param target_id: the target that was expected to have one, or ``None``.
-        :param wait: expected wait there in seconds, or ``None``.
+        :param wait: expected wait at the owner in seconds, or ``None``.
         """
         if target_id is not None:
             self.capacity(target_id, owner).mark_no_free_slot()
--- a/src/heathercleat/steering/process/capacity/crash_detector.py
+++ b/src/heathercleat/steering/process/capacity/crash_detector.py
@@ -4,13 +4,13 @@
 
 from heathercleat.connection.http import with_deadline
 
-#: Seconds in which a target has to accept a connection; shorter than the first TCP
-#: retransmission, since another target responds by then.
+#: Timeout of connecting to a target, in seconds; shorter than the first TCP
+#: retransmission, since a retry at another target is faster.
 CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds in which a terminating process closes all its sockets; until then it may
 #: still accept a connection.
 SOCKET_CLOSE_SECONDS = 0.03
-#: Most crashed targets remembered; enough for all targets of a large service.
+#: Maximum number of crashed targets to remember; enough for a large service.
 MAX_REMEMBERED_CRASHES = 1024
 
 
@@ -18,7 +18,7 @@
     """Checks whether a target crashed when its connection broke during a request.
 
     The host refuses connections to a process that has terminated. If the host is
-    unreachable, the state of the target is unknown and it does not count as crashed.
+    unreachable, the target does not count as crashed.
 
     :param pool: connections to targets.
     """
@@ -32,14 +32,15 @@
     async def has_crashed(self, entry):
         """Return whether a target has crashed, by opening a connection to it.
 
-        A connection that is accepted stays in the pool for later requests.
+        An accepted connection is added to the pool for later requests.
 
-        :param entry: its :class:`TargetEntry`.
+        :param entry: the :class:`TargetEntry` of the target.
         """
         if entry.incarnation_id in self._crashed:
             return True
         try:
-            # A process that was terminating at the first attempt refuses the second.
+            # A process that is still terminating during the first attempt refuses the
+            # second one.
             if not await self._accepts_connection(entry):
                 await self._accepts_connection(entry)
         except ConnectionRefusedError:
--- a/src/heathercleat/steering/process/capacity/health.py
+++ b/src/heathercleat/steering/process/capacity/health.py
@@ -9,7 +9,7 @@
 FAILURE_WEIGHT = 0.2
 #: Failure rate from which a target is ejected; four failures in a row reach it.
 EJECTION_FAILURE_RATE = 0.55
-#: Seconds of the first and of the longest ejection; each one doubles the last.
+#: Seconds of the first and of the longest ejection; each ejection doubles the time.
 INITIAL_EJECTION_SECONDS = 0.5
 MAX_EJECTION_SECONDS = 4.0
 #: A target is unresponsive once its oldest request has run for this multiple of the
@@ -58,7 +58,7 @@
     def predates_ejection(self, started_at):
         """Return whether a request was sent before the last ejection.
 
-        Its failure is not counted again: requests that are cut together must not
+        Such a request's failure is not counted: requests that fail together must not
         extend the ejection.
         """
         return started_at <= self.ejected_at
@@ -67,7 +67,7 @@
         """Record a failed request; return whether the target is ejected for it.
 
         :param started_at: instant at which the request was sent.
-        :param may_eject: whether enough other targets of the service are available.
+        :param may_eject: whether an ejection is within the :class:`EjectionLimit`.
         """
         if self.predates_ejection(started_at):
             return False
@@ -81,7 +81,7 @@
         return True
 
     def eject(self, now):
-        """Eject the target for a jittered time; then one request probes it."""
+        """Eject the target for a jittered time, after which one request probes it."""
         self.ejected_at = now
         seconds_ejected = min(
             MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**self.ejection_count
@@ -91,9 +91,9 @@
         self.is_half_open = True
 
     def is_unresponsive(self, now, oldest_started_at):
-        """Return whether the oldest request has run for too long.
+        """Return whether the oldest request in progress has run for too long.
 
-        :param oldest_started_at: instant at which it was sent.
+        :param oldest_started_at: instant at which that request was sent.
         """
         max_run_seconds = max(
             MIN_UNRESPONSIVE_SECONDS, UNRESPONSIVE_FACTOR * self.latency
@@ -101,5 +101,5 @@
         return now - oldest_started_at > max_run_seconds
 
     def is_slow(self, median):
-        """Return whether its latency is well above the ``median`` of its service."""
+        """Return whether the latency is well above the ``median`` of the service."""
         return self.latency > SLOW_FACTOR * median + MIN_SLOW_EXCESS_SECONDS
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -1,16 +1,16 @@
 """Slots of owned targets still in use by requests of former owners."""
 
-#: Seconds in which the former owner of a target reports the slots it still uses: two
-#: heartbeats, since the first may precede its learning of the change.
+#: Seconds within which the former owner of a target reports the slots that it still
+#: uses: two heartbeats, since it may send the first one before it learns of the change.
 FORMER_OWNER_REPORT_SECONDS = 0.3
-#: A count that exceeds the slots of any target.
+#: A number of slots that exceeds the slots of any target.
 _ALL_SLOTS = 1 << 20
 
 
 class Hold:
     """The slots of a target that one other VM uses.
 
-    :param count: number of its requests at the target.
+    :param count: number of requests of that VM at the target.
     :param expires_at: latest deadline of these requests.
     """
 
@@ -24,12 +24,12 @@
 class HeldSlots:
     """Counts the slots that other VMs use at targets which they no longer own.
 
-    Each heartbeat of a VM replaces what the VM reported before. Without heartbeats a
+    Each heartbeat of a VM replaces its previous report. Without heartbeats a
     hold expires at the deadline of its last request, or when the VM terminates.
 
     :param members: the live VMs.
-    :param reports: the :class:`CapacityReports`; the last one of a former owner counts
-        until that VM reports its remaining requests.
+    :param reports: the :class:`CapacityReports`; the last report of a former owner is
+        used until that VM reports its remaining requests.
     """
 
     def __init__(self, members, reports, clock):
@@ -42,10 +42,12 @@
         self._incarnations = {}
 
     def record_report(self, vm, held):
-        """Record what a VM reports, after its report on the targets that it owns.
+        """Record the slots in use that a VM reports.
+
+        Called after the :class:`CapacityReports` recorded the same heartbeat.
 
         :param held: ``(target id, requests, seconds until the last deadline)`` of each
-            target.
+            target that the VM used to own.
         """
         target_ids = self._drop(vm)
         now = self._clock.now()
@@ -55,11 +57,11 @@
             self._set_hold(target_id, vm, Hold(count, now + seconds))
 
     def add_target(self, target_id, former_owner):
-        """Start counting for a target that this VM owns from now on.
+        """Start to count the slots of a target that this VM has just become owner of.
 
         Until the former owner reports its remaining requests, its last report as the
-        owner counts. Without a recent report all slots count as in use, for
-        :data:`FORMER_OWNER_REPORT_SECONDS` at most.
+        owner is used. Without a recent report all slots count as in use, for at most
+        :data:`FORMER_OWNER_REPORT_SECONDS`.
 
         :param former_owner: name of the former owner, or ``None``.
         """
--- a/src/heathercleat/steering/process/capacity/loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/loss_rates.py
@@ -1,8 +1,11 @@
-"""Loss rates of this VM: the share of their value that requests lose."""
+"""Loss rates of client requests at this VM.
+
+A refused request counts as a full loss, a late response as a partial one.
+"""
 
 #: Weight of the newest request; a single refusal hardly changes the rate.
 WEIGHT = 0.03
-#: Loss of a late response; that of a refusal is 1.
+#: Loss of a late response; a refusal counts as 1.
 LATE_LOSS_RATE = 0.8
 
 
@@ -21,7 +24,7 @@
         self._update(service, 1.0)
 
     def rate(self, service):
-        """Return the loss rate of a service, 0 to 1."""
+        """Return the mean loss rate of a service, 0 to 1."""
         return self._rates.get(service, 0.0)
 
     def _update(self, service, loss):
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -89,7 +89,8 @@
     def _candidates(self, failure_domain, owners):
         """Return the VMs that may own targets of a failure domain.
 
-        Those of the failure domain, else those of its region, else all.
+        These are the VMs of the failure domain or, if there are none, those of its
+        region or, if there are none either, all VMs that own targets.
         """
         nearby = [each.vm for each in owners if each.failure_domain == failure_domain]
         if nearby:
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -1,8 +1,8 @@
 """Requests that wait for a slot of an owned target, in order of priority.
 
-Requests that can still meet their latency aim go first. Late requests get the slots
-that these leave over. The share of such slots is measured, so that a late request is
-queued only if it can be served before its deadline.
+Requests that can still meet their latency objective go first. Late requests get the
+slots that no on-time request can use. The share of these slots is measured, so that a
+late request is queued only if it can be served before its deadline.
 """
 
 from curio import Event as Signal
@@ -11,10 +11,12 @@
 
 #: Assumed seconds for which a request holds a slot, until measured.
 INITIAL_HOLD_SECONDS = 0.2
+#: Weight of the newest request in the mean time for which a request holds a slot.
 HOLD_WEIGHT = 0.05
-#: Weight of the newest slot in the share of slots left over for late requests.
+#: Weight of the newest released slot in the share of slots left for late requests.
 SPARE_WEIGHT = 0.02
-#: Lower bound of that share, so that the expected wait stays finite.
+#: Lower bound of the share of slots left for late requests, so that their expected wait
+#: stays finite.
 MIN_SPARE_SHARE = 0.01
 
 
@@ -34,9 +36,11 @@
     def for_call(self, call, now, response_seconds):
         """Return the expected wait of a call.
 
-        That of a late request if the call would be late after the wait.
+        If the call would miss its latency objective after the on-time wait, this is the
+        expected wait of a late request.
 
-        :param work: seconds from its start to the response.
+        :param response_seconds: expected seconds from the end of the wait to the
+            response.
         """
         is_on_time = now + self.on_time + response_seconds <= call.soft_deadline
         return self.on_time if is_on_time else self.late
@@ -45,7 +49,7 @@
 class Waiter:
     """A queued request; ``slot_use`` is set once it has a slot.
 
-    :param preferred: ids of its affinity targets, best first.
+    :param preferred: ids of the request's affinity targets, best first.
     :param avoid: ids of excluded targets.
     :param region_of: returns the region of a failure domain.
     """
@@ -88,8 +92,9 @@
         """Return the sort key by which waiters get a slot of a target, lowest first.
 
         On-time requests come before late ones. On-time requests are ordered by whether
-        they return after a refusal, then by priority of the route, preference for the
-        target and latency aim; late requests by priority, preference and deadline.
+        they are retries after a refusal, then by priority of the route, preference for
+        the target and latency objective; late requests by priority, preference and
+        deadline.
         """
         call = self.call
         preference = self.preference_rank(target_id)
@@ -104,7 +109,7 @@
         )
 
     def is_late(self, now, hold_seconds):
-        """Return whether the request would miss its latency aim if it started now."""
+        """Return whether the request would be late if it started now."""
         return now + hold_seconds > self.call.soft_deadline
 
 
@@ -128,7 +133,7 @@
         self._mean_hold += HOLD_WEIGHT * (seconds - self._mean_hold)
 
     def record_free_slot(self, entry, free, now):
-        """Record a released slot, left over if no on-time request can use it."""
+        """Record whether any on-time request can use a released slot."""
         is_wanted = any(
             each.can_use(entry, free, now) and not each.is_late(now, self._mean_hold)
             for each in self.waiters
@@ -154,7 +159,7 @@
     def wait_estimate(self, slots, now, late_ahead=None):
         """Return the :class:`WaitEstimate` for one of ``slots`` slots.
 
-        :param late_ahead: number of late waiters ahead of it; ``None`` for all.
+        :param late_ahead: late waiters ahead of the new request; ``None`` for all.
         """
         on_time_count = self.on_time_count(now)
         if late_ahead is None:
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -1,4 +1,4 @@
-"""Loss rates of each region, from the reports of its VMs."""
+"""Mean loss rate of each region, from the reports of its VMs; see `loss_rates`."""
 
 #: Seconds for which the means are cached; shorter than the heartbeat interval.
 CACHE_TTL_SECONDS = 0.05
--- a/src/heathercleat/steering/process/capacity/region_shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -5,7 +5,7 @@
 #: Change allowed per window, as a share of the change allowed within two seconds; low,
 #: since the windows of the VMs of a region are not aligned.
 STEP_SHARE = 0.35
-#: Fewest requests of a window from which a share is computed.
+#: Minimum number of requests in a window from which a share is computed.
 MIN_REQUESTS = 10
 
 
--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -6,19 +6,19 @@
 
 #: Weight of the newest response in the moving averages.
 WEIGHT = 0.05
-#: Most responses of affinity targets remembered for each route, and the number of new
-#: ones after which the time for a known object is computed again.
+#: Maximum number of responses of affinity targets to remember for each route, and the
+#: number of new responses after which the time for a known object is computed again.
 MAX_SAMPLES = 100
 RECOMPUTE_INTERVAL = 20
-#: Quantile of the remembered times that is taken for a known object; low, since most
-#: of the first requests are for new objects, which take longer.
+#: Quantile of the remembered response times that is used as the time for a known
+#: object; low, since most of the first requests are for new objects, which take longer.
 KNOWN_OBJECT_QUANTILE = 0.1
 
 
 class ResponseTimes:
     """Mean seconds from sending a request to its complete response, by route.
 
-    The affinity target of a request takes less time than other targets.
+    Requests take less time at their affinity targets, which know the object.
     """
 
     def __init__(self):
@@ -30,7 +30,7 @@
     def record(self, route, seconds, is_affinity_target):
         """Record the time of one response.
 
-        :param is_affinity_target: whether the target is one of the request.
+        :param is_affinity_target: whether it is an affinity target of the request.
         """
         if is_affinity_target:
             self._known_times.setdefault(route, _KnownObjectTime()).record(seconds)
@@ -39,7 +39,7 @@
         update_moving_average(means, route, seconds, WEIGHT)
 
     def mean(self, route):
-        """Return the mean of a route, 0 before the first response."""
+        """Return the mean response time of a route, 0 before the first response."""
         return self._means.get(route, 0.0)
 
     def at_affinity_target(self, route):
--- a/src/heathercleat/steering/process/capacity/retry_budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -2,8 +2,8 @@
 
 from collections import deque
 
-#: Share of the allowed retries that is used, since the windows of the VMs are not
-#: aligned.
+#: Share of the allowed retries that a VM uses; below 1, since the windows of the VMs
+#: are not aligned.
 USED_SHARE = 0.7
 
 
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -3,9 +3,9 @@
 from collections import deque
 from contextlib import contextmanager
 
-#: Most runs remembered for each route and service.
+#: Maximum number of completed runs to remember for each route and service.
 MAX_SAMPLES = 100
-#: Runs needed to compute a bound.
+#: Minimum number of completed runs from which a bound is computed.
 MIN_RUNS = 30
 #: Factor by which a bound exceeds the longest known run.
 BOUND_FACTOR = 1.25
@@ -31,7 +31,7 @@
         self.succeeded = False
 
     def record(self, result):
-        """Record the :class:`AttemptResult`; a run that was aborted has none."""
+        """Record the :class:`AttemptResult`; an aborted run has none."""
         self.seconds = result.response_time
         self.may_have_run = not result.outcome.not_run
         self.succeeded = result.succeeded
@@ -40,7 +40,7 @@
 class RunTimes:
     """The runs of each route at each service.
 
-    A bound is an estimate from past runs: a later run may exceed it.
+    A bound is an estimate from past runs; later runs may exceed it.
     """
 
     def __init__(self, clock):
@@ -65,8 +65,8 @@
     def bound(self, call):
         """Return the bound on the run of a call, in seconds.
 
-        Runs in progress count with their age: the first runs to complete after a start
-        are the shortest ones. :data:`UNBOUNDED` while too few runs are known.
+        :data:`UNBOUNDED` while too few runs are known. The age of runs in progress is
+        included, since the first runs to complete after a start are the shortest ones.
         """
         return self._runs_of(call).bound(self._clock.now())
 
@@ -83,7 +83,10 @@
         return max(bounds, default=UNBOUNDED)
 
     def retain(self, routes):
-        """Drop all routes except those of these names, and those with runs."""
+        """Drop all routes except the named ones and those with runs in progress.
+
+        :param routes: names of the routes to keep.
+        """
         self._runs_by_key = {
             key: route_runs
             for key, route_runs in self._runs_by_key.items()
@@ -108,7 +111,7 @@
         self.running = set()
 
     def end(self, run, now):
-        """Record the end of a run; a failed one counts only if it is the longest."""
+        """Record the end of a run; a failed run only if it is the longest one."""
         self.running.discard(run)
         if not run.may_have_run:
             return
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -9,8 +9,8 @@
 
 #: Seconds for which a target's own report of its load is valid.
 LOAD_REPORT_TTL_SECONDS = 0.4
-#: Share of a cold target's allowed rate that one owner uses, since the owner may change
-#: within a window.
+#: Share of a cold target's allowed rate that one owner uses; below one half, since the
+#: owner may change within a window.
 COLD_SHARE = 0.45
 #: Length of the window for the rate of a cold target, in seconds.
 COLD_WINDOW_SECONDS = 1.0
@@ -54,7 +54,8 @@
     """A target whose slots this VM counts.
 
     :param entry: its :class:`TargetEntry`.
-    :param cold_limit: most requests per window while it is cold, or ``None``.
+    :param cold_limit: maximum number of requests per window while the target is cold,
+        or ``None``.
     :param held_slots: the :class:`HeldSlots`.
     """
 
@@ -117,7 +118,7 @@
         self._other_load_until = now + LOAD_REPORT_TTL_SECONDS
 
     def limit(self, now):
-        """Return the most concurrent requests that the target may have now."""
+        """Return the maximum number of concurrent requests at the target now."""
         if now < self.health.ejected_until:
             return 0
         if self.uses and self.health.is_unresponsive(now, self.uses[0].started_at):
@@ -158,8 +159,8 @@
         self._journal = journal
         self._clock = clock
         self._owned = {}
-        # Targets owned earlier. They keep their requests in progress and the rate
-        # while cold if this VM becomes the owner again.
+        # Targets that this VM owned earlier. If it becomes their owner again, their
+        # requests in progress and recent claims still count.
         self._former_targets = {}
         self._new_owners = set()
         self._by_service = {}
@@ -189,7 +190,8 @@
     def handed_over_targets(self):
         """Yield the targets of other VMs on which requests of this VM still run.
 
-        Each as target id, owner, number of requests and their latest deadline.
+        Each item is a tuple of target id, owner, number of requests and their latest
+        deadline.
         """
         self._refresh()
         for target_id, target in self._former_targets.items():
--- a/src/heathercleat/steering/process/capacity/target.py
+++ b/src/heathercleat/steering/process/capacity/target.py
@@ -18,8 +18,8 @@
     A restarted target is another incarnation, with the same id or a new one: no state
     of the previous incarnation applies to it.
 
-    :param slots: requests that it can run at the same time.
-    :param draining: whether it accepts no new requests.
+    :param slots: maximum number of concurrent requests.
+    :param draining: whether the target accepts no new requests.
     :param cold_for: remaining seconds of its cold phase when the entry was written.
     :param sequence: the target's counter of its reports since its start, or ``None``.
     :param started_ms: start of the target in Unix milliseconds, or ``None``.
@@ -78,7 +78,8 @@
     def is_older_than(self, other):
         """Return whether the target reported this entry before the other one.
 
-        The order of rows is not reliable: the store may write a delayed report late.
+        The versions of the rows do not tell, since the store may write a delayed report
+        after a newer one.
         """
         if not self.is_same_incarnation(other):
             if self.started_ms is None or other.started_ms is None:
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -6,15 +6,15 @@
 class TargetLog:
     """Writes a log line for each change of a target.
 
-    The sequence number of the report and the version of the row show the order in
-    which entries were reported and written.
+    The lines contain the sequence number of the target's report and the version of the
+    row, since reports may be written to the store out of order.
     """
 
     def __init__(self, journal):
         self._journal = journal
 
     def log_list(self, entries):
-        """Log the number of targets of each service in the first table."""
+        """Log the number of targets of each service when the table was first read."""
         services = {}
         for entry in entries:
             services[entry.service] = services.get(entry.service, 0) + 1
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -14,28 +14,28 @@
 #: Seconds for which the summary of a region is cached; well below the heartbeat
 #: interval.
 SUMMARY_TTL_SECONDS = 0.015
-#: Most targets cached for an affinity key; all targets are ranked if none of these is
-#: healthy.
+#: Maximum number of targets cached for an affinity key; if too few of them can be used,
+#: all targets are ranked.
 MAX_RANKED_TARGETS = 4
 #: Share of a region's targets that may run requests suspected of crashing targets.
 CONFINED_SHARE = 0.25
-#: Most affinity keys cached for each service and region.
+#: Maximum number of affinity keys cached for each service and region.
 MAX_OBJECTS = 2048
 #: Affinity key by which targets for confined requests are selected.
 _CONFINED_KEY = "confined"
 
 
 class TargetCapacity(Protocol):
-    """The slots of one target, as far as they are known here."""
+    """The slots of one target, as known to this VM."""
 
     def is_known(self, now):
-        """Return whether the owner of the target reports them to this VM."""
+        """Return whether the number of free slots is known to this VM."""
 
     def free(self, now):
         """Return the number of free slots."""
 
     def limit(self, now):
-        """Return the most concurrent requests of the target, ``None`` if unknown."""
+        """Return the maximum number of concurrent requests, ``None`` if unknown."""
 
 
 class Candidate:
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -6,16 +6,17 @@
 
 #: Maximum addresses in a lookup result; a random sample if there are more VMs.
 MAX_ADDRESSES = 64
-#: Seconds for which clients may cache a lookup; shorter than a leaving VM keeps its
-#: client connections.
+#: Seconds for which clients may cache a lookup; shorter than the time for which a
+#: leaving VM keeps its client connections.
 LOOKUP_TTL_SECONDS = 2.0
-#: The same for lookups at a VM that is leaving or has just started: other VMs often do
-#: so at the same time, and it learns of them late.
+#: The same for lookups at a VM that is leaving or has just started. Other VMs often
+#: leave or start at the same time, and this VM learns of them late.
 SHORT_LOOKUP_TTL_SECONDS = 0.5
 #: Seconds after the start for which the short TTL is used; a whole fleet restarts
 #: within this time.
 START_SECONDS = 5.0
-#: Minimum VMs in the client's failure domain for leaving out the rest of its region.
+#: Minimum number of VMs in the client's failure domain for which VMs of other failure
+#: domains may be omitted.
 MIN_DOMAIN_VMS = 2
 #: Maximum share of a region's clients for one VM, as a multiple of an even share, so
 #: that the first restarted VMs of a failure domain do not get all of its clients.
@@ -52,7 +53,7 @@
     def lookup(self, region, failure_domain):
         """Return the :class:`Lookup` for a client of a region and failure domain.
 
-        Leaving VMs are listed if no VM is serving: they still accept requests, and
+        Leaving VMs are listed if no VM is serving, since they still accept requests and
         clients treat an empty result as a failed lookup.
         """
         serving = self._members.strong_serving()
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -5,10 +5,10 @@
 #: Seconds without client requests after which a leaving VM hands its targets to another
 #: leaving VM, and seconds without any request after which its process exits.
 QUIET_SECONDS = 0.4
-#: Minimum difference between the stop times of two VMs, in seconds. Three heartbeat
-#: intervals, so that two VMs never both consider the other one to stop later.
+#: Minimum seconds by which another VM must stop later to be handed targets. Three
+#: heartbeat intervals, so that two VMs never hand targets to each other.
 MIN_STOP_DIFFERENCE_SECONDS = 0.45
-#: Seconds before the process exits by which it must have released all targets.
+#: Seconds before the exit of the process at which it releases all targets.
 RELEASE_MARGIN_SECONDS = 1.5
 
 
@@ -16,10 +16,10 @@
     """Decides when a leaving VM releases its targets while no VM is serving.
 
     One leaving VM of each region keeps its targets until shortly before it exits. The
-    others exit as soon as they have no client requests, so that they restart sooner and
-    a fleet that is stopped all at once is replaced one after another. A VM with too
-    little time left for the requests of some route hands its targets to a VM that
-    stops later.
+    others exit as soon as they have no client requests, so that they restart sooner.
+    The VMs of a fleet that is stopped all at once are thus replaced one after another.
+    A VM with too little time left for the requests of some route hands its targets to a
+    VM that stops later.
 
     :param members: the known VMs.
     :param owners: the :class:`Owners`.
@@ -52,7 +52,7 @@
         self._release_deadline = ends_at - RELEASE_MARGIN_SECONDS
 
     def check(self, now, has_clients):
-        """Release all targets permanently once the conditions are met.
+        """Release all targets permanently if it is time to do so.
 
         :param has_clients: whether requests of this VM's own clients are in progress.
         """
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -55,7 +55,10 @@
         return any(connection.is_busy for connection in self._clients)
 
     async def cancel_requests_before_ready_responses(self):
-        """Abort the requests that block ready responses on their connections."""
+        """Cancel the unfinished requests that precede ready responses of a connection.
+
+        The ready responses can then be sent before the process exits.
+        """
         for connection in list(self._clients):
             await connection.cancel_requests_before_ready_responses()
 
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -16,23 +16,26 @@
 
 #: Seconds between two heartbeats; bounds the age of the capacity reports.
 HEARTBEAT_INTERVAL_SECONDS = 0.15
-#: Rounds between two heartbeats to a VM of another region, where traffic is expensive.
+#: Rounds between two heartbeats to a VM of another region; traffic between regions is
+#: expensive.
 ROUNDS_BETWEEN_REGIONS = 2
 #: Seconds between two heartbeats to or from a VM that handles no requests.
 IDLE_INTERVAL_SECONDS = 0.9
 #: Approximate maximum rate of heartbeats that a VM sends, to bound its CPU use.
 MAX_HEARTBEATS_PER_SECOND = 120
-#: Seconds for which a VM that asked for heartbeats gets them.
+#: Seconds for which a VM gets heartbeats after it asked for them.
 REPLY_SECONDS = 2.0
-#: VMs not known to be live that are probed in each full round, in this region and in
-#: others; the same number of VMs that are live only according to others. Few in other
-#: regions, where traffic is expensive and one contact suffices.
+#: Maximum VMs not known to be live that are probed in each full round, in this region
+#: and in others; in addition, as many VMs that other VMs report as live. The number for
+#: other regions is low, since traffic between regions is expensive and one contact
+#: suffices.
 PROBED_IN_REGION = 6
 PROBED_OUTSIDE_REGION = 2
 #: Seconds after the start during which every round is a full one, so that VMs that
 #: start together discover each other quickly.
 START_SECONDS = 2.0
-#: Seconds between these rounds in a large fleet, with many updates in each heartbeat.
+#: Seconds between rounds during the start in a large fleet, where each heartbeat has
+#: many updates.
 START_INTERVAL_SECONDS = 0.45
 #: Maximum unseen VMs that a starting VM contacts in one round.
 MAX_CONTACTED = 300
@@ -40,9 +43,10 @@
 #: datagram does not keep this VM in the lookups of others.
 LEAVE_SECONDS = 0.4
 MAX_DATAGRAM_BYTES = 8192
-#: VMs whose updates are sent again at once when the views of partners differ.
+#: Maximum VMs whose updates are sent again when the views of partners differ.
 MAX_REPAIRED_AT_ONCE = 24
-#: Full rounds with a difference before that, while updates still arrive.
+#: Full rounds with different views until updates are sent again, if the view of this VM
+#: is still changing.
 ROUNDS_BEFORE_REPAIR = 4
 _ROUND_TRIP_WEIGHT = 0.2
 #: Round trip in seconds that is assumed before the first measurement.
@@ -50,13 +54,13 @@
 
 
 class HeartbeatKind(NamedTuple):
-    """What distinguishes heartbeats; receivers of one kind get the same datagram.
+    """The contents of a heartbeat; all receivers of one kind get the same datagram.
 
-    :param includes_reports: whether it has reports.
+    :param includes_reports: whether the heartbeat has capacity reports.
     :param interval: seconds until the next heartbeat.
     :param is_partner: whether the receivers are gossip partners, which get updates.
-    :param includes_suspects: whether the receivers are partners with other suspects;
-        they get all suspects until the digests match.
+    :param includes_suspects: whether the receivers are partners whose suspects differ;
+        they get suspects until the digests match.
     """
 
     includes_reports: bool
@@ -137,9 +141,9 @@
         return self._region_round_trips.get(region, INITIAL_ROUND_TRIP_SECONDS)
 
     def reporting_members(self):
-        """Return the active VMs that send their reports here.
+        """Return the strong serving VMs that send their reports to this VM.
 
-        An empty list if this VM itself is not active.
+        An empty list if this VM is not one of them.
         """
         serving = self._members.strong_serving()
         return self._select_regular(serving) if self._members.own in serving else []
@@ -163,11 +167,13 @@
             await self._on_heartbeat()
 
     def receive(self, data):
-        """Process one datagram; return the :class:`Member` if its process is new here.
+        """Process one datagram; return the :class:`Member` if its process is new.
 
-        A restarted VM is new even if its previous process still counts as live.
+        A restarted VM counts as new even if its previous process is still considered
+        live.
 
-        :raises ValueError: when the datagram is malformed; msgpack errors too.
+        :raises ValueError: when the datagram is malformed. :mod:`msgpack` may raise
+            further errors.
         """
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
@@ -222,7 +228,7 @@
     async def send(self, to_all=True):
         """Send one heartbeat to the VMs that handle requests.
 
-        :param to_all: also send it to other known VMs and to unknown seeds.
+        :param to_all: whether to send it to other known VMs and unknown seeds too.
         """
         await self._send_all(self._receivers(to_all))
         for seed in self._unknown_seeds() if to_all else ():
@@ -231,9 +237,9 @@
     async def notify(self):
         """Send heartbeats that cannot wait for the next round.
 
-        When this VM's stage changes, the VMs of its failure domain recompute the target
-        owners and should do so at the same time. New owners of this VM's targets need
-        the number of slots still in use.
+        After a change of its stage, this VM notifies the VMs of its failure domain, so
+        that all recompute the target owners at the same time. New owners of its former
+        targets need the number of slots that are still in use.
         """
         live = self._members.live_others()
         notified = self._pop_new_owners()
@@ -249,8 +255,9 @@
     async def _send_all(self, members):
         """Send a heartbeat to some members, encoded once per :class:`HeartbeatKind`.
 
-        It has reports if both VMs handle requests, or the receiver is about to. Only
-        partners get updates, to limit the traffic of weaker VMs; partners pass them on.
+        It has reports if both VMs handle requests, or if the receiver is starting. Only
+        partners get updates, to limit the traffic of weaker VMs; partners pass the
+        updates on.
         """
         request_handling_vms, usual_interval = (
             self._members.request_handling_vms(),
@@ -301,8 +308,8 @@
     def _is_in_other_region(self, member):
         """Return whether a VM gets fewer heartbeats because of its region.
 
-        Not in a large fleet, where few heartbeats cross regions and a lost region would
-        be detected too late.
+        ``False`` in a large fleet, where few heartbeats cross regions and the loss of a
+        region would be detected too late.
         """
         if not self._members.topology.is_mesh:
             return False
@@ -319,8 +326,8 @@
     def _repair(self):
         """Send updates of some VMs again if the views of partners differ.
 
-        Datagrams may be lost. While updates are still spreading, views differ
-        anyway, so the repair is delayed for a few rounds.
+        Updates may be missing because datagrams were lost. While updates are still
+        spreading, views differ anyway, so the repair is delayed for a few rounds.
         """
         members = self._members
         if members.topology.is_mesh:
@@ -353,7 +360,7 @@
                 if self._members.topology.is_mesh
                 else START_INTERVAL_SECONDS
             )
-            # Other VMs consider this one dead after a longer silence.
+            # After a longer interval, other VMs would consider this VM dead.
             return max(
                 min_interval,
                 min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL_SECONDS),
@@ -382,7 +389,7 @@
     def _is_partner(self, member):
         """Return whether a VM is a gossip partner.
 
-        It is one if this VM monitors it, or if it recently asked for heartbeats.
+        A partner is monitored by this VM, or recently asked it for heartbeats.
         """
         if member.vm in self._members.topology.monitored:
             return True
@@ -391,8 +398,8 @@
     def _is_starting_or_leaving(self, member):
         """Return whether a VM is starting or leaving and gets every heartbeat.
 
-        It answers lookups too, and has to learn of VMs that leave at the same time. In
-        a small fleet those VMs notify it directly.
+        A starting or leaving VM answers lookups too, and has to learn of VMs that leave
+        at the same time. In a small fleet those VMs notify it directly.
         """
         if member.is_serving or self._members.topology.is_mesh:
             return False
@@ -464,16 +471,16 @@
         ]
 
     def _sample(self, members):
-        """Return a small random sample of members."""
+        """Yield a small random sample of members, fewer from other regions."""
         in_region = [each for each in members if each.region == self._settings.region]
         outside = [each for each in members if each.region != self._settings.region]
         yield from sample(in_region, min(PROBED_IN_REGION, len(in_region)))
         yield from sample(outside, min(PROBED_OUTSIDE_REGION, len(outside)))
 
     def _echo(self, vm):
-        """Return the send time of a VM's last heartbeat and the seconds since then.
+        """Return the send time of a VM's last heartbeat and the seconds since arrival.
 
-        The peer derives the round trip from both; ``None`` for an unknown VM.
+        The VM derives the round trip from both. Both are ``None`` for an unknown VM.
         """
         sent_at, arrived_at = self._echoes.get(vm, (None, None))
         if sent_at is None:
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -10,7 +10,7 @@
 VM_FIELD = MemberUpdate.__slots__.index("vm")
 STAMP_FIELD = MemberUpdate.__slots__.index("stamp")
 
-#: Compression level of the updates; the fastest one.
+#: zlib level for the updates; the fastest one.
 _COMPRESSION_LEVEL = 1
 #: Maximum bytes of decompressed updates.
 _MAX_UPDATES_BYTES = 1 << 16
@@ -23,14 +23,15 @@
     :param interval: seconds until the sender's next heartbeat.
     :param operator_version: version of the last change to the operators' table.
     :param target_version: version of the last significant change to the targets.
-    :param store_answers: whether the store answers the sender's calls; also ``False``
-        if it makes none.
+    :param store_answers: whether the store responds to the sender's calls; ``False`` if
+        the sender makes none.
     :param digest: see :attr:`Members.digest`.
     :param news: the fields of each :class:`MemberUpdate` that the sender passes on.
-    :param rooms: see :meth:`CapacityReports.report`; ``None`` without reports.
-    :param waits: see :meth:`CapacityReports.report`.
-    :param losses: see :meth:`CapacityReports.report`.
-    :param held: see :meth:`HeldSlots.report`.
+    :param rooms: capacity of the sender's targets; see
+        :meth:`CapacityReports.record_report`. ``None`` without reports.
+    :param waits: see :meth:`CapacityReports.record_report`.
+    :param losses: see :meth:`CapacityReports.record_report`.
+    :param held: see :meth:`HeldSlots.record_report`.
     :param suspects_digest: see :attr:`Suspects.digest`.
     :param suspects: the fields of each :class:`SuspectUpdate`; empty if the receiver
         has the same digest.
@@ -62,13 +63,13 @@
         return self
 
     def without_updates(self):
-        """Remove the updates, for VMs that are no gossip partners; return ``self``."""
+        """Remove the updates, for VMs that are not gossip partners; return ``self``."""
         self.news = []
         return self
 
     @property
     def has_reports(self):
-        """Return whether it has rooms, waits, losses and held slots."""
+        """Return whether the heartbeat has reports of capacity, waits and losses."""
         return self.rooms is not None
 
     def pack(self):
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -13,7 +13,7 @@
     :param tables: the :class:`Tables`.
     :param ledger: the :class:`SlotLedger` of the owned targets.
     :param admission: the :class:`Admission` with the queues for their slots.
-    :param loss_rates: the :class:`LossRates` with the losses of this VM's clients.
+    :param loss_rates: the :class:`LossRates` of this VM's clients.
     :param suspects: the :class:`Suspects`.
     :param services: returns the names of all services.
     """
@@ -69,17 +69,20 @@
             yield [target.entry.id, free, target.limit(now), len(target.uses)]
 
     def _held(self):
-        """Yield the slots in use here at targets that other VMs own now.
+        """Yield the slots that requests of this VM still use at targets of other VMs.
 
-        The fields are the target id, the number of slots and the seconds until they
-        are free at the latest, rounded up.
+        The fields are the target id, the number of slots and the seconds until the
+        latest deadline of these requests, rounded up.
         """
         now = self._clock.now()
         for target_id, _, count, deadline in self._ledger.handed_over_targets():
             yield [target_id, count, ceil(max(0.0, deadline - now) * 100) / 100]
 
     def _waits(self):
-        """Yield the :class:`WaitEstimate` fields of each owned service, in seconds."""
+        """Yield the name and the expected waits in seconds of each service.
+
+        Only services with owned targets; waits are ``None`` if no slot is in service.
+        """
         for service in self._ledger.services():
             waits = self._admission.wait_estimate(service)
             if waits is None:
@@ -88,6 +91,6 @@
                 yield [service, round(waits.on_time, 3), round(waits.late, 3)]
 
     def _losses(self):
-        """Yield the fraction of their value that clients lose, for each service."""
+        """Yield the name and the mean loss rate of each service."""
         for service in self._services():
             yield [service, round(self._loss_rates.rate(service), 3)]
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -1,11 +1,11 @@
-"""The state of one VM, as seen by another."""
+"""The state of one VM, as known to another VM."""
 
 from enum import IntEnum
 
 #: Seconds without a heartbeat after which a VM is considered dead. Several intervals,
 #: to tolerate lost datagrams and short stalls.
 SILENCE_SECONDS = 1.1
-#: The same in intervals, for VMs that send heartbeats rarely.
+#: The same as a number of heartbeat intervals, for VMs that send heartbeats rarely.
 MAX_LOST_HEARTBEATS = 4
 
 
@@ -26,7 +26,7 @@
 
 
 class Member:
-    """What this VM knows of one VM.
+    """The state of one VM, as known to this VM.
 
     :param incarnation: identifies the process; a restarted VM has a higher one.
     :param stamp: version of the updates of the VM; the highest one wins.
@@ -35,11 +35,11 @@
     :param stage: its :class:`Stage`.
     :param stops_since: instant at which this VM learned of the shutdown, or ``None``.
     :param last_heartbeat_at: instant of its last heartbeat to this VM, or ``None``.
-    :param unreachable_until: instant until which it is ignored because its heartbeats
-        to this VM stopped, or ``None``.
-    :param lost_at: instant at which it was removed from the live VMs, or ``None``.
+    :param unreachable_until: instant until which the VM is ignored because its
+        heartbeats to this VM stopped, or ``None``.
+    :param lost_at: instant at which the VM was removed from the live VMs, or ``None``.
     :param interval: seconds between its heartbeats.
-    :param store_answers: whether the store answers its calls.
+    :param store_answers: whether the store responds to its calls.
     :param store_lost: whether its calls to the store fail.
     :param strength: its capacity; see :attr:`NodeSettings.strength`.
     :param digest: :attr:`Members.digest` in its last heartbeat.
@@ -117,7 +117,7 @@
             self.stops_since = now
 
     def has_recent_heartbeat(self, now):
-        """Return whether the VM's heartbeats to this VM are recent."""
+        """Return whether this VM recently received a heartbeat of the VM."""
         return (
             self.last_heartbeat_at is not None
             and now - self.last_heartbeat_at <= self.silence_timeout
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -6,21 +6,21 @@
 from heathercleat.steering.process.membership.topology import Topology
 from heathercleat.version.hashing import rendezvous_weight
 
-#: Seconds between two checks after which this process counts as having been paused;
-#: more than the longest interval between two rounds of heartbeats.
+#: Seconds between two checks from which this process counts as having been paused;
+#: longer than the longest interval between two rounds of heartbeats.
 PAUSE_SECONDS = 1.5
-#: Seconds that a VM reported as dead by others has to refute it.
+#: Seconds within which a VM can refute a report of its death.
 REFUTE_SECONDS = 0.5
 #: Minimum strength of a VM that handles requests, as a fraction of its region's
 #: strongest VM; requests at much weaker VMs would be too slow.
 STRONG_SHARE = 0.5
-#: Minimum fraction of a region's strength that these VMs must have together; otherwise
-#: all VMs of the region handle requests.
+#: Minimum fraction of a region's strength that its strong VMs must have together;
+#: otherwise all VMs of the region handle requests.
 MIN_STRONG_TOTAL_SHARE = 0.4
 #: Seconds for which a VM whose heartbeats stopped is ignored even if others report it
-#: as live. Otherwise a broken link would make it join and leave all the time.
+#: as live. Otherwise a broken link would make the VM join and leave repeatedly.
 UNREACHABLE_SECONDS = 10.0
-#: Seconds after which a dead VM is removed.
+#: Seconds for which a dead VM is remembered.
 FORGET_SECONDS = 60.0
 
 
@@ -88,8 +88,7 @@
     def on_change(self, callback):
         """Call ``callback()`` when the VMs that may own targets change.
 
-        Other membership changes do not trigger it, since target owners need not be
-        recomputed then.
+        Other membership changes do not affect the owners of targets.
         """
         self._on_change.append(callback)
 
@@ -98,19 +97,25 @@
         return [member for member in self._live.values() if member.is_serving]
 
     def serving_or_stopping(self):
-        """Return the live VMs that may have clients, leaving ones included."""
+        """Return the live VMs that may have clients: serving or shutting down."""
         return [
             each for each in self._live.values() if each.is_serving or each.is_stopping
         ]
 
     def strong_serving(self):
-        """Return the serving VMs that lookups return and that own targets."""
+        """Return the strong VMs among the serving ones.
+
+        They own targets, and lookups return them. See :data:`STRONG_SHARE`.
+        """
         if self._strong_serving is None:
             self._strong_serving = list(_find_strong(self.serving()))
         return self._strong_serving
 
     def leaving(self):
-        """Return the leaving VMs that own targets if no VM is active."""
+        """Return the strong VMs among the leaving ones.
+
+        They own targets if no VM is serving.
+        """
         if self._leaving is None:
             live = self._live.values()
             leaving = [each for each in live if each.stage == Stage.LEAVING]
@@ -120,13 +125,16 @@
     def owners(self):
         """Return the VMs that own targets.
 
-        These are the active VMs or, if there are none, the leaving ones, so that
-        requests can still be handled.
+        These are the strong serving VMs or, if there are none, the strong leaving ones,
+        so that requests can still be handled.
         """
         return self.strong_serving() or self.leaving()
 
     def request_handling_vms(self):
-        """Return the VMs that handle requests: active ones and those shutting down."""
+        """Return the VMs that handle requests.
+
+        These are the strong serving VMs, and the strong ones among those shutting down.
+        """
         if self._request_handling_vms is None:
             self._request_handling_vms = self._find_request_handling_vms()
         return self._request_handling_vms
@@ -172,7 +180,7 @@
     def updates_to_send(self, interval):
         """Return the fields of each :class:`MemberUpdate` to pass on.
 
-        An empty list in a full mesh, where VMs do not depend on updates.
+        The list is empty in a full mesh, where VMs do not depend on updates.
 
         :param interval: see :meth:`PendingUpdates.names_to_send`.
         """
@@ -212,7 +220,7 @@
         return member
 
     def is_newer(self, vm, stamp):
-        """Return whether an update with a stamp is new or may need a refutation."""
+        """Return whether an update is new, or may have to be refuted by this VM."""
         member = self._members.get(vm)
         if member is self._own:
             return stamp >= member.stamp
@@ -244,7 +252,10 @@
             self._add_live(member)
 
     def update_live(self):
-        """Remove VMs that are silent or reported dead, and update the topology."""
+        """Update which VMs are live, and the topology.
+
+        Removes VMs without recent heartbeats and VMs reported as dead.
+        """
         now = self._clock.now()
         self._compensate_pause(now)
         self._live[self._own.vm] = self._own
@@ -287,7 +298,7 @@
         self._membership_changed()
 
     def _find_request_handling_vms(self):
-        """Return the active VMs and the strong ones that are shutting down."""
+        """Return the strong serving VMs and the strong ones that are shutting down."""
         strong = _find_strong(self.serving_or_stopping())
         stopping = (each for each in strong if each.is_stopping)
         return [*self.strong_serving(), *stopping]
@@ -311,8 +322,8 @@
     def _is_outdated(self, member, update):
         """Return whether a heartbeat is from an earlier process of a live VM.
 
-        Lower incarnations are accepted once the VM is not live, since they derive from
-        the wall clock, which may have been set back.
+        A lower incarnation is accepted once the VM is not live, since incarnations
+        derive from the wall clock, which may have been set back.
         """
         if member is None or update.incarnation >= member.incarnation:
             return False
@@ -321,9 +332,9 @@
     def _apply_own_stamp(self, member, own):
         """Apply the stamp in a VM's own heartbeat.
 
-        The update of a new process is not passed on, as it contacts all VMs itself. If
-        another VM reported it as dead with a higher stamp, that report is passed on to
-        it, so that it can refute it.
+        The update of a new process is not passed on, as the process contacts all VMs
+        itself. If another VM reported the VM as dead with a higher stamp, the report is
+        passed on, so that the VM can refute it.
         """
         if own.stamp > member.stamp:
             member.stamp = own.stamp
@@ -361,7 +372,7 @@
         self._membership_changed()
 
     def _update_topology(self):
-        """Update the topology; at most once per round, since changes come in bursts."""
+        """Update the topology; once per round, since changes occur in bursts."""
         self._topology_stale = False
         self.topology.update(self.live_others(), self.request_handling_vms())
 
@@ -382,7 +393,7 @@
         member.dead_at = None
         if member.reported_alive:
             member.unreachable_until = now + UNREACHABLE_SECONDS
-            # An expected exit does not indicate a failure of the domain.
+            # The exit of a stopping VM does not indicate a failure of the domain.
             if not member.is_stopping:
                 self.topology.suspect(member.failure_domain)
             member.reported_alive = False
--- a/src/heathercleat/steering/process/membership/pending_updates.py
+++ b/src/heathercleat/steering/process/membership/pending_updates.py
@@ -1,7 +1,8 @@
 """Member updates that this VM still has to pass on."""
 
-#: An update is sent for this many heartbeat intervals: at least twice to each partner.
-#: Lost datagrams do not matter, since every VM gets it from several partners.
+#: Number of heartbeat intervals for which an update is sent, so that each partner gets
+#: the update at least twice. Lost datagrams are tolerated, since every VM gets the
+#: update from several partners.
 SEND_HEARTBEATS = 2.5
 #: Maximum seconds between two heartbeats.
 MAX_INTERVAL_SECONDS = 2.0
@@ -20,7 +21,7 @@
         self._since = {}
 
     def add(self, vm):
-        """Add a VM, or start again if it was added before."""
+        """Add a VM; if it was added before, its update is sent again."""
         self._since.pop(vm, None)
         self._since[vm] = self._clock.now()
 
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -1,8 +1,8 @@
 """Selection of the VMs that monitor each other by heartbeats.
 
 In a small fleet, VMs that handle requests form a full mesh. In a large one, each VM
-monitors a fixed number of others by heartbeats, and learns of the rest
-through updates, so that the cost per VM does not grow with the fleet.
+monitors a fixed number of others by heartbeats, and learns of the rest through updates,
+so that the cost per VM does not grow with the fleet.
 """
 
 from heapq import nlargest
@@ -14,8 +14,8 @@
 MAX_MESH_SIZE = 18
 #: Maximum live VMs in a full mesh, including those that handle no requests.
 MAX_MESH_LIVE = 120
-#: VMs that a VM with requests monitors in its own region and in other regions. On
-#: average as many others monitor it.
+#: Number of VMs that a VM with requests monitors in its own region and in other
+#: regions. On average the same number of VMs monitor it.
 MONITORED_IN_REGION = 6
 MONITORED_OUTSIDE_REGION = 3
 #: The same for a VM that handles no requests, which only has to learn of changes.
@@ -24,7 +24,7 @@
 #: Additional VMs of a failure domain that are monitored after one of its VMs became
 #: silent, to detect quickly that a whole domain or region is lost.
 EXTRA_MONITORED_IN_DOMAIN = 30
-#: Seconds for which they stay monitored.
+#: Seconds for which these additional VMs are monitored.
 SUSPECT_SECONDS = 4.0
 #: Seconds for which VMs still exchange updates after the fleet became small enough for
 #: a full mesh.
@@ -54,8 +54,8 @@
     def sends_updates(self):
         """Return whether VMs exchange member updates.
 
-        They continue for a while after the fleet became small, since some lost VMs may
-        not be detected yet.
+        Updates are still exchanged for :data:`UPDATES_SECONDS` after the fleet became
+        small, since some lost VMs may not be detected yet.
         """
         return (
             not self._is_mesh or self._clock.now() < self._mesh_since + UPDATES_SECONDS
@@ -63,7 +63,7 @@
 
     @property
     def monitored(self):
-        """Return the names of the monitored VMs, which have to send heartbeats back."""
+        """Return the names of the monitored VMs; they are asked to send heartbeats."""
         return self._monitored_since.keys()
 
     def monitored_since(self, vm):
--- a/src/heathercleat/steering/process/metrics.py
+++ b/src/heathercleat/steering/process/metrics.py
@@ -2,6 +2,7 @@
 
 from bisect import bisect_left
 
+#: Upper bounds of the histogram buckets, in seconds.
 LATENCY_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.5, 0.75, 1.0, 2.0, 5.0)
 
 
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -64,14 +64,16 @@
 IDLE_TIMEOUT_SECONDS = 8.0
 #: Seconds between checks for freed slots and expired targets.
 MAINTENANCE_SECONDS = 0.05
-#: Seconds between checks for slow targets, expired suspects and idle connections.
+#: Seconds between checks that may be less frequent: for slow targets, expired suspects
+#: and idle connections.
 INFREQUENT_CHECK_SECONDS = 0.5
-#: Replaces ``MAINTENANCE_SECONDS`` on a VM without owned or missing targets.
+#: Used instead of ``MAINTENANCE_SECONDS`` without owned or missing targets.
 IDLE_MAINTENANCE_SECONDS = 0.25
+#: Seconds between two log lines with request counts.
 SUMMARY_SECONDS = 5.0
 #: Seconds before a failed loop is restarted.
 RESTART_DELAY_SECONDS = 0.05
-#: Seconds between checks whether a leaving VM has finished its requests.
+#: Seconds between checks whether all requests are done during a shutdown.
 SHUTDOWN_CHECK_SECONDS = 0.05
 
 
@@ -80,7 +82,7 @@
 
     :param settings: the :class:`NodeSettings`.
     :param metrics_port: port of the metrics page, or ``None``.
-    :param log_writer: counts dropped log lines; ``None`` if not known.
+    :param log_writer: counts dropped log lines; ``None`` if there is none.
     :param clock: a :class:`Clock`; the system clock by default.
     """
 
@@ -96,7 +98,7 @@
         self.retry_detector = RetryDetector()
         self.active_requests = ActiveRequests()
         self.body_memory = BodyMemory(settings.memory)
-        # In order of dependency.
+        # Each step uses the objects of earlier steps.
         self._build_state()
         self._build_store()
         self._build_gossip()
@@ -104,7 +106,7 @@
         self._build_listeners()
 
     def _build_state(self):
-        """Build the state of VMs, targets and requests."""
+        """Build the objects that hold the state of VMs, targets and requests."""
         settings, journal, clock = self._settings, self._journal, self.clock
         # Wall-clock time, used only to tell incarnations of this VM apart.
         incarnation = time_ns()
@@ -156,7 +158,7 @@
         self._suspects.on_quarantine(self._quarantines.enqueue)
 
     def _build_gossip(self):
-        """Build the gossip between VMs."""
+        """Build the exchange of heartbeats between VMs."""
         settings, journal, clock = self._settings, self._journal, self.clock
         composer = HeartbeatComposer(
             self._members,
@@ -243,7 +245,7 @@
         )
 
     def _build_listeners(self):
-        """Build the listeners and what they serve."""
+        """Build the listeners, the directory, the metrics and the request log."""
         settings, journal, clock = self._settings, self._journal, self.clock
         self._warm_connections = WarmConnections(
             self._peer_pool,
@@ -348,7 +350,7 @@
         )
 
     async def _run_maintenance(self):
-        """Run periodic maintenance."""
+        """Run periodic checks until cancelled."""
         next_infrequent_checks_at = 0.0
         while True:
             now = self.clock.now()
@@ -422,7 +424,7 @@
             await sleep(SHUTDOWN_CHECK_SECONDS)
 
     def _is_time_short(self, now):
-        """Return whether requests of some route may not complete before the exit."""
+        """Return whether there is too little time for the requests of some route."""
         routes = self._routing_table.routes if self._routing_table else ()
         return any(self.shutdown.is_time_short(route, now) for route in routes)
 
@@ -466,7 +468,7 @@
         return budget
 
     def _forget_reports(self):
-        """Drop the reports of forgotten VMs."""
+        """Drop the reports of VMs that are no longer members."""
         known = {member.vm for member in self._members.others()}
         self._capacity_reports.retain(known)
         self._held_slots.retain(known)
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -2,8 +2,8 @@
 
 A crash of a target is attributed to the request in progress there. Unless the request
 has had a complete response, the crash also counts against groups: the requests of its
-sender and, if the sender is unknown, those of all unknown senders on its route. So a
-caller cannot avoid the limits by changing its requests or its identity.
+sender and, if the sender is unknown, those of all unknown senders on its route. A
+caller therefore cannot avoid the limits by changing its requests or its identity.
 """
 
 from functools import lru_cache
@@ -11,22 +11,25 @@
 
 #: Prefixes of group keys; not hexadecimal, so distinct from keys of requests.
 SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX = "s", "t"
-#: As for the fingerprints of requests.
+#: Length in bytes of the digests in keys; equal to that of request fingerprints.
 DIGEST_BYTES = 8
-#: Most digests of routes to services to cache.
+#: Maximum number of cached route digests.
 MAX_CACHED_ROUTES = 1024
 
 
 class CrashPolicy:
-    """When requests of a key are refused, and for how long.
-
-    :param refusal_threshold: number of crashes from which requests are refused.
-    :param no_retry_threshold: number of crashes from which a request is no longer
-        retried at another target.
-    :param initial_refusal_seconds: seconds of refusal after that many crashes; doubles
-        with each further crash.
-    :param max_refusal_seconds: upper limit of the seconds of refusal.
-    :param retention_seconds: seconds after the last crash for which crashes count.
+    """Thresholds and durations of refusal for one kind of key.
+
+    The key is that of a request, of a sender or of all unknown senders of a route.
+
+    :param refusal_threshold: number of crashes at which requests are refused.
+    :param no_retry_threshold: number of crashes at which a request is no longer retried
+        at another target.
+    :param initial_refusal_seconds: seconds of refusal once ``refusal_threshold`` is
+        reached; doubles with each further crash.
+    :param max_refusal_seconds: maximum seconds of refusal.
+    :param retention_seconds: all crashes are forgotten this many seconds after the last
+        one.
     """
 
     __slots__ = (
@@ -64,9 +67,11 @@
 
 #: A request that crashes targets does so each time, and is refused for a day.
 REQUEST_POLICY = CrashPolicy(3, 2, 86_400.0, 86_400.0, 600.0)
-#: A sender may also send harmless requests: after each refusal one request may run.
+#: Short, since a sender may also send harmless requests: one request may run after each
+#: period of refusal.
 SENDER_POLICY = CrashPolicy(3, 3, 5.0, 300.0, 600.0)
-#: Mild, since unknown senders share only their route and include all new callers.
+#: Shorter, since unknown senders have only the route in common and include all new
+#: callers.
 UNKNOWN_SENDERS_POLICY = CrashPolicy(6, 6, 2.0, 30.0, 60.0)
 
 
@@ -82,12 +87,12 @@
 
 
 def is_group_key(key):
-    """Return whether a key is of a group, not of one request."""
+    """Return whether a key belongs to a group of requests and not to one request."""
     return key.startswith((SENDER_PREFIX, UNKNOWN_SENDERS_PREFIX))
 
 
 def is_unknown_senders_key(key):
-    """Return whether a key is of the unknown senders on a route."""
+    """Return whether a key belongs to the unknown senders of a route."""
     return key.startswith(UNKNOWN_SENDERS_PREFIX)
 
 
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -1,18 +1,19 @@
-"""Recent complete responses, which exempt requests and senders from crashes."""
+"""Recent complete responses, which exempt requests and groups from later crashes."""
 
 from collections import deque
 from typing import Protocol
 
-#: Seconds after a complete response in which a crash is not attributed to its request,
-#: since a frequent request is in progress at most targets that crash for other reasons.
-#: Short, since a request may start to crash targets that responded to it before.
+#: Seconds after a complete response in which a crash is not attributed to the request.
+#: A frequent request is in progress at most targets that crash for other reasons. The
+#: time is short, since a request may crash targets that responded to it before.
 EXEMPTION_SECONDS = 3.0
-#: Most credits of a key; equal to the number of crashes remembered of a group.
+#: Maximum number of credits of a key; equal to the number of crashes remembered of a
+#: group.
 MAX_CREDITS = 16
 
 
 class ResponseHistory(Protocol):
-    """Decides which crashes are exempted by complete responses."""
+    """Decides which crashes do not count because of complete responses."""
 
     def record(self, key, now):
         """Record a complete response to a request of a key."""
@@ -22,9 +23,9 @@
 
 
 class RecentResponses:
-    """Responses each of which exempts its key from all crashes for some seconds.
+    """Responses, each of which exempts its key from all crashes for some seconds.
 
-    :param max_keys: most keys to remember; the least recent is evicted.
+    :param max_keys: maximum number of keys; the least recent key is evicted.
     """
 
     __slots__ = ("_max_keys", "_instants")
@@ -54,9 +55,9 @@
 
 
 class ResponseCredits:
-    """Responses each of which exempts its key from a single crash.
+    """Responses, each of which exempts its key from a single crash.
 
-    :param max_keys: most keys to remember; the least recent is evicted.
+    :param max_keys: maximum number of keys; the least recent key is evicted.
     """
 
     __slots__ = ("_max_keys", "_credits")
@@ -75,7 +76,7 @@
             del self._credits[next(iter(self._credits))]
 
     def exempts_crash(self, key, now):
-        """Use up a recent response; return whether there was one."""
+        """Use up a recent response; return ``False`` if there was none."""
         credits = self._credits.get(key)
         if not credits:
             return False
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -7,7 +7,8 @@
 from heathercleat.steering.process.quarantine.suspects import QUARANTINE_SECONDS
 
 QUARANTINE_TABLE = "heathercleat-quarantines"
-#: Seconds after its end for which a row is kept; exceeds the clock skew of the VMs.
+#: Seconds for which a row is kept after its quarantine ended; longer than the clock
+#: skew between VMs.
 ROW_RETENTION_SECONDS = 3600.0
 
 
@@ -66,7 +67,7 @@
 def encode_quarantine(suspect, clock, vm=None):
     """Return the stored value of a quarantined :class:`Suspect`.
 
-    :param vm: name of this VM.
+    :param vm: name of this VM, for operators.
     """
     row = QuarantineRow(
         to_wall(clock, suspect.until),
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -6,9 +6,10 @@
 
 from heathercleat.steering.process.quarantine.policies import DIGEST_BYTES, policy_for
 
-#: Most crashes remembered of one suspect; well above the thresholds of the policies.
+#: Maximum number of crashes remembered of one suspect; well above the thresholds of
+#: the policies.
 MAX_CRASHES = 16
-#: Seconds in which the clearing of a group's crashes reaches all VMs.
+#: Seconds within which all VMs learn that the crashes of a group were cleared.
 CLEARED_RETENTION_SECONDS = 10.0
 
 
@@ -19,7 +20,7 @@
         :mod:`heathercleat.steering.request.fingerprint`, or key of a group.
     :param remaining: seconds until the suspect expires.
     :param ends: incarnation ids of the crashed targets.
-    :param cleared: those of them that no longer count.
+    :param cleared: the ids in ``ends`` whose crashes no longer count.
     """
 
     __slots__ = ("fingerprint", "remaining", "ends", "cleared")
@@ -70,15 +71,15 @@
 class Suspect:
     """A request, or a group of them, that crashed targets.
 
-    ``ends`` and ``cleared`` only grow, and are truncated in the same way at all VMs. So
-    VMs converge whatever the order of updates, and however often they are merged.
+    ``ends`` and ``cleared`` only grow, and all VMs truncate them in the same way. The
+    state of the VMs therefore converges for any order and number of updates.
 
     :param ends: incarnation ids of the crashed targets, the first known here first.
-    :param cleared: those of them that no longer count.
+    :param cleared: the ids in ``ends`` whose crashes no longer count.
     :param until: instant at which the suspect expires.
     :param seen_here: whether this VM detected one of the crashes.
-    :param route: name of the route of its requests, ``None`` unless seen here.
-    :param service: name of the service that ran them, ``None`` unless seen here.
+    :param route: name of the route of the requests; ``None`` unless ``seen_here``.
+    :param service: name of the service that ran them; ``None`` unless ``seen_here``.
     :param ended_at: instant at which this VM learned of the latest crash.
     """
 
@@ -110,17 +111,20 @@
 
     @property
     def earliest_crash(self):
-        """Return the first known crash that counts; there has to be one."""
+        """Return the incarnation id of the first known crash that counts.
+
+        At least one crash has to count.
+        """
         return next(each for each in self.ends if each not in self.cleared)
 
     @property
     def policy(self):
-        """Return the :class:`CrashPolicy` that applies to it."""
+        """Return the :class:`CrashPolicy` of the request or group."""
         return policy_for(self.fingerprint)
 
     @property
     def is_limited(self):
-        """Return whether it has enough crashes for its requests to be refused."""
+        """Return whether the number of crashes has reached the threshold of refusal."""
         return self.crash_count >= self.policy.refusal_threshold
 
     @property
@@ -130,17 +134,20 @@
 
     @property
     def retention_seconds(self):
-        """Return the most seconds for which a group is retained.
+        """Return the maximum seconds for which a group is retained.
 
-        A group without crashes that count, or a full one that is not limited, expires
-        soon: otherwise cleared crashes would keep new ones from being recorded.
+        A group without crashes that count expires soon, as does a full group that is
+        not limited. Otherwise no new crashes could be recorded.
         """
         is_over = not self.crash_count or (self.is_full and not self.is_limited)
         return CLEARED_RETENTION_SECONDS if is_over else self.policy.retention_seconds
 
     @property
     def refused_until(self):
-        """Return the instant until which its requests are refused, if it is limited."""
+        """Return the instant until which requests are refused.
+
+        Valid only if :attr:`is_limited` is true.
+        """
         if self.is_full:
             return self.until
         return min(
@@ -197,8 +204,8 @@
 def _digest(text):
     """Return 64 bits of a non-linear hash.
 
-    The XOR of linear hashes, such as a CRC, may be equal for names that differ in a
-    digit.
+    The XOR of linear hashes, such as CRCs, may be the same for different sets of names
+    that differ in a digit.
     """
     digest = blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big")
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -1,8 +1,8 @@
 """Requests that are refused because they crash targets.
 
 A *query of death* crashes each target that runs it, and retries carry it from one
-target to the next. So VMs gossip which requests crashed targets; after enough crashes
-all VMs refuse the request.
+target to the next. VMs therefore gossip which requests crashed targets, and refuse
+a request after enough crashes.
 """
 
 from itertools import islice
@@ -20,23 +20,23 @@
 )
 from heathercleat.steering.process.quarantine.suspect import Suspect
 
-#: Number of crashes from which a request is quarantined.
+#: Number of crashes at which a request is quarantined.
 CRASHES_TO_QUARANTINE = REQUEST_POLICY.refusal_threshold
-#: Seconds for which crashes count against a request, and for which it is quarantined;
-#: the latter is long, since running the request again may crash one more target.
+#: Seconds for which crashes count against a request, and for which a request is
+#: quarantined; the second is long, since another run may crash another target.
 SUSPICION_SECONDS = REQUEST_POLICY.retention_seconds
 QUARANTINE_SECONDS = REQUEST_POLICY.max_refusal_seconds
-#: Most requests and groups with complete responses, and most suspects, to remember.
+#: Maximum number of requests and of groups with complete responses, and of suspects.
 MAX_REQUESTS_WITH_RESPONSE = 8192
 MAX_GROUPS_WITH_RESPONSE = 1024
 MAX_SUSPECTS = 10_000
-#: Suspects in one heartbeat: the last changed, and a sample of the others.
+#: Maximum suspects in one heartbeat: the last changed, and a sample of the others.
 MAX_RECENT_UPDATES = 24
 MAX_SAMPLED_UPDATES = 8
-#: Most crashes in one heartbeat, so that it fits into a datagram.
+#: Maximum crashes in one heartbeat, so that the heartbeat fits into a datagram.
 MAX_CRASHES_PER_HEARTBEAT = 128
-#: A suspect with fewer seconds left is not gossiped, so that VMs do not learn again of
-#: one that they dropped.
+#: Minimum seconds until its expiry for which a suspect is gossiped. Otherwise VMs that
+#: already dropped the suspect would add it again.
 MIN_REMAINING_SECONDS = 5.0
 
 
@@ -84,8 +84,8 @@
     def on_quarantine(self, callback):
         """Call ``callback(suspect)`` when a request is quarantined.
 
-        Only if this VM detected one of its crashes; the last one may be known from
-        another VM.
+        Only requests of which this VM detected a crash are reported; this VM may have
+        learned of the other crashes from other VMs.
         """
         self._on_quarantine.append(callback)
 
@@ -111,7 +111,7 @@
         return fingerprint in self._request_responses
 
     def may_retry(self, key):
-        """Return whether a request may be retried at another target in one attempt."""
+        """Return whether a request may still be retried at another target."""
         suspect = self._get(key)
         return (
             suspect is None or suspect.crash_count < suspect.policy.no_retry_threshold
@@ -135,8 +135,8 @@
     def record_response(self, fingerprint):
         """Record a complete response of a target to a request.
 
-        It clears all crashes of the request or sender, but only one crash of the
-        unknown senders.
+        The response clears all crashes of the request or sender, but only one crash of
+        the unknown senders.
 
         :param fingerprint: fingerprint of the request, or key of its group.
         """
@@ -191,7 +191,7 @@
             self._drop(fingerprint)
 
     def _select_for_gossip(self):
-        """Yield the suspects to gossip: the last changed and a sample of the others."""
+        """Yield the last changed suspects and a sample of the others."""
         latest = list(islice(reversed(self._suspects.values()), MAX_RECENT_UPDATES))
         yield from latest
         other_count = len(self._suspects) - len(latest)
@@ -201,7 +201,8 @@
     def _merge(self, suspect, ends, cleared, seconds):
         """Merge crashes and cleared crashes into a suspect.
 
-        Only changes extend its retention; otherwise gossip would keep it forever.
+        Only changes extend the retention; otherwise gossip would retain the suspect
+        forever.
         """
         digest, was_limited = suspect.digest, suspect.is_limited
         change = suspect.add(ends, cleared)
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -1,7 +1,8 @@
 """Quarantines in the platform's store.
 
-Heartbeats spread suspects among VMs. The store covers the restart of all VMs and VMs
-that get no heartbeats. A few reader VMs follow the table and gossip its contents.
+VMs learn of suspects by heartbeats. The table keeps quarantines when all VMs restart,
+and reaches VMs that get no heartbeats. A few reader VMs follow the table and gossip its
+contents.
 """
 
 from collections import deque
@@ -22,10 +23,10 @@
 LONG_POLL_SECONDS = 25.0
 #: Seconds between checks whether this VM is a reader, and before the first one.
 READER_CHECK_SECONDS = 1.0
-#: Seconds before a retry after a failed call, and between two writes.
+#: Delay of a retry after a failed call, and interval between two writes, in seconds.
 RETRY_SECONDS = 2.0
 WRITE_SECONDS = 1.0
-#: Most quarantines queued for writing; the oldest is dropped.
+#: Maximum number of quarantines queued for writing; the oldest is dropped.
 MAX_PENDING_WRITES = 256
 
 
@@ -121,7 +122,7 @@
             await self._write_row(row.key, None)
 
     async def _write_row(self, fingerprint, value):
-        """Write a row, or delete it for ``None``; return whether the store did so."""
+        """Write a row, or delete it for ``None``; return ``False`` if this failed."""
         try:
             await self._writing.write(QUARANTINE_TABLE, fingerprint, value)
         except PlatformError as error:
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -2,7 +2,7 @@
 
 from heathercleat.events import Event
 
-#: Maximum detailed log lines per second; further ones are only counted.
+#: Maximum log lines for single requests per second; further lines are only counted.
 MAX_LINES_PER_SECOND = 40
 _SERVER_ERROR = 500
 
@@ -91,7 +91,7 @@
         seconds = now - call.arrived_at
         self._count(call.route.name, "abandoned", seconds)
         destination = call.destination
-        # Not rate limited: written once, when the process exits.
+        # Without a rate limit, since this happens only when the process exits.
         self._journal.write(
             Event.REQUEST_ABANDONED,
             request=call.id,
--- a/src/heathercleat/steering/process/retry_after.py
+++ b/src/heathercleat/steering/process/retry_after.py
@@ -2,7 +2,7 @@
 
 from random import uniform
 
-#: Part of a client's remaining time up to which it honours the advice.
+#: Maximum delay as a share of the client's remaining time; clients ignore longer ones.
 MAX_DELAY_SHARE = 0.3
 
 
@@ -11,7 +11,7 @@
 
     Jitter spreads the retries of clients that are refused together.
 
-    :param mean: seconds after which there is room, as far as is known.
+    :param mean: expected seconds until the request can be served.
     """
     longest = MAX_DELAY_SHARE * max(0.0, call.deadline - now)
     return now + min(longest, uniform(0.5, 1.5) * mean)
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -1,23 +1,23 @@
 """Detection of client retries by the client's remaining time.
 
-Clients send the time that they still wait, which is shorter for a retry than for a
-first attempt. First attempts of one route may differ, so the boundary is derived from
-the distribution of the waits and not from the longest one.
+Each request carries the time for which the client still waits; it is shorter for a
+retry than for a first attempt. The times of first attempts may differ, so the lowest
+one is derived from the distribution of the times on each route.
 """
 
 from collections import Counter
 
 #: Number of histogram buckets between zero and the longest wait of a route.
 BUCKETS = 40
-#: First attempts fill adjacent buckets. A bucket with less than this fraction of the
-#: fullest bucket's count is below them.
+#: First attempts fill adjacent buckets up to the highest one. The first bucket below
+#: them has less than this fraction of the fullest bucket's count.
 DENSE_SHARE = 0.25
 #: Requests after which all counts are halved, so that recent requests dominate.
 MAX_COUNTED = 400
 
 
 class RetryDetector:
-    """Learns for each route how long clients wait on their first attempt."""
+    """Estimates for each route how long clients wait on their first attempt."""
 
     __slots__ = ("_routes",)
 
@@ -27,7 +27,7 @@
     def elapsed(self, route, wait):
         """Return a lower bound of the seconds since the client's first attempt.
 
-        Zero for a first attempt. Also counts the request.
+        Zero for a first attempt. The request is added to the distribution.
 
         :param route: name of the route.
         :param wait: remaining seconds that the client waits.
@@ -52,7 +52,8 @@
     def count(self, wait):
         """Count the wait of one request, in seconds."""
         if wait > self._longest:
-            # Buckets are relative to the longest wait: older counts are misplaced now.
+            # Bucket bounds are relative to the longest wait, so older counts are
+            # invalid if it grows much.
             if wait > self._longest * (1 + 1 / BUCKETS):
                 self._counts.clear()
             self._longest = wait
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -6,17 +6,17 @@
 
 #: A deadline that never passes.
 NO_DEADLINE = float("inf")
-#: Seconds before the platform's kill at which a leaving process ends by itself.
+#: Seconds before the platform kills the process at which the process exits.
 KILL_MARGIN_SECONDS = 0.35
-#: Seconds before the exit at which ready responses are flushed without waiting for
-#: earlier requests of their connection. Long enough for a round trip.
+#: Seconds before the exit from which ready responses are sent without waiting for
+#: earlier requests of their connection; long enough for a round trip.
 FLUSH_SECONDS = 0.25
-#: Maximum fraction of the grace period that each of these margins may take.
+#: Maximum of each of these two margins, as a fraction of the grace period.
 MARGIN_SHARE = 1 / 12
 #: Seconds after the stop signal for which client connections are kept open, since
 #: clients with an old lookup result may still connect.
 KEEP_ALIVE_SECONDS = 2.5
-#: Expected seconds until the first of several VMs stopped together serves again.
+#: Expected seconds until the first VM serves again after all VMs were stopped together.
 RESTART_SECONDS = 1.0
 #: Reason in refusals of a VM that is shutting down.
 LEAVING_REASON = "the VM is leaving"
@@ -27,7 +27,7 @@
 
     :param after: seconds since the stop signal.
     :param needed: upper bound of the seconds that the request needs.
-    :param runs: number of past runs of its route and service behind that bound.
+    :param runs: number of past runs from which that bound was computed.
     """
 
     __slots__ = ("after", "needed", "runs")
@@ -72,7 +72,7 @@
 
     @property
     def ends_at(self):
-        """Return the instant at which the process exits; infinite before the stop."""
+        """Return the instant of the process exit; infinite before :meth:`begin`."""
         return self._ends_at
 
     @property
@@ -102,8 +102,8 @@
     def check(self, call, now):
         """Check that a request can still complete.
 
-        :raises RequestError: when it may not. The client may retry at once if another
-            VM serves, and otherwise after a delay.
+        :raises RequestError: if the request might not complete. The client may retry at
+            once if another VM is serving, and otherwise after a delay.
         """
         if self.is_too_late(call, now):
             mean = 0.0 if self._others_serve() else RESTART_SECONDS
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -10,29 +10,30 @@
 from heathercleat.steering.process.store.protocol import HistoryLostError
 from heathercleat.steering.process.store.table_copy import TableCopy
 
-#: Mean seconds between two calls of a reader while the store does not answer.
+#: Mean seconds between two calls of a reader while the store does not respond.
 RETRY_INTERVAL_SECONDS = 0.3
-#: Seconds between two calls of other VMs in that case; a reader tells them earlier.
+#: The same for VMs that are not readers; they usually learn of the store's return from
+#: a reader first.
 IDLE_RETRY_INTERVAL_SECONDS = 2.0
-#: Seconds after its first read until a VM knows the other VMs, and thus whether it is
-#: a reader.
+#: Seconds from a VM's first read until it knows the other VMs. Only then does it know
+#: whether it is a reader.
 SETTLE_SECONDS = 1.0
-#: Seconds for which a response shows that the store answers this VM; more than the
-#: longest time between two responses to a reader.
+#: Seconds after a response for which the store counts as available to this VM; longer
+#: than the longest time between two responses to a reader.
 RESPONSE_TTL_SECONDS = 2.5
-#: Seconds between two requests to other VMs while one of them has a newer change.
+#: Seconds between two fetches from other VMs while one of them has a newer change.
 PEER_INTERVAL_SECONDS = 0.1
 #: Maximum seconds between two checks for newer changes at other VMs.
 IDLE_PEER_INTERVAL_SECONDS = 0.5
 
 
 class Outage:
-    """A period in which the store does not answer this VM.
+    """A period in which the store does not respond to this VM.
 
-    :param began_at: instant at which it was detected.
+    :param began_at: instant at which the outage was detected.
     :param tried_at: start of the last failed call.
-    :param is_total: whether no other VM reported responses of the store at that time.
-        Only then may missing entries be due to targets that could not report.
+    :param is_total: whether the store responded to no other VM either. Only then may
+        entries be missing because targets could not report.
     """
 
     __slots__ = ("began_at", "tried_at", "is_total")
@@ -47,7 +48,7 @@
     """Keeps a copy of one table up to date.
 
     Some VMs, the readers, poll the store. The others fetch the table from a VM whose
-    heartbeat announces a newer change, which saves calls to the store.
+    heartbeat announces a newer change, to limit the number of calls to the store.
 
     :param table: name of the table.
     :param store: a :class:`Store` that only this follower uses.
@@ -60,8 +61,10 @@
         and the instant since which another VM has a newer one.
     :param newest: returns the newest change that another VM announced.
     :param is_reader: returns whether this VM is a reader.
-    :param is_store_answering_elsewhere: returns whether the store answers another VM.
-    :param lapsing: returns the seconds for which removed rows are still used, by key.
+    :param is_store_answering_elsewhere: returns whether the store responds to another
+        VM.
+    :param remaining_use_seconds: returns the seconds for which removed rows are still
+        used, by key.
     :param on_store_return: called at the end of an outage for all VMs, with the
         earliest instant at which the outage can have ended.
     """
@@ -104,7 +107,7 @@
         self._outage = None
         self._read_at = None
         self._retry_at = 0.0
-        # Instant until which this VM leaves reading to VMs that called more often.
+        # Instant until which this VM does not act as a reader.
         self._yields_until = 0.0
 
     @property
@@ -114,11 +117,11 @@
 
     @property
     def announced_change_version(self):
-        """Return the last change that this VM announces to others.
+        """Return the version of the last change, as announced to other VMs.
 
-        The version of the first read at the start is not announced, since it is higher
-        without being a change, and every VM would fetch the table. Readers announce it
-        after :data:`SETTLE_SECONDS`, in case nobody else can.
+        The version of the first read is not announced at once. It may be higher
+        although nothing changed, and every VM would fetch the table. Readers announce
+        it after :data:`SETTLE_SECONDS`, in case no other VM can.
         """
         if (
             self._announced_change_version < self.last_change_version
@@ -134,7 +137,7 @@
 
     @property
     def has_recent_response(self):
-        """Return whether the store recently answered a call of this VM."""
+        """Return whether the store recently responded to this VM."""
         if self.is_store_lost or self._read_at is None:
             return False
         return self._clock.now() <= self._read_at + RESPONSE_TTL_SECONDS
@@ -166,7 +169,8 @@
     async def _wait_for_peers(self):
         """Wait until the next check for newer changes at other VMs.
 
-        The wait is longer while none is known, to save wake-ups of an idle process.
+        The wait is longer while no newer change is known, so that an idle process wakes
+        up rarely.
         """
         if self.is_store_lost or self._update_behind_since():
             await sleep(PEER_INTERVAL_SECONDS)
@@ -185,8 +189,8 @@
     async def _read_and_watch_peers(self):
         """Make one call and return the seconds until the next one.
 
-        Also accept changes from other VMs meanwhile, since a call whose response is
-        lost takes until its timeout.
+        Changes from other VMs are fetched during the call, since a call whose response
+        is lost blocks until its timeout.
         """
         watch = await spawn(self._watch_peers)
         try:
@@ -195,7 +199,7 @@
             await watch.cancel()
 
     def _update_behind_since(self):
-        """Return whether another VM announced a newer change; record since when."""
+        """Record since when another VM has a newer change; return whether one does."""
         if self._newest_announced_version() <= self.last_change_version:
             self._behind_since = None
         elif self._behind_since is None:
@@ -229,14 +233,14 @@
             self._record_response()
             self._apply_whole(snapshot)
             return
-        # During an outage, a call that waits for changes would detect its end late.
+        # A call that waits for changes would detect the end of an outage late.
         wait = 0.0 if self.is_store_lost else self._wait
         is_probe = self.is_store_lost and not self._is_reader()
         changes = await self._store.follow(self._table, self._copy.version, wait)
         self._record_response()
         if is_probe:
-            # This VM calls rarely, so it cannot tell when the outage ended and for how
-            # long removed rows may still be used.
+            # This VM calls rarely and does not know when the outage ended. Readers call
+            # more often and know for how long removed rows may still be used.
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
         self._apply_changes(changes)
@@ -274,8 +278,8 @@
     def _apply_whole(self, snapshot):
         """Apply all rows of the table, as read from the store.
 
-        After a lost history the rows may include a change that no later response
-        contains, so the version is announced at once.
+        If the table was read again because the history was lost, the rows may include
+        a change that no later response contains, so the version is announced at once.
         """
         is_first, self._is_loaded = not self._copy.version, True
         if not self._copy.replace_all(snapshot):
@@ -318,10 +322,10 @@
         self._outage.is_total = is_total
 
     def _update_outage(self):
-        """Mark the outage as total if the store answers no VM any more.
+        """Mark the outage as total if the store no longer responds to any VM.
 
-        Checked between calls too, because other VMs still report responses for
-        :data:`RESPONSE_TTL_SECONDS` after an outage began.
+        This is also checked between calls, since other VMs still report that the store
+        responds for :data:`RESPONSE_TTL_SECONDS` after the start of an outage.
         """
         if self.is_store_lost and not self._is_store_answering_elsewhere():
             self._outage.is_total = True
--- a/src/heathercleat/steering/process/store/member_rows.py
+++ b/src/heathercleat/steering/process/store/member_rows.py
@@ -13,7 +13,7 @@
 
 
 def decode_member(row):
-    """Return the :class:`Member` of a row.
+    """Return the :class:`Member` that a row describes.
 
     :raises ValueError: when the row is malformed.
     """
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -21,10 +21,10 @@
 class Snapshot:
     """All rows of a table, or the rows that changed since some version.
 
-    :param version: the store version of the rows.
+    :param version: the version of the table that the snapshot reflects.
     :param last_change_version: the version of the last significant change.
-    :param lapsing: seconds for which the sending VM still uses removed rows, by key;
-        ``None`` if the snapshot is from the store.
+    :param remaining_use_seconds: seconds for which the sending VM still uses removed
+        rows, by key; ``None`` if the snapshot is from the store.
     :param is_whole: whether it has all rows of the table.
     """
 
@@ -61,7 +61,7 @@
 
 
 class Store(Protocol):
-    """A table service; each call raises ``PlatformError`` when it does not answer."""
+    """A table service; calls raise ``PlatformError`` if it does not respond."""
 
     async def read(self, table):
         """Return a :class:`Snapshot` of all rows of a table."""
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -11,7 +11,7 @@
 class Gap:
     """A range of versions skipped by reading the whole table again.
 
-    Rows that were added and removed within it are not known here.
+    Rows that were added and removed within the range are unknown.
 
     :param since: the version before the read.
     :param until: the version that was read.
@@ -31,9 +31,9 @@
 class TableCopy:
     """The rows of a table as of one version of the store.
 
-    It contains only what the store returned. VMs pass their copies on, so a removed row
-    that one of them kept would reappear permanently at others that already processed
-    its removal.
+    The copy contains only rows that the store returned. VMs fetch copies from each
+    other, so a removed row that one VM kept would reappear at VMs that already applied
+    its removal, and stay there.
     """
 
     __slots__ = (
@@ -75,7 +75,7 @@
     def replace_all(self, snapshot):
         """Replace all rows, unless the snapshot is older; return whether it was used.
 
-        It may be older if a newer one arrived from another VM during the call.
+        A snapshot is older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
             self._last_change_version = max(
@@ -97,8 +97,8 @@
     def merge_changes(self, snapshot):
         """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
-        Rows may be newer than the version of the table, which is read in pages, and
-        must not be overwritten by older changes.
+        The table is read in pages, so known rows may be newer than its version. Older
+        changes must not overwrite them.
         """
         new_rows = [each for each in snapshot.rows if self._merge_row(each)]
         self._version = max(self._version, snapshot.version)
@@ -124,9 +124,10 @@
     def changes_since(self, version, remaining_use_seconds):
         """Return a :class:`Snapshot` of the significant changes since a version.
 
-        It is whole if the version is 0 or removals since then may be unknown here.
+        The snapshot is whole if the version is 0, or if removals since then may be
+        unknown.
 
-        :param lapsing: see :class:`Snapshot`.
+        :param remaining_use_seconds: see :class:`Snapshot`.
         """
         if version < self._removals_since or not version or self._is_in_gap(version):
             return Snapshot(
@@ -175,7 +176,7 @@
         return True
 
     def _removed_at(self, key):
-        """Return the latest version at which a missing row is known to be missing."""
+        """Return the latest version at which the table is known not to have a row."""
         return max(self._removals_since, self._removals.get(key, 0))
 
     def _record_removal(self, key, version):
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -25,21 +25,23 @@
 MEMBER_TABLE = "heathercleat-members"
 #: Timeout of a call to the store in seconds, in addition to its wait for a change.
 STORE_TIMEOUT_SECONDS = 1.0
-#: Seconds for which calls wait for a change of the operators' table, which is rare.
+#: Seconds for which a call waits for a change of the operators' table; long, since
+#: changes are rare.
 OPERATOR_WAIT_SECONDS = 5.0
-#: The same for the targets' table, whose entries change at every heartbeat of a target.
+#: The same for the targets' table, which changes at every heartbeat of a target.
 TARGET_WAIT_SECONDS = 1.0
 #: Seconds between two calls for the targets' table, to limit their number.
 TARGET_PAUSE_SECONDS = 0.6
-#: The members' table is polled rarely: it is only needed for the first contact.
+#: The same two times for the members' table; it is polled rarely, since it is only
+#: needed for the first contact with other VMs.
 MEMBER_WAIT_SECONDS = 0.0
 MEMBER_PAUSE_SECONDS = 60.0
-#: Number of VMs that read the store, over all regions.
+#: Number of VMs in all regions together that read the store.
 READER_COUNT = 3
 #: Timeout for fetching a table from another VM, in seconds.
 PEER_FETCH_TIMEOUT_SECONDS = 0.5
-#: Seconds before a VM fetches a newer table from another failure domain of its region;
-#: meanwhile a VM of its own failure domain may get it.
+#: Delay before a VM fetches a newer table from another failure domain of its region, in
+#: seconds; meanwhile a VM of its own failure domain may get the table.
 REGION_DELAY_SECONDS = 0.15
 #: The same for fetching from another region, to limit traffic between regions.
 OTHER_REGION_DELAY_SECONDS = 0.5
@@ -97,12 +99,12 @@
 
     @property
     def is_store_answering(self):
-        """Return whether the store recently answered a call for targets."""
+        """Return whether the store recently responded to a call for targets."""
         return self.target_rows.has_recent_response
 
     @property
     def is_store_lost(self):
-        """Return whether the last call for targets or configuration failed."""
+        """Return whether the last call for targets or for operators' rows failed."""
         return self.operator_rows.is_store_lost or self.target_rows.is_store_lost
 
     def snapshot(self, table, after):
@@ -122,8 +124,8 @@
     async def follow_members(self):
         """Register this VM, then follow the members' table until cancelled.
 
-        Registering first ensures that of two VMs starting together, at least one sees
-        the other.
+        Since each VM registers before it reads the table, at least one of two VMs that
+        start together finds the other.
         """
         await self._register()
         await self.member_rows.run()
@@ -207,7 +209,7 @@
     def reads_member_table(self):
         """Return whether this VM keeps reading the members' table after its start.
 
-        In a large fleet only readers do; the others learn of new VMs by gossip.
+        In a large fleet only readers do so; other VMs learn of new VMs by gossip.
         """
         return self._members.topology.is_mesh or self.is_reader()
 
@@ -215,7 +217,10 @@
         return any(each.store_answers for each in self._members.live_others())
 
     def _apply_operator_rows(self, snapshot):
-        """Apply the whole operators' table; it is small, and removed rows matter."""
+        """Apply the operators' table.
+
+        All rows are decoded and not only the changed ones, since the table is small.
+        """
         changed = [row.key for row in snapshot.rows]
         if not snapshot.is_whole and not changed:
             return changed
@@ -301,7 +306,10 @@
         return snapshot
 
     def _fetch_delay(self, member):
-        """Return the seconds to wait for a nearer VM before fetching from one."""
+        """Return the seconds to wait before fetching from a VM.
+
+        The delay allows a nearer VM to get the table first.
+        """
         own = self._members.own
         if member.failure_domain == own.failure_domain:
             return 0.0
--- a/src/heathercleat/steering/process/warm_connections.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -7,6 +7,7 @@
 
 from heathercleat.connection.http import with_deadline
 
+#: Seconds between two checks for missing connections.
 CHECK_SECONDS = 0.25
 #: Maximum idle connections to each VM, and to all VMs together.
 MAX_IDLE_PER_VM = 4
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -167,7 +167,9 @@
 def test_unknown_senders_are_refused_together_and_known_senders_are_not(view):
     view.record_response(name=b"known")
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for number, incarnation in enumerate(INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold]):
+    for number, incarnation in enumerate(
+        INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold]
+    ):
         view.record_crash(incarnation, name=b"new-%d" % number)
     assert view.is_refused(b"another new one")
     assert view.is_refused()
@@ -198,7 +200,9 @@
 
 
 @pytest.mark.parametrize("crashes_per_second", [1, 10])
-def test_crashes_among_many_responses_to_unknown_senders_limit_nobody(view, crashes_per_second):
+def test_crashes_among_many_responses_to_unknown_senders_limit_nobody(
+    view, crashes_per_second
+):
     rng = random.Random(crashes_per_second)
     for number in range(600):
         view.clock.time += 0.02
@@ -443,7 +447,9 @@
 def _expiring_keys(view):
     """Return the keys of which a VM still knows what it does not tell any more."""
     min_expiry = view.clock.now() + MIN_REMAINING_SECONDS + 1.0
-    return {each.fingerprint for each in view.suspects.all() if each.until <= min_expiry}
+    return {
+        each.fingerprint for each in view.suspects.all() if each.until <= min_expiry
+    }
 
 
 LimitMachine.TestCase.settings = settings(
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -128,7 +128,9 @@
         self.spent = fleet.costs.minus(before)
         self.messages = self.spent.messages - idle.messages * seconds / SETTLE_SECONDS
         remaining = [vm for vm in fleet.vms.values() if vm.started_at < began]
-        self.rankings = [vm.owners.rankings - rankings_before[vm.name] for vm in remaining]
+        self.rankings = [
+            vm.owners.rankings - rankings_before[vm.name] for vm in remaining
+        ]
         self.stops = len(fleet.vms) - len(remaining)
 
 
@@ -163,13 +165,17 @@
     assert costs.spent.reads == costs.stops
     # A VM that stays sends a round more at most, and each partner what is told.
     assert costs.messages <= costs.stops * size * MAX_PARTNERS
-    max_updates = MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
+    max_updates = (
+        MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
+    )
     assert costs.spent.updates <= costs.stops * size * max_updates
     max_rankings = OWNER_CHANGES_PER_STOP * len(SERVICES) * TARGETS_OF_SERVICE
     assert max(costs.rankings, default=0) <= costs.stops * max_rankings
 
 
-@pytest.mark.parametrize(("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READER_COUNT)])
+@pytest.mark.parametrize(
+    ("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READER_COUNT)]
+)
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
     fleet = converged_fleet(size)
     tables = [tables_of(vm) for vm in fleet.vms.values()]
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -134,7 +134,9 @@
 def test_additions_and_removals_of_rows_are_followed():
     harness = FollowerHarness()
     harness.store.put("a", b"1")
-    harness.run_steps(lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None))
+    harness.run_steps(
+        lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None)
+    )
     assert harness.keys == ["b"]
     assert harness.follower.last_change_version == harness.store.version
 
@@ -256,7 +258,8 @@
     harness = FollowerHarness()
     harness.store.put("a", b"1")
     harness.run_steps(
-        lambda: setattr(harness, "is_significant", False), lambda: harness.store.put("a", b"2")
+        lambda: setattr(harness, "is_significant", False),
+        lambda: harness.store.put("a", b"2"),
     )
     assert harness.follower.last_change_version == 1
     assert harness.follower.snapshot().version == 2
@@ -275,7 +278,9 @@
 def test_row_that_was_added_again_is_sent_to_others():
     harness = FollowerHarness()
     harness.store.put("a", b"old")
-    harness.run_steps(lambda: harness.store.put("a", None), lambda: harness.store.put("a", b"new"))
+    harness.run_steps(
+        lambda: harness.store.put("a", None), lambda: harness.store.put("a", b"new")
+    )
     assert [row.value for row in harness.follower.snapshot().rows] == [b"new"]
 
 
@@ -387,7 +392,9 @@
         harness.store.put("old-7", None)
 
     versions = []
-    harness.run_steps(lambda: versions.append(harness.follower.last_change_version), change)
+    harness.run_steps(
+        lambda: versions.append(harness.follower.last_change_version), change
+    )
     delta = harness.follower.snapshot(versions[0])
     assert not delta.is_whole
     assert [(row.key, row.value) for row in delta.rows] == [
@@ -468,9 +475,7 @@
 
 
 @pytest.mark.parametrize(("reads", "keys"), [(False, ["a"]), (True, [])])
-def test_vm_that_probes_a_lost_store_leaves_its_changes_to_readers(
-    reads, keys
-):
+def test_vm_that_probes_a_lost_store_leaves_its_changes_to_readers(reads, keys):
     """A target whose entry lapsed in an outage was given up too early.
 
     The order of events: the store is away for all; a target's entry lapses; the store
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -38,7 +38,7 @@
     SimulatedVm,
     run_nonblocking,
 )
-from tests.steering_parts import Parts, make_heartbeat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 LEAVING, FINISHING = Stage.LEAVING, Stage.FINISHING
 TARGETS = [entry(f"t{number}") for number in range(8)]
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,6 +1,6 @@
 """Tests that each target has exactly one owner, as near and strong as possible."""
 
-from tests.steering_parts import Parts, make_heartbeat, entry
+from tests.steering_parts import Parts, entry, make_heartbeat
 
 TARGETS = [entry(f"t{number}") for number in range(8)]
 
@@ -31,7 +31,9 @@
     parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
     assert parts.owners.owner_of("t1") == "vm-1"
     assert parts.owners.owner_of("t2") is not None
-    parts.members.record_heartbeat(make_heartbeat("vm-3", domain="south-a", region="south"))
+    parts.members.record_heartbeat(
+        make_heartbeat("vm-3", domain="south-a", region="south")
+    )
     assert parts.owners.owner_of("t2") == "vm-3"
 
 
@@ -53,7 +55,9 @@
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=5))
     assert (
-        parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=4, serving=False))
+        parts.members.record_heartbeat(
+            make_heartbeat("vm-2", incarnation=4, serving=False)
+        )
         is None
     )
     assert parts.members.find_live("vm-2").is_serving
@@ -104,5 +108,8 @@
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=5))
     advance(parts, 2.0)
-    assert parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=3)) is not None
+    assert (
+        parts.members.record_heartbeat(make_heartbeat("vm-2", incarnation=3))
+        is not None
+    )
     assert parts.members.find_live("vm-2").incarnation == 3
