--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -66,7 +66,7 @@
         call.body = request.body
         # The latency objective counts from the first attempt of the client, so that
         # late requests leave the slots to those in time.
-        elapsed = self._node.retry_detector.elapsed(route.name, client.timeout)
+        elapsed = self._node.retry_detector.record_wait(route.name, client.timeout)
         call.soft_deadline = arrived_at + route.latency_objective - elapsed
         call.is_client_retry = elapsed > 0.0
         call.affinity = client.affinity
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -159,7 +159,7 @@
         """Return the loss rate that an owner reports, or ``None``."""
         return self._report(owner).loss_rates.get(service)
 
-    def record_full(self, target_id, owner, service, wait):
+    def record_no_free_slot(self, target_id, owner, service, wait):
         """Record that an owner had no free slot for a request.
 
         :param target_id: the target that was expected to have one, or ``None``.
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -32,7 +32,7 @@
         self._owners_by_target = {}
         self._previous_owners = {}
         self._assignments = {}
-        self._stale = True
+        self._is_stale = True
         registry.on_change(self._mark_stale)
         members.on_change(self._mark_stale)
         self._on_change = []
@@ -43,7 +43,7 @@
 
     def owner_of(self, target_id):
         """Return the name of the VM that owns a target, or ``None``."""
-        if self._stale:
+        if self._is_stale:
             self._rebuild()
         return self._owners_by_target.get(target_id)
 
@@ -53,18 +53,18 @@
 
     def owned(self):
         """Return the ids of the targets that this VM owns."""
-        if self._stale:
+        if self._is_stale:
             self._rebuild()
         own = self._members.own.vm
         return [target for target, vm in self._owners_by_target.items() if vm == own]
 
     def _mark_stale(self):
-        self._stale = True
+        self._is_stale = True
         for callback in self._on_change:
             callback()
 
     def _rebuild(self):
-        self._stale = False
+        self._is_stale = False
         owners = self._members.owners()
         previous, self._assignments = self._assignments, {}
         self._previous_owners, self._owners_by_target = self._owners_by_target, {}
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -1,4 +1,7 @@
-"""Mean loss rate of each region, from the reports of its VMs; see `loss_rates`."""
+"""Mean loss rate of the client requests of each region, as reported by its VMs.
+
+A refused request counts as a full loss, a late response as a partial one.
+"""
 
 #: Seconds for which the means are cached; shorter than the heartbeat interval.
 CACHE_TTL_SECONDS = 0.05
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -92,7 +92,7 @@
         """Return the instant until which a target is cold, or 0 if it is warm."""
         return self._cold_until.get(target_id, 0.0)
 
-    def store_returned(self, since):
+    def record_store_return(self, since):
         """Record the end of an outage of the store that affected all VMs.
 
         :param since: earliest instant at which the outage can have ended.
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -20,7 +20,7 @@
 #: Share of a region's targets that may run requests suspected of crashing targets.
 CONFINED_SHARE = 0.25
 #: Maximum number of affinity keys cached for each service and region.
-MAX_OBJECTS = 2048
+MAX_CACHED_AFFINITY_KEYS = 2048
 #: Affinity key by which targets for confined requests are selected.
 _CONFINED_KEY = "confined"
 
@@ -62,7 +62,7 @@
 
 
 class RegionSummary:
-    """Sums over the targets of a service in a region whose slots are known here.
+    """Sums over the targets of a service in a region whose slots this VM knows.
 
     :param targets: number of all targets, with known slots or not.
     :param idle: whether any target has :data:`IDLE_SHARE` of its slots free.
@@ -93,7 +93,7 @@
         "_ranked",
         "_confined",
         "_summary",
-        "_summary_until",
+        "_summary_expires_at",
     )
 
     def __init__(self, region, candidates):
@@ -103,13 +103,13 @@
         self._ranked = {}
         self._confined = None
         self._summary = None
-        self._summary_until = 0.0
+        self._summary_expires_at = 0.0
 
     def summary(self, now):
         """Return the :class:`RegionSummary`, which is cached briefly."""
-        if self._summary is None or now >= self._summary_until:
+        if self._summary is None or now >= self._summary_expires_at:
             self._summary = RegionSummary(self.candidates, now)
-            self._summary_until = now + SUMMARY_TTL_SECONDS
+            self._summary_expires_at = now + SUMMARY_TTL_SECONDS
         return self._summary
 
     @property
@@ -127,7 +127,7 @@
     def affinity_targets(self, affinity, count, usable, now):
         """Return the healthy candidates that rank first for an affinity key.
 
-        :param count: most candidates to return.
+        :param count: maximum number of candidates to return.
         :param usable: returns whether a candidate may be used.
         """
         ranked = self._rank_targets(affinity)
@@ -140,7 +140,7 @@
     def _rank_targets(self, affinity):
         ranked = self._ranked.get(affinity)
         if ranked is None:
-            if len(self._ranked) >= MAX_OBJECTS:
+            if len(self._ranked) >= MAX_CACHED_AFFINITY_KEYS:
                 self._ranked.clear()
             ranked = nlargest(
                 MAX_RANKED_TARGETS, self.candidates, key=_sort_key_for(affinity)
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -51,7 +51,7 @@
         self._keep_alive_until = keep_alive_until
         self._release_deadline = ends_at - RELEASE_MARGIN_SECONDS
 
-    def check(self, now, has_clients):
+    def release_if_due(self, now, has_clients):
         """Release all targets permanently if it is time to do so.
 
         :param has_clients: whether requests of this VM's own clients are in progress.
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -51,7 +51,7 @@
         self._leaving = None
         self._request_handling_vms = None
         self._owners = []
-        self._topology_stale = False
+        self._is_topology_stale = False
         self._digest = None
         self._checked_at = clock.now()
         self._on_change = []
@@ -264,7 +264,7 @@
             self._remove_live(member, now)
         if lost:
             self._membership_changed()
-        if self._topology_stale or self.topology.is_outdated():
+        if self._is_topology_stale or self.topology.is_outdated():
             self._update_topology()
         for member in self.others():
             self._remove_or_rejoin(member, now)
@@ -373,7 +373,7 @@
 
     def _update_topology(self):
         """Update the topology; once per round, since changes occur in bursts."""
-        self._topology_stale = False
+        self._is_topology_stale = False
         self.topology.update(self.live_others(), self.request_handling_vms())
 
     def _is_lost(self, member, now):
@@ -424,7 +424,7 @@
     def _membership_changed(self):
         """Invalidate what depends on the live VMs; run callbacks for new owners."""
         self._strong_serving = self._leaving = self._request_handling_vms = None
-        self._topology_stale = True
+        self._is_topology_stale = True
         owners = [(each.vm, each.ip) for each in self.owners()]
         if owners == self._owners:
             return
--- a/src/heathercleat/steering/process/membership/pending_updates.py
+++ b/src/heathercleat/steering/process/membership/pending_updates.py
@@ -13,17 +13,17 @@
 class PendingUpdates:
     """The names of the VMs with updates to pass on."""
 
-    __slots__ = ("_clock", "_since")
+    __slots__ = ("_clock", "_added_at")
 
     def __init__(self, clock):
         self._clock = clock
         # Instant at which each VM was added, earliest first.
-        self._since = {}
+        self._added_at = {}
 
     def add(self, vm):
         """Add a VM; if it was added before, its update is sent again."""
-        self._since.pop(vm, None)
-        self._since[vm] = self._clock.now()
+        self._added_at.pop(vm, None)
+        self._added_at[vm] = self._clock.now()
 
     def names_to_send(self, interval):
         """Return the names of the VMs to include in a heartbeat, latest first.
@@ -33,11 +33,11 @@
         now = self._clock.now()
         self._drop_before(now - SEND_HEARTBEATS * MAX_INTERVAL_SECONDS)
         since = now - SEND_HEARTBEATS * interval
-        names = [vm for vm, at in reversed(self._since.items()) if at > since]
+        names = [vm for vm, at in reversed(self._added_at.items()) if at > since]
         return names[:MAX_PER_HEARTBEAT]
 
     def _drop_before(self, instant):
-        for vm, at in list(self._since.items()):
+        for vm, at in list(self._added_at.items()):
             if at > instant:
                 return
-            del self._since[vm]
+            del self._added_at[vm]
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -363,8 +363,10 @@
             self._registry.expire()
             await self._admission.admit_all_queued()
             await self._gossip.notify()
-            has_work = self._ledger.all() or self._registry.remaining_use_seconds()
-            await sleep(MAINTENANCE_SECONDS if has_work else IDLE_MAINTENANCE_SECONDS)
+            has_targets = self._ledger.all() or self._registry.remaining_use_seconds()
+            await sleep(
+                MAINTENANCE_SECONDS if has_targets else IDLE_MAINTENANCE_SECONDS
+            )
 
     async def _log_summaries(self):
         while True:
@@ -415,7 +417,7 @@
                 self._listeners.close_idle()
             if self._is_busy():
                 last_busy_at = now
-            self._handover.check(now, self._listeners.is_busy)
+            self._handover.release_if_due(now, self._listeners.is_busy)
             is_done = (
                 now - last_busy_at >= QUIET_SECONDS and self._handover.has_released
             )
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -18,8 +18,8 @@
     def record(self, key, now):
         """Record a complete response to a request of a key."""
 
-    def exempts_crash(self, key, now):
-        """Return whether a crash reported now is not attributed to a key."""
+    def claim_exemption(self, key, now):
+        """Return whether a crash reported now is exempt; may use up a response."""
 
 
 class RecentResponses:
@@ -42,7 +42,7 @@
         if len(self._instants) > self._max_keys:
             del self._instants[next(iter(self._instants))]
 
-    def exempts_crash(self, key, now):
+    def claim_exemption(self, key, now):
         """Return whether the last response is recent."""
         responded_at = self._instants.get(key)
         return responded_at is not None and now - responded_at <= EXEMPTION_SECONDS
@@ -75,12 +75,12 @@
         if len(self._credits) > self._max_keys:
             del self._credits[next(iter(self._credits))]
 
-    def exempts_crash(self, key, now):
+    def claim_exemption(self, key, now):
         """Use up a recent response; return ``False`` if there was none."""
         credits = self._credits.get(key)
         if not credits:
             return False
-        return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(
+        return now - credits.popleft() <= EXEMPTION_SECONDS or self.claim_exemption(
             key, now
         )
 
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -125,7 +125,7 @@
         :param route: name of the request's route.
         :param service: name of the service that ran the request.
         """
-        if self._is_exempt(fingerprint):
+        if self._claim_exemption(fingerprint):
             return
         suspect = self._get(fingerprint) or Suspect(fingerprint)
         suspect.seen_here = True
@@ -167,7 +167,7 @@
         exempt = [
             incarnation_id
             for incarnation_id in new
-            if self._is_exempt(update.fingerprint)
+            if self._claim_exemption(update.fingerprint)
         ]
         cleared = [*update.cleared, *exempt]
         seconds = min(update.remaining, QUARANTINE_SECONDS)
@@ -245,8 +245,8 @@
             return None
         return suspect
 
-    def _is_exempt(self, fingerprint):
-        return self._history_for(fingerprint).exempts_crash(
+    def _claim_exemption(self, fingerprint):
+        return self._history_for(fingerprint).claim_exemption(
             fingerprint, self._clock.now()
         )
 
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -34,16 +34,18 @@
     """Writes the quarantines that this VM detected, and reads all of them.
 
     :param suspects: the :class:`Suspects`.
-    :param reading: a :class:`Store` for reading, one call at a time.
-    :param writing: another :class:`Store` for writing.
+    :param read_store: a :class:`Store` for reading, one call at a time.
+    :param write_store: another :class:`Store` for writing.
     :param is_reader: returns whether this VM is a reader of the store.
     :param vm: name of this VM.
     """
 
-    def __init__(self, suspects, reading, writing, is_reader, vm, journal, clock):
+    def __init__(
+        self, suspects, read_store, write_store, is_reader, vm, journal, clock
+    ):
         self._suspects = suspects
-        self._reading = reading
-        self._writing = writing
+        self._read_store = read_store
+        self._write_store = write_store
         self._is_reader = is_reader
         self._vm = vm
         self._journal = journal
@@ -92,7 +94,7 @@
             await sleep(RETRY_SECONDS)
             return
         except PlatformError as error:
-            self._log_failed(error)
+            self._log_failure(error)
             await sleep(RETRY_SECONDS)
             return
         self._version = snapshot.version
@@ -101,8 +103,8 @@
 
     async def _next_snapshot(self):
         if self._version is None:
-            return await self._reading.read(QUARANTINE_TABLE)
-        return await self._reading.follow(
+            return await self._read_store.read(QUARANTINE_TABLE)
+        return await self._read_store.follow(
             QUARANTINE_TABLE, self._version, LONG_POLL_SECONDS
         )
 
@@ -124,11 +126,11 @@
     async def _write_row(self, fingerprint, value):
         """Write a row, or delete it for ``None``; return ``False`` if this failed."""
         try:
-            await self._writing.write(QUARANTINE_TABLE, fingerprint, value)
+            await self._write_store.write(QUARANTINE_TABLE, fingerprint, value)
         except PlatformError as error:
-            self._log_failed(error)
+            self._log_failure(error)
             return False
         return True
 
-    def _log_failed(self, error):
+    def _log_failure(self, error):
         self._journal.write(Event.PLATFORM_FAILED, reason=str(error))
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -17,16 +17,16 @@
         self._metrics = metrics
         self._journal = journal
         self._clock = clock
-        self._window_ends = 0.0
-        self._lines = 0
-        self._omitted = 0
+        self._window_ends_at = 0.0
+        self._line_count = 0
+        self._omitted_count = 0
         self._counts = {}
 
-    def record_response(self, call, answer, now):
+    def record_response(self, call, response, now):
         """Record a request that got a response from a target."""
         seconds = now - call.arrived_at
         result = "late" if now > call.soft_deadline else "in_time"
-        if answer.status >= _SERVER_ERROR:
+        if response.status >= _SERVER_ERROR:
             result = "failed_at_target"
         self._count(call.route.name, result, seconds)
         if result != "in_time":
@@ -36,7 +36,7 @@
                 route=call.route.name,
                 service=call.service,
                 result=result,
-                status=answer.status,
+                status=response.status,
                 seconds=round(seconds, 4),
                 returned=call.is_client_retry,
                 client_wait=call.client_wait,
@@ -46,7 +46,7 @@
             )
 
     def record_refusal(self, call, error, now):
-        """Record a request that this system answered with an error.
+        """Record a request that this system refused or failed.
 
         :param call: ``None`` when the request could not be parsed.
         """
@@ -123,15 +123,15 @@
 
     def _write(self, event, **fields):
         now = self._clock.now()
-        if now >= self._window_ends:
-            if self._omitted:
-                self._journal.write(Event.LINES_LEFT_OUT, lines=self._omitted)
-            self._window_ends = now + 1.0
-            self._lines = self._omitted = 0
-        if self._lines >= MAX_LINES_PER_SECOND:
-            self._omitted += 1
+        if now >= self._window_ends_at:
+            if self._omitted_count:
+                self._journal.write(Event.LINES_LEFT_OUT, lines=self._omitted_count)
+            self._window_ends_at = now + 1.0
+            self._line_count = self._omitted_count = 0
+        if self._line_count >= MAX_LINES_PER_SECOND:
+            self._omitted_count += 1
             return
-        self._lines += 1
+        self._line_count += 1
         self._journal.write(event, **fields)
 
 
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -24,10 +24,10 @@
     def __init__(self):
         self._routes = {}
 
-    def elapsed(self, route, wait):
-        """Return a lower bound of the seconds since the client's first attempt.
+    def record_wait(self, route, wait):
+        """Record the wait of a request; return the time since the first attempt.
 
-        Zero for a first attempt. The request is added to the distribution.
+        The result is a lower bound in seconds, and 0 for a first attempt.
 
         :param route: name of the route.
         :param wait: remaining seconds that the client waits.
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -31,16 +31,16 @@
     """A period in which the store does not respond to this VM.
 
     :param began_at: instant at which the outage was detected.
-    :param tried_at: start of the last failed call.
+    :param last_attempt_at: start of the last failed call.
     :param is_total: whether the store responded to no other VM either. Only then may
         entries be missing because targets could not report.
     """
 
-    __slots__ = ("began_at", "tried_at", "is_total")
+    __slots__ = ("began_at", "last_attempt_at", "is_total")
 
     def __init__(self, began_at):
         self.began_at = began_at
-        self.tried_at = began_at
+        self.last_attempt_at = began_at
         self.is_total = False
 
 
@@ -56,10 +56,11 @@
     :param pause: mean seconds between two calls.
     :param apply: called with a :class:`Snapshot`; returns the keys of the rows with
         significant changes.
-    :param relay: a coroutine function that fetches a newer :class:`Snapshot` from
-        another VM, or returns ``None``. Its arguments are the last change known here
-        and the instant since which another VM has a newer one.
-    :param newest: returns the newest change that another VM announced.
+    :param fetch_newer: a coroutine function that fetches a newer :class:`Snapshot` from
+        another VM, or returns ``None``. Its arguments are the version of the last
+        change known to this VM and the instant since which another VM has a newer one.
+    :param newest_announced_version: returns the version of the newest change that
+        another VM announced.
     :param is_reader: returns whether this VM is a reader.
     :param is_store_answering_elsewhere: returns whether the store responds to another
         VM.
@@ -318,7 +319,7 @@
                 version=self._copy.version,
                 reason=str(error),
             )
-        self._outage.tried_at = began_at
+        self._outage.last_attempt_at = began_at
         self._outage.is_total = is_total
 
     def _update_outage(self):
@@ -342,4 +343,4 @@
             for_all=outage.is_total,
         )
         if outage.is_total:
-            self._on_store_return(outage.tried_at)
+            self._on_store_return(outage.last_attempt_at)
--- a/src/heathercleat/steering/process/store/rejected_rows.py
+++ b/src/heathercleat/steering/process/store/rejected_rows.py
@@ -16,24 +16,24 @@
     def __init__(self, journal, clock):
         self._journal = journal
         self._clock = clock
-        self._window_until = 0.0
-        self._lines = 0
-        self._omitted = 0
+        self._window_ends_at = 0.0
+        self._line_count = 0
+        self._omitted_count = 0
 
     def log(self, key, error):
         """Log a rejected row, or count it if the rate limit is reached."""
         now = self._clock.now()
-        if now >= self._window_until:
-            self._window_until = now + WINDOW_SECONDS
-            self._lines = 0
-        if self._lines >= MAX_LINES_PER_WINDOW:
-            self._omitted += 1
+        if now >= self._window_ends_at:
+            self._window_ends_at = now + WINDOW_SECONDS
+            self._line_count = 0
+        if self._line_count >= MAX_LINES_PER_WINDOW:
+            self._omitted_count += 1
             return
-        self._lines += 1
+        self._line_count += 1
         self._journal.write(
             Event.ROW_REJECTED,
             key=key[:_MAX_SHOWN_CHARS],
             reason=str(error)[:_MAX_SHOWN_CHARS],
-            left_out=self._omitted,
+            left_out=self._omitted_count,
         )
-        self._omitted = 0
+        self._omitted_count = 0
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -85,7 +85,7 @@
             lambda member: member.target_version,
             lambda: members.newest_target_version,
             remaining_use_seconds=registry.remaining_use_seconds,
-            on_store_return=registry.store_returned,
+            on_store_return=registry.record_store_return,
         )
         self.member_rows = self._follow(
             MEMBER_TABLE,
@@ -325,11 +325,11 @@
         message = Message(path=state_path(table, after))
         is_complete = False
         try:
-            answer = await exchange(stream, message, MAX_SNAPSHOT_BYTES)
+            response = await exchange(stream, message, MAX_SNAPSHOT_BYTES)
             is_complete = True
         finally:
             if is_complete:
                 await self._pool.checkin(ip, port, stream)
             else:
                 await self._pool.discard(ip, port, stream)
-        return unpack_state(answer.body)
+        return unpack_state(response.body)
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -69,6 +69,6 @@
 
         :param wait: its estimated wait in seconds, or ``None``.
         """
-        self._capacity_reports.record_full(
+        self._capacity_reports.record_no_free_slot(
             destination.target, destination.vm, call.service, wait
         )
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -179,7 +179,7 @@
             clock.time += 0.05
             for other in self.parts.members.live_others():
                 other.last_heartbeat_at = clock.time
-            self.handover.check(clock.time, has_clients)
+            self.handover.release_if_due(clock.time, has_clients)
         return self.handover.has_released
 
 
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -137,7 +137,9 @@
         self.is_store_down = False
         self.returned_at = self.clock.now()
         for vm in noticed_by:
-            self.vms[vm].registry.store_returned(self.returned_at - since_last_attempt)
+            self.vms[vm].registry.record_store_return(
+                self.returned_at - since_last_attempt
+            )
 
     @rule(steps=st.integers(1, 30))
     def wait(self, steps):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -86,10 +86,10 @@
 
 def test_retry_is_detected_by_its_remaining_time():
     detector = RetryDetector()
-    assert detector.elapsed("r1", 1.2) == 0.0
-    assert 0.2 < detector.elapsed("r1", 0.9) <= 0.3
-    assert detector.elapsed("r1", 1.2) == 0.0
-    assert detector.elapsed("r2", 0.9) == 0.0
+    assert detector.record_wait("r1", 1.2) == 0.0
+    assert 0.2 < detector.record_wait("r1", 0.9) <= 0.3
+    assert detector.record_wait("r1", 1.2) == 0.0
+    assert detector.record_wait("r2", 0.9) == 0.0
 
 
 @pytest.mark.parametrize("spread", [0.0, 0.15])
@@ -101,10 +101,10 @@
         return 4.0 * (1.0 - spread * random.random())
 
     for _ in range(100):
-        detector.elapsed("r1", first())
-    retries = sum(detector.elapsed("r1", first()) > 0.0 for _ in range(1000))
+        detector.record_wait("r1", first())
+    retries = sum(detector.record_wait("r1", first()) > 0.0 for _ in range(1000))
     assert retries <= 10
-    retry_times = [detector.elapsed("r1", first() - 0.8) for _ in range(300)]
+    retry_times = [detector.record_wait("r1", first() - 0.8) for _ in range(300)]
     assert sum(each > 0.0 for each in retry_times) >= 270
     assert max(retry_times) <= 0.8
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -32,7 +32,7 @@
 
 def end_store_outage(parts):
     """Report the end of a store outage that affected all VMs."""
-    parts.registry.store_returned(parts.clock.now())
+    parts.registry.record_store_return(parts.clock.now())
 
 
 def test_entry_removed_in_a_store_outage_is_kept_until_it_returns():
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -7,7 +7,7 @@
     RegionLossRates,
 )
 from heathercleat.steering.process.capacity.view import (
-    MAX_OBJECTS,
+    MAX_CACHED_AFFINITY_KEYS,
     MAX_RANKED_TARGETS,
     SUMMARY_TTL_SECONDS,
     RegionTargets,
@@ -94,7 +94,7 @@
     setup = ViewSetup()
     (remote_target,) = setup.region("south").candidates
     setup.report(2)
-    setup.reports.record_full("far", "vm-3", "s1", 0.4)
+    setup.reports.record_no_free_slot("far", "vm-3", "s1", 0.4)
     assert remote_target.capacity.free(setup.now) == 0
     assert setup.reports.wait_estimate("vm-3", "s1").on_time == 0.4
 
@@ -189,7 +189,7 @@
 
 def test_number_of_remembered_objects_is_bounded():
     region = ViewSetup().region("north")
-    for each in range(MAX_OBJECTS + 1):
+    for each in range(MAX_CACHED_AFFINITY_KEYS + 1):
         region.affinity_targets(f"/{each}", 1, ANY, 0.0)
     assert len(region._ranked) == 1
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -832,7 +832,7 @@
     Mutation(
         "CONTAINED-responses",
         f"{STEERING}/process/quarantine/responses.py",
-        "return now - credits.popleft() <= EXEMPTION_SECONDS or self.exempts_crash(\n"
+        "return now - credits.popleft() <= EXEMPTION_SECONDS or self.claim_exemption(\n"
         "            key, now\n        )",
         "return False",
         "tests/test_containment.py",
