--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -201,19 +201,19 @@
         membership = Membership(vm, links, clock)
         for number in range(2, size + 1):
             record = MemberRecord(f"north-a-{number}", "10.0.0.1", "north-a", 1, "live")
-            membership.record(record)
+            membership.apply_record(record)
         heartbeat = Heartbeat("north-a-2", 1, 1, 0, 0, 0)
         fits.add("heartbeat: message", "bytes", size, len(encode(heartbeat)))
         view = len(encode(ViewExchange(membership.records())))
         fits.add("view exchange: message", "KB", size, view / 1e3)
         clock.time += SETTLE_SECONDS
         membership.record_tick()
-        assert size == len(membership.running()) + 1
+        assert size == len(membership.other_running_members()) + 1
         seconds = mean_cpu_seconds(
             partial(membership.record_heartbeat, heartbeat), 2000
         )
         fits.add("heartbeat: taken", "us", size, seconds * 1e6)
-        seconds = mean_cpu_seconds(membership.may_act, 2000)
+        seconds = mean_cpu_seconds(membership.may_act_as_home, 2000)
         fits.add("right to act: checked", "us", size, seconds * 1e6)
 
         heartbeats = Heartbeats(vm, membership, links, clock)
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -39,7 +39,7 @@
 from heathercleat.request.lookup import answer_lookup
 from heathercleat.request.proxying import proxy_request
 from heathercleat.request.ticket import read_ticket
-from heathercleat.version.text import Semantics
+from heathercleat.version.text import DeliverySemantics
 
 LOOKUP_PATH = "/lookup"
 #: Longest time between two requests on a connection.
@@ -127,7 +127,7 @@
             name: values[0] for name, values in parse_qs(urlsplit(path).query).items()
         }
         if self._vm.text is not None:
-            await self._vm.readiness.wait_first_round()
+            await self._vm.readiness.wait_for_first_poll()
         response = answer_lookup(self._vm, query, self._caller)
         self._vm.metrics.count_lookup(response["service"])
         max_age = max(0, int(response["expires_at"] - self._vm.clock.wall()))
@@ -209,11 +209,14 @@
 
     async def _serve_call(self, call):
         with self._vm.observer.observing(call) as observed:
-            if call.kind.semantics is not Semantics.UPLOAD:
+            if call.kind.semantics is not DeliverySemantics.UPLOAD:
                 call.body = await self._read_body(call)
             else:
                 self._check_length(call)
-            if call.kind.semantics is Semantics.AT_MOST_ONCE and call.lease_id is None:
+            if (
+                call.kind.semantics is DeliverySemantics.AT_MOST_ONCE
+                and call.lease_id is None
+            ):
                 await self._send_outcome(call, await run_at_most_once(self._vm, call))
             else:
                 await proxy_request(self._vm, call, self._close_header())
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -133,9 +133,9 @@
             {
                 "id": drain.id,
                 "scope": drain.scope.value,
-                "name": drain.name,
-                "at": drain.at,
-                "until": drain.until,
+                "name": drain.drained_name,
+                "at": drain.starts_at,
+                "until": drain.cancelled_at,
                 "in_force": drain.in_force(now),
             }
             for drain in (self._vm.text.drains.values() if self._vm.text else ())
@@ -166,10 +166,10 @@
             for entry in headroom_after(text, drain, now)
         ]
         if call.get("dry_run"):
-            return {"headroom": headroom, "at": drain.at}
+            return {"headroom": headroom, "at": drain.starts_at}
         document = plan_drain(current, drain, now)
         result = await self._edit(call, base, document)
-        return {"headroom": headroom, "at": drain.at, **result}
+        return {"headroom": headroom, "at": drain.starts_at, **result}
 
     async def _cancel(self, query, body):
         call = loads(body)
--- a/src/heathercleat/process/__init__.py
+++ b/src/heathercleat/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one process."""
+"""The daemon of an entry VM: its state, background loops and listeners."""
--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -1,8 +1,9 @@
 """Claims of at-most-once requests in the platform's table.
 
 A process writes a claim before it runs a request, on condition that the row is missing.
-A VM that has to find out whether a lost process ran a key writes a closing row on the
-same condition, so exactly one of them succeeds. Concurrent writes share a transaction.
+A VM that has to find out whether an unreachable process ran a request writes a closing
+row on the same condition, so exactly one of the two writes succeeds. Concurrent writes
+share a transaction.
 """
 
 from collections import deque
@@ -18,8 +19,11 @@
 from heathercleat.process.configuration.platform import ABSENT, Condition, Write
 from heathercleat.request.call import Outcome
 
+#: Seconds for which the first write of a batch waits for others.
 BATCH_WAIT_SECONDS = 0.003
-MAX_BATCH = 64
+#: Maximum number of writes in a transaction.
+MAX_BATCH_WRITES = 64
+#: Tickets that expire within the same period of this length share a bucket.
 BUCKET_SECONDS = 3600
 #: Zero-padded width of a bucket in a key, so that keys sort by time.
 BUCKET_DIGITS = 8
@@ -40,7 +44,8 @@
 class ClaimRow:
     """A claim row.
 
-    ``writer`` is the process that wrote it; ``outcome`` is ``None`` until it is known.
+    ``writer`` is the id of the process that wrote the row. ``outcome`` is ``None``
+    until the state is ``DONE``.
     """
 
     state: RowState
@@ -52,7 +57,7 @@
 class PendingWrite:
     """A queued write of a row, on condition that the row is at ``version``.
 
-    ``done`` is set after the transaction, together with ``conflict`` or ``error``.
+    ``done`` is set after the transaction, once ``conflict`` or ``error`` is known.
     """
 
     key: str
@@ -123,7 +128,7 @@
                 await self._write_batch(batch)
 
     def _next_batch(self):
-        return range(min(MAX_BATCH, len(self._pending)))
+        return range(min(MAX_BATCH_WRITES, len(self._pending)))
 
     async def _insert(self, ticket, key, state):
         row_key = _row_key(ticket, key)
--- a/src/heathercleat/process/at_most_once/deduplication.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -10,8 +10,8 @@
 
 #: Seconds for which an outcome is kept after its ticket has expired.
 RETENTION_SECONDS = 600.0
-#: Seconds after its expiry during which the outcomes of a ticket are reported. This is
-#: shorter than the retention to allow for clock skew and adjustments.
+#: Seconds after the expiry of a ticket during which its outcomes are reported; shorter
+#: than the retention to allow for clock skew and adjustments.
 MAX_REPORTED_AGE_SECONDS = 300.0
 MAX_ENTRIES = 100_000
 
@@ -19,8 +19,8 @@
 class EntryState(Enum):
     """The state of a ticket and key.
 
-    ``CLOSED`` means that it will never run; ``GONE`` that the process that could tell
-    is unreachable or has exited.
+    ``CLOSED`` means that the request will never run, ``GONE`` that the process named in
+    the ticket is unreachable or has exited.
     """
 
     RUNNING = "running"
@@ -43,7 +43,7 @@
     keep_until: float
     state: EntryState = EntryState.RUNNING
     outcome: object = None
-    claimed: bool = False
+    is_claimed: bool = False
     finished: Signal = field(default_factory=Signal)
 
 
@@ -62,7 +62,7 @@
         """Start a run, or return the entry of an earlier run.
 
         :param digest: digest of the request, to reject a key reused for another one.
-        :return: ``(entry, first)``; the request must run only if ``first`` is true.
+        :return: ``(entry, is_first)``; the request must run only if ``is_first``.
         :raises RequestError: if the request must not run.
         """
         now = self._clock.wall()
@@ -87,7 +87,7 @@
         return known, False
 
     async def finish(self, entry, state, outcome=None):
-        """Record the end of a run and wake the repeats that wait for it."""
+        """Record the end of a run and wake the client retries that wait for it."""
         entry.state = state
         entry.outcome = outcome
         await entry.finished.set()
@@ -96,7 +96,7 @@
         """Return the entry of a key, closing it permanently if it has not run.
 
         :param expires_at: expiry of the ticket, in epoch seconds.
-        :raises RequestError: if the ticket is too old to know its outcomes.
+        :raises RequestError: if the outcomes of the ticket are no longer kept.
         """
         entry = self._entries.get((ticket_id, key))
         if entry is None:
--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -77,7 +77,7 @@
         old = [row for row in rows if bucket_end(row.key) + RETENTION_SECONDS <= now]
         if not old:
             return 0
-        # If a row changes meanwhile, the batch is left for the next sweep.
+        # If a row changes meanwhile, nothing is removed until the next sweep.
         commit = await self._platform.transact(
             [Condition(row.key, row.version) for row in old],
             [Write(row.key, None) for row in old],
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -22,8 +22,8 @@
 from heathercleat.events import Event
 from heathercleat.process.capacity.queue import ServiceQueue, Waiter
 
-#: Expected wait while there is no local slot; a lease may still provide one.
-UNBOUNDED_WAIT = float("inf")
+#: Expected wait in seconds while there is no local slot; a lease may still provide one.
+UNBOUNDED_WAIT_SECONDS = float("inf")
 QUEUE_INTERVAL_SECONDS = 0.02
 #: Minimum of the mean delay after which a refused caller may retry, in seconds.
 MIN_RETRY_DELAY_SECONDS = 1.0
@@ -53,7 +53,8 @@
 
     :param ledger: the slots of the targets whose home is this VM.
     :param holder: the leases that this VM holds.
-    :param membership: whether this VM may act as a home.
+    :param membership: the :class:`Membership`, which knows whether this VM may act as a
+        home.
     :param health: the health of the targets in ``ledger``.
     :param stalls: the :class:`Stalls` of this process.
     """
@@ -104,7 +105,7 @@
 
         :return: the permit, or ``None`` if the lease has expired or has no free slot.
         """
-        if not self._membership.may_act():
+        if not self._membership.may_act_as_home():
             return None
         use = self._ledger.claim_leased(lease_id, deadline)
         if use is None:
@@ -145,8 +146,8 @@
     async def run(self):
         """Serve the queues periodically.
 
-        A slot also becomes free when a hold or a lease expires or a target warms up,
-        which triggers no call.
+        Slots also become free when a hold or a lease expires or a target warms up, and
+        no callback reports that.
         """
         while True:
             busy_queues = [each for each in self._queues.items() if each[1].waiters]
@@ -173,14 +174,15 @@
     def _would_time_out(self, queue, service, max_wait):
         """Return whether a new last waiter would time out in the queue.
 
-        Unless a search for leases found too few slots, more leases may be granted.
+        It is false while more leases may be granted: no search for leases has fallen
+        short since the queue was last empty.
         """
         if self._holder.last_shortfall_at(service.name) < queue.last_empty_at:
             return False
-        return max_wait < self._wait_with_leases(service) < UNBOUNDED_WAIT
+        return max_wait < self._wait_with_leases(service) < UNBOUNDED_WAIT_SECONDS
 
     def _local_slots(self, service):
-        if not self._membership.may_act():
+        if not self._membership.may_act_as_home():
             return 0
         now = self._clock.now()
         return sum(
@@ -195,7 +197,7 @@
     def _estimate_wait(self, service, slots):
         queue = self._queue(service.name)
         if not slots:
-            return UNBOUNDED_WAIT
+            return UNBOUNDED_WAIT_SECONDS
         return (len(queue.waiters) + 1) * queue.mean_hold_seconds / slots
 
     def _try_claim(self, request, avoid, max_round_trip):
@@ -226,7 +228,7 @@
         return self._claim(min(entries, key=self._health.cost, default=None), request)
 
     def _free_entries(self, request, avoid):
-        if not self._membership.may_act():
+        if not self._membership.may_act_as_home():
             return []
         now = self._clock.now()
         return [
@@ -263,7 +265,7 @@
             await self._request_leases(queue, waiter)
             await self._wait_until(waiter, give_up_at)
             if waiter.permit is None and not waiter.evicted:
-                # A stall of this process may have used up the time to wait.
+                # A slot may have become free while this process was stalled.
                 await self.admit_queued(request.service.name)
         except BaseException:
             await self._cancel_waiter(queue, waiter)
@@ -317,7 +319,7 @@
         return True
 
     def _claim_slow_or_refuse(self, waiter, reason):
-        """Return a permit for a slow target.
+        """Return a permit for a slow target that can respond in time.
 
         :param reason: logged as the reason of the refusal.
         :raises RequestError: if no slow target is usable.
@@ -342,7 +344,9 @@
 
     def _refusal(self, request, reason):
         wait = self.expected_wait(request.service)
-        mean = max(MIN_RETRY_DELAY_SECONDS, 0.0 if wait == UNBOUNDED_WAIT else wait)
+        mean = max(
+            MIN_RETRY_DELAY_SECONDS, 0.0 if wait == UNBOUNDED_WAIT_SECONDS else wait
+        )
         retry_at = self._clock.wall() + uniform(0.5 * mean, 1.5 * mean)
         self._vm.journal.write(
             Event.ROUTE_REFUSED,
@@ -376,7 +380,7 @@
                 target=lease.target,
                 through=lease.granter,
                 domain=lease.failure_domain,
-                distance=lease.distance,
+                distance=lease.latency,
                 in_use=lease.in_use,
                 slots=lease.slots,
                 **common,
@@ -399,4 +403,4 @@
 
     @staticmethod
     def _round_wait(seconds):
-        return None if seconds == UNBOUNDED_WAIT else round(seconds, 4)
+        return None if seconds == UNBOUNDED_WAIT_SECONDS else round(seconds, 4)
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -74,7 +74,7 @@
     def _build(self, service, domain, avoided):
         """Yield the best failure domains that have entry VMs.
 
-        Those without targets come last.
+        Failure domains without targets of the service come last.
         """
         ranking = DomainRanking(self._vm.text, self._clock.wall(), avoided)
         count = 0
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -24,6 +24,7 @@
 MAX_FAILURES = 3
 INITIAL_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 30.0
+#: Weight of a new observation in the moving average of the latency.
 LATENCY_WEIGHT = 0.1
 PROBE_INTERVAL_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 1.0
@@ -80,7 +81,7 @@
         return health
 
     def cost(self, entry):
-        """Return the relative cost of a request; the cheapest free target is used."""
+        """Return the relative cost of a request to a target; lower is preferred."""
         limit = max(1, entry.target.limit)
         load = (entry.used(self._clock.now()) + 1) / limit
         return load * (self.health_of(entry.target.name).latency + 0.001)
@@ -99,7 +100,7 @@
         health = self.health_of(entry.target.name)
         if not health.is_slow:
             return False
-        # The other targets may have become as slow since its last response.
+        # Since the last response of this target, the others may have become as slow.
         threshold = self._slow_threshold(entry.target)
         return threshold is not None and health.latency > threshold
 
@@ -132,12 +133,12 @@
             return
         if reason == "status" and not self._may_eject(target):
             return
-        length = min(
+        ejection_seconds = min(
             MAX_EJECTION_SECONDS, INITIAL_EJECTION_SECONDS * 2**health.ejections
         )
         health.ejections += 1
         health.failures = 0
-        health.ejected_until = now + uniform(0.8, 1.2) * length
+        health.ejected_until = now + uniform(0.8, 1.2) * ejection_seconds
         self._vm.journal.write(
             Event.TARGET_EJECTED,
             target=target.name,
@@ -176,7 +177,7 @@
         if threshold is None:
             health.is_slow = False
         elif health.is_slow and seconds <= threshold:
-            # The earlier latency is outdated.
+            # Discard the moving average of the time when the target was slow.
             health.is_slow, health.latency = False, seconds
             entry = self._ledger.targets.get(target.name)
             if entry is not None:
@@ -231,7 +232,7 @@
         if entry.block_reason == reason:
             return
         has_recovered = reason is None and not entry.block_reason.startswith("drain")
-        name, before_, entry.block_reason = (
+        name, previous_reason, entry.block_reason = (
             entry.target.name,
             entry.block_reason,
             reason,
@@ -239,7 +240,9 @@
         if has_recovered:
             self._warm_up(entry)
         event = Event.TARGET_RETURNED if reason is None else Event.TARGET_DRAINING
-        self._vm.journal.write(event, target=name, reason=reason, before=before_)
+        self._vm.journal.write(
+            event, target=name, reason=reason, before=previous_reason
+        )
 
     def _warm_up(self, entry):
         service = self._vm.text.services.get(entry.target.service)
@@ -249,7 +252,7 @@
     def _may_eject(self, target):
         """Return whether half of the service's homed targets would remain available.
 
-        If requests fail on most targets, the requests are the likely cause.
+        If requests fail at most targets, the fault is likely in the requests.
         """
         entries = self._ledger.of_service(target.service)
         blocked = sum(1 for entry in entries if entry.block_reason)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -39,20 +39,20 @@
 class PendingHandover:
     """The handover of a target that this VM hasn't adopted yet.
 
-    ``holds`` and ``levels`` are as in :class:`Handover`; ``until`` is the instant at
-    which it expires.
+    ``holds`` and ``levels`` are as in :class:`Handover`; ``expires_at`` is an instant
+    of ``clock.now()``.
     """
 
     holds: list
     levels: list
-    until: float
+    expires_at: float
 
 
 class HomeManager:
     """Adds and removes targets in the ledger as their homes change.
 
     :param vm: the process: settings, configuration, journal.
-    :param membership: the live VMs of the failure domain.
+    :param membership: the :class:`Membership` of the failure domain.
     :param ledger: the slots of the homed targets.
     :param links: the :class:`PeerLinks` to other VMs.
     :param records: the occupancy bounds that other homes announced to this VM.
@@ -81,7 +81,7 @@
             if self._vm.text is not None:
                 self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
-                if self._vm.directory.is_known and self._membership.may_act():
+                if self._vm.directory.is_known and self._membership.may_act_as_home():
                     await self._acquire_missing()
                     await self._publisher.update(dict(self._hold_ends()))
             await sleep(CHECK_INTERVAL_SECONDS)
@@ -114,7 +114,11 @@
                     levels.setdefault(name, []).extend(pending.levels)
                 continue
             targets[name] = [
-                [hold.use_id, to_wall(self._clock, hold.until), hold.failure_domain]
+                [
+                    hold.use_id,
+                    to_wall(self._clock, hold.expires_at),
+                    hold.failure_domain,
+                ]
                 for hold in handed_over.holds
             ]
             levels[name] = [
@@ -190,7 +194,7 @@
     def _assigned(self):
         if self._membership.leaving:
             return
-        live = self._membership.live()
+        live = self._membership.live_names()
         domain = self._vm.settings.failure_domain
         homes = self._vm.text.placement.homes(domain, live)
         for service in self._vm.text.services.values():
@@ -211,9 +215,10 @@
         self._contested = set()
         try:
             handovers = await self._request_handovers(names)
-            # The earlier homes keep no copy of what they handed over.
+            # Keep the handovers even if not every VM has responded: the earlier homes
+            # have no copy of them.
             self._add_pending(handovers)
-            if None in handovers or not self._membership.may_act():
+            if None in handovers or not self._membership.may_act_as_home():
                 return
             for service, target in missing:
                 if target.name not in self._contested:
@@ -225,15 +230,16 @@
             }
 
     async def _request_handovers(self, names):
-        """Request a handover from every running VM.
+        """Request handovers from all other running VMs.
 
-        :return: a list, with ``None`` for each VM that doesn't respond.
+        :return: a list of :class:`Handover`, with ``None`` for each VM that doesn't
+            respond.
         """
         request = AcquireTargets(self._vm.name, names)
         async with TaskGroup() as group:
             tasks = [
                 await group.spawn(self._request_handover, member.host, request)
-                for member in self._membership.running()
+                for member in self._membership.other_running_members()
             ]
         return [task.result for task in tasks]
 
@@ -257,7 +263,7 @@
         return [
             replace(each, holds=list(self._unreleased(name, each.holds)))
             for each in self._pending.pop(name, ())
-            if now < each.until
+            if now < each.expires_at
         ]
 
     def _unreleased(self, name, holds):
@@ -305,9 +311,9 @@
 
     def _hold_seconds(self, holds):
         now = self._clock.now()
-        return max((hold.until - now for hold in holds), default=0.0)
+        return max((hold.expires_at - now for hold in holds), default=0.0)
 
     def _hold_ends(self):
         """Yield each homed target and the instant until which holds may occupy it."""
         for name, entry in self._ledger.targets.items():
-            yield name, max((hold.until for hold in entry.holds), default=0.0)
+            yield name, max((hold.expires_at for hold in entry.holds), default=0.0)
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -26,10 +26,10 @@
 LEASE_TTL_SECONDS = 1.0
 #: Seconds before expiry at which a lease in use is renewed.
 RENEW_BEFORE_SECONDS = 0.5
-#: Seconds after which unused slots are returned to their home.
+#: Seconds for which slots of a lease must be unused before they are returned.
 IDLE_AFTER_SECONDS = 0.05
-#: Minimum seconds for which a VM without a free slot isn't asked again; up to twice as
-#: long with jitter.
+#: Minimum seconds before another lease request to a VM that had no free slot; jitter
+#: makes it up to twice as long.
 MIN_FULL_SECONDS = 0.05
 #: Slots of a service that are not leased to other failure domains.
 LOCAL_RESERVE = 1
@@ -42,7 +42,7 @@
 class HeldLease:
     """A lease that another VM granted to this one.
 
-    ``distance`` is the one-way latency to ``granter`` in seconds. ``peak`` is the
+    ``latency`` is the one-way latency to ``granter`` in seconds. ``peak`` is the
     maximum of ``in_use`` since the instant ``peak_since``. Instants are of
     ``clock.now()``.
     """
@@ -55,7 +55,7 @@
     failure_domain: str
     slots: int
     expires_at: float
-    distance: float
+    latency: float
     peak_since: float
     in_use: int = 0
     peak: int = 0
@@ -67,7 +67,7 @@
         return self.peak_since + IDLE_AFTER_SECONDS
 
     def claim(self):
-        """Use one slot."""
+        """Claim one slot; the caller has checked that one is free."""
         self.in_use += 1
         self.peak = max(self.peak, self.in_use)
 
@@ -80,7 +80,7 @@
 
     def has_free_slot(self, now):
         """Return whether a slot is free for a request that arrives before expiry."""
-        return self.in_use < self.slots and now + self.distance < self.expires_at
+        return self.in_use < self.slots and now + self.latency < self.expires_at
 
 
 class LeaseGranter:
@@ -133,21 +133,23 @@
         Its ``lease_id`` is 0 if the lease has expired or may not be renewed.
         """
         lease = None
-        if self._membership.may_act():
+        if self._membership.may_act_as_home():
             lease = self._ledger.renew(lease_id, self._clock.now() + LEASE_TTL_SECONDS)
         if lease is None:
             return LeaseGrant(0, "", 0, 0.0, 0.0)
-        self._shrink(lease)
+        self._reclaim_if_queued(lease)
         return self._to_grant(lease)
 
-    def _shrink(self, lease):
+    def _reclaim_if_queued(self, lease):
         """Reclaim half of a lease if requests are queued for the service here."""
         target = self._ledger.targets[lease.target].target
         if lease.slots > 1 and self._waiting_count(target.service):
             lease.slots -= lease.slots // 2
 
     def _grant_lease(self, request, holder, failure_domain):
-        if not self._membership.may_act() or self._waiting_count(request.service):
+        if not self._membership.may_act_as_home() or self._waiting_count(
+            request.service
+        ):
             return None
         now = self._clock.now()
         entries = [
@@ -202,7 +204,7 @@
         return self._last_shortfall_at.get(service, DISTANT_PAST)
 
     def claim(self, service, avoid, max_round_trip):
-        """Use a slot of the nearest lease that has a free one.
+        """Claim a slot of the nearest lease that has a free one.
 
         :param avoid: names of targets not to use.
         :param max_round_trip: maximum round-trip time in seconds.
@@ -214,9 +216,9 @@
             for lease in self.leases_for(service)
             if lease.has_free_slot(now)
             and lease.target not in avoid
-            and 2 * lease.distance <= max_round_trip
+            and 2 * lease.latency <= max_round_trip
         ]
-        lease = min(usable, key=lambda lease: lease.distance, default=None)
+        lease = min(usable, key=lambda lease: lease.latency, default=None)
         if lease is not None:
             lease.claim()
         return lease
@@ -257,10 +259,10 @@
         if now >= lease.expires_at:
             leases.remove(lease)
             return
-        # A pending renewal could restore the slots that are returned meanwhile.
+        # During a renewal, the response could restore the slots returned meanwhile.
         if not lease.is_renewing and now >= lease.idle_at and lease.shrink_to_peak(now):
-            item = LeaseReturn(lease.id, lease.slots)
-            await spawn(self._call, lease.host, item, daemon=True)
+            message = LeaseReturn(lease.id, lease.slots)
+            await spawn(self._call, lease.host, message, daemon=True)
         if not lease.slots:
             leases.remove(lease)
         elif not lease.is_renewing and lease.expires_at - now < RENEW_BEFORE_SECONDS:
@@ -278,16 +280,16 @@
 
     async def _search(self, service, want, avoid):
         try:
-            for entry, distance in self._candidates(service):
+            for entry, latency in self._candidates(service):
                 if want <= 0:
                     return
-                want -= await self._request_lease(service, entry, distance, want, avoid)
+                want -= await self._request_lease(service, entry, latency, want, avoid)
             if want > 0:
                 self._last_shortfall_at[service.name] = self._clock.now()
         finally:
             self._searching.discard(service.name)
 
-    async def _request_lease(self, service, entry, distance, want, avoid):
+    async def _request_lease(self, service, entry, latency, want, avoid):
         """Request a lease from one VM and return the number of granted slots."""
         request = LeaseRequest(service.name, want, avoid)
         grant = await self._call(entry.host, request)
@@ -297,7 +299,7 @@
             full_until = from_wall(self._clock, grant.full_until)
             self._full_until[service.name, entry.name] = full_until
             return 0
-        lease = self._to_lease(service, entry, distance, grant)
+        lease = self._to_lease(service, entry, latency, grant)
         self._leases.setdefault(service.name, []).append(lease)
         await self._lease_gained.set()
         self._vm.journal.write(
@@ -313,7 +315,7 @@
             await self._on_lease_gained(service.name)
         return lease.slots
 
-    def _to_lease(self, service, entry, distance, grant):
+    def _to_lease(self, service, entry, latency, grant):
         return HeldLease(
             grant.lease_id,
             service.name,
@@ -323,28 +325,28 @@
             entry.failure_domain,
             grant.slots,
             from_wall(self._clock, grant.expires_at),
-            distance,
+            latency,
             self._clock.now(),
         )
 
-    async def _call(self, host, item):
+    async def _call(self, host, message):
         try:
-            return await self._links.call(host, item)
+            return await self._links.call(host, message)
         except PeerError:
             return None
 
     def _candidates(self, service):
-        """Yield ``(VM, distance)`` of VMs that may grant a lease, nearest first."""
+        """Yield ``(VM, latency)`` of VMs that may grant a lease, nearest first."""
         yield from self._skip_full(service, self._reachable(self._find_homes(service)))
 
     def _find_homes(self, service):
         text, here = self._vm.text, self._vm.settings.failure_domain
         domains = {target.failure_domain for target in service.targets.values()}
         for domain in text.nearest(here, domains)[:MAX_DOMAINS]:
-            distance = text.distance(here, domain)
+            latency = text.latency_between(here, domain)
             for entry in self._homes_in(domain, service):
                 if entry.name != self._vm.name:
-                    yield entry, distance
+                    yield entry, latency
 
     def _homes_in(self, domain, service):
         placement = self._vm.text.placement
@@ -354,12 +356,12 @@
         return homes
 
     def _reachable(self, homes):
-        for entry, distance in homes:
-            if self._links.to(entry.host).is_reachable:
-                yield entry, distance
+        for entry, latency in homes:
+            if self._links.link_to(entry.host).is_reachable:
+                yield entry, latency
 
     def _skip_full(self, service, homes):
-        for entry, distance in homes:
+        for entry, latency in homes:
             full_until = self._full_until.get((service.name, entry.name), 0.0)
             if full_until <= self._clock.now():
-                yield entry, distance
+                yield entry, latency
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -20,10 +20,10 @@
 
 #: Requests that end within this many seconds need no announced bound.
 MAX_UNANNOUNCED_SECONDS = 2.0
-#: Seconds added to each bound, so that fewer announcements are needed.
+#: Seconds added to each announced bound, so that later requests need no announcement.
 ANNOUNCEMENT_MARGIN_SECONDS = 5.0
-#: A VM declared dead within this many seconds that may still run could have become the
-#: home of a target without an announcement.
+#: A VM that was declared dead within this many seconds and may still run could have
+#: admitted requests as the home of a target without an announcement.
 UNCERTAIN_HOME_SECONDS = 2 * MAX_UNANNOUNCED_SECONDS
 
 
@@ -31,19 +31,23 @@
 class OccupancyBound:
     """The bound that a monitor knows for a target of a failed home.
 
-    The target may be occupied until ``until``, in epoch seconds. ``has_exited`` is true
-    if the process of the home has exited, and its own requests with it.
+    The target may be occupied until ``occupied_until``, in epoch seconds.
+    ``has_exited`` is true if the process of the home has exited and its own requests
+    have ended.
     """
 
     target: str
     home: str
-    until: float
+    occupied_until: float
     has_exited: bool
 
 
 @dataclass(slots=True)
 class AcknowledgedEdition:
-    """The edition of the bounds that an incarnation of a monitor acknowledged."""
+    """The latest bounds that a monitor acknowledged.
+
+    ``edition`` counts the changes of the bounds.
+    """
 
     incarnation: int
     edition: int
@@ -53,8 +57,8 @@
     """Announces the bounds of the targets homed here to the monitors of this VM.
 
     :param vm: the identity of this VM.
-    :param membership: provides the monitors.
-    :param links: the :class:`PeerLinks` to call them.
+    :param membership: the :class:`Membership`, which knows the monitors.
+    :param links: the :class:`PeerLinks` to the monitors.
     """
 
     def __init__(self, vm, membership, links, clock):
@@ -62,14 +66,14 @@
         self._membership = membership
         self._links = links
         self._clock = clock
-        self._until = {}
+        self._announced_until = {}
         self._inherited_until = {}
         self._editions = {}
         self._edition = 0
         self._acknowledged = {}
         self._lock = Lock()
 
-    async def ensure(self, target, deadline):
+    async def ensure_announced(self, target, deadline):
         """Wait until every monitor knows a bound of at least ``deadline`` for a target.
 
         :param deadline: an instant of ``clock.now()``.
@@ -78,21 +82,21 @@
         if deadline <= self._clock.now() + MAX_UNANNOUNCED_SECONDS:
             return
         async with self._lock:
-            if self._until.get(target, 0.0) < deadline:
+            if self._announced_until.get(target, 0.0) < deadline:
                 self._set_bound(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
             if not await self._announce_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
 
     async def update(self, holds):
-        """Announce the targets homed here if they or the monitors have changed.
+        """Announce the bounds if the targets homed here or the monitors have changed.
 
         :param holds: ``{target name: instant}`` until which requests admitted by
             earlier homes may occupy the target.
         """
         async with self._lock:
-            for target in [name for name in self._until if name not in holds]:
-                del self._until[target]
+            for target in [name for name in self._announced_until if name not in holds]:
+                del self._announced_until[target]
                 self._inherited_until.pop(target, None)
                 del self._editions[target]
                 self._edition += 1
@@ -100,14 +104,15 @@
                 if until > self._inherited_until.get(target, DISTANT_PAST):
                     self._inherited_until[target] = until
                     self._set_bound(
-                        target, max(until, self._until.get(target, DISTANT_PAST))
+                        target,
+                        max(until, self._announced_until.get(target, DISTANT_PAST)),
                     )
-            if self._until or self._acknowledged:
+            if self._announced_until or self._acknowledged:
                 await self._announce_all(self._edition)
 
     def _set_bound(self, target, until):
         self._edition += 1
-        self._until[target] = until
+        self._announced_until[target] = until
         self._editions[target] = self._edition
 
     async def _announce_all(self, edition):
@@ -146,7 +151,7 @@
                 to_wall(self._clock, until),
                 to_wall(self._clock, self._inherited_until.get(target, until)),
             ]
-            for target, until in self._until.items()
+            for target, until in self._announced_until.items()
         }
         try:
             notice = OccupancyNotice(self._vm.name, self._vm.incarnation, bounds)
@@ -160,7 +165,8 @@
 class OccupancyRecords:
     """The bounds that other homes have announced to this VM as their monitor.
 
-    :param membership: whether this VM received heartbeats until a home failed.
+    :param membership: the :class:`Membership`, which knows whether this VM received
+        heartbeats until a home failed.
     """
 
     def __init__(self, membership, clock):
@@ -194,10 +200,10 @@
                     )
 
     def _has_exited(self, vm, incarnation):
-        # Another VM may have become the home shortly before it failed as well.
+        # Another VM that failed recently may have been the home for a short time.
         return self._membership.has_exited(
             vm, incarnation
-        ) and self._membership.have_all_exited(UNCERTAIN_HOME_SECONDS)
+        ) and self._membership.have_recent_dead_exited(UNCERTAIN_HOME_SECONDS)
 
 
 def occupied_until(clock, service, bounds):
@@ -207,21 +213,21 @@
         any, the longest timeout of the service applies.
     """
     now = clock.now()
-    latest = now + service.longest_timeout
-    homes = {}
+    latest_possible = now + service.longest_timeout
+    bound_by_home = {}
     for each in bounds:
-        strongest = homes.get(each.home)
-        if strongest is None or (each.has_exited, each.until) > (
+        strongest = bound_by_home.get(each.home)
+        if strongest is None or (each.has_exited, each.occupied_until) > (
             strongest.has_exited,
-            strongest.until,
+            strongest.occupied_until,
         ):
-            homes[each.home] = each
-    if not homes:
-        return latest
-    occupied = max(_occupied(clock, each, now) for each in homes.values())
-    return min(latest, occupied)
+            bound_by_home[each.home] = each
+    if not bound_by_home:
+        return latest_possible
+    occupied = max(_occupied(clock, each, now) for each in bound_by_home.values())
+    return min(latest_possible, occupied)
 
 
 def _occupied(clock, bound, now):
     earliest = now if bound.has_exited else now + MAX_UNANNOUNCED_SECONDS
-    return max(from_wall(clock, bound.until), earliest)
+    return max(from_wall(clock, bound.occupied_until), earliest)
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -7,7 +7,7 @@
 #: Weight of a new observation in the moving average of slot holding times.
 HOLD_WEIGHT = 0.1
 INITIAL_HOLD_SECONDS = 0.02
-#: Maximum wait in a standing queue, in mean holding times.
+#: Maximum wait in a standing queue, as a multiple of the mean holding time of a slot.
 MAX_STANDING_HOLDS = 1.5
 
 
@@ -39,7 +39,7 @@
         self._waiters = []
         self._mean_hold_seconds = INITIAL_HOLD_SECONDS
         self._last_empty_at = 0.0
-        self._stalled_at_empty = 0.0
+        self._stalled_seconds_at_empty = 0.0
 
     @property
     def waiters(self):
@@ -60,20 +60,26 @@
         """Record for how many seconds a request held its slot."""
         self._mean_hold_seconds += HOLD_WEIGHT * (seconds - self._mean_hold_seconds)
 
-    def max_wait(self, service, now, stalled):
+    def max_wait(self, service, now, stalled_seconds):
         """Return the maximum wait of a new request, in seconds.
 
+        Also records ``now`` as the last instant at which the queue was empty, if it is.
+
         A queue that empties regularly absorbs bursts, and the full wait of the service
         applies. A standing queue only adds delay, so the wait is limited to little more
         than one holding time (CoDel: Nichols and Jacobson, 2012).
 
-        :param stalled: total stalls of this process in seconds, which don't count
-            towards the age of a standing queue.
+        :param stalled_seconds: total stalls of this process, which don't count towards
+            the age of a standing queue.
         """
         if not self._waiters:
-            self._last_empty_at, self._stalled_at_empty = now, stalled
-        standing = now - self._last_empty_at - (stalled - self._stalled_at_empty)
-        if standing <= service.queue_wait:
+            self._last_empty_at, self._stalled_seconds_at_empty = now, stalled_seconds
+        standing_seconds = (
+            now
+            - self._last_empty_at
+            - (stalled_seconds - self._stalled_seconds_at_empty)
+        )
+        if standing_seconds <= service.queue_wait:
             return service.queue_wait
         return min(service.queue_wait, MAX_STANDING_HOLDS * self._mean_hold_seconds)
 
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -49,7 +49,7 @@
 
     :param vm: the process: configuration, settings, homes, VM list.
     :param ledger: the slots of the targets homed here.
-    :param membership: the live VMs of the failure domain.
+    :param membership: the :class:`Membership` of the failure domain.
     :param links: the :class:`PeerLinks` to other VMs.
     """
 
@@ -73,7 +73,7 @@
     def usable(self):
         """Return ``{service name: usable slots}`` of the targets homed here."""
         services = {service.name: service for service, _ in self._vm.homes.desired()}
-        return {name: self._usable_here(each) for name, each in services.items()}
+        return {name: self._usable_slots_here(each) for name, each in services.items()}
 
     def share(self, service):
         """Return the share of a service's callers that this domain can serve, 0 to 1.
@@ -97,7 +97,7 @@
             return frozenset()
         return frozenset(name for name, each in shares.items() if position >= each)
 
-    async def wait_first_round(self):
+    async def wait_for_first_poll(self):
         """Wait until the homes have been polled once, or for a limited time.
 
         Otherwise a VM that has just started could send callers to homes that are
@@ -170,7 +170,7 @@
     def _homes(self, domain):
         """Return ``{target name: VM name}`` of a failure domain."""
         if domain == self._local_domain:
-            names = self._membership.live()
+            names = self._membership.live_names()
         else:
             entries = self._vm.directory.available_in(domain)
             names = [entry.name for entry in entries]
@@ -201,12 +201,12 @@
         if not total:
             return 1.0
         usable = sum(
-            min(slots, self._usable_of(home, service, slots, domain))
+            min(slots, self._usable_slots_at(home, service, slots, domain))
             for home, slots in totals.items()
         )
         return min(1.0, usable / (READY_SHARE * total))
 
-    def _usable_of(self, home, service, slots, domain):
+    def _usable_slots_at(self, home, service, slots, domain):
         """Return the usable slots of a home.
 
         A home of this domain that has not responded yet counts as unusable. One of
@@ -214,25 +214,25 @@
         even if this VM can't.
         """
         if home == self._vm.name:
-            return self._usable_here(service)
+            return self._usable_slots_here(service)
         reported = self._reported.get(home)
         if reported is None:
             return 0 if domain == self._local_domain else slots
         return reported.get(service.name, 0)
 
-    def _usable_here(self, service):
-        if not self._membership.may_act():
+    def _usable_slots_here(self, service):
+        if not self._membership.may_act_as_home():
             return 0
         return sum(
-            self._usable_slots_of(target)
+            self._usable_slots_of_target(target)
             for each, target in self._vm.homes.desired()
             if each.name == service.name
         )
 
-    def _usable_slots_of(self, target):
+    def _usable_slots_of_target(self, target):
         entry = self._ledger.targets.get(target.name)
         if entry is None or entry.block_reason:
             return 0
         now = self._clock.now()
-        held = sum(1 for hold in entry.holds if hold.until > now)
+        held = sum(1 for hold in entry.holds if hold.expires_at > now)
         return max(0, min(entry.limit(now), target.limit - held))
--- a/src/heathercleat/process/capacity/shift_window.py
+++ b/src/heathercleat/process/capacity/shift_window.py
@@ -1,4 +1,4 @@
-"""Rate limit on a shift: how far the spill to a target may rise within a window."""
+"""Rate limit on the slots of a target that other failure domains use."""
 
 from collections import deque
 
@@ -19,7 +19,7 @@
 
     @property
     def points(self):
-        """Return ``(instant, level)`` pairs of the changes within the window."""
+        """Return ``(instant, level)`` pairs: the changes of the level in the window."""
         return list(self._points)
 
     def reconfigure(self, cap, window):
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """Slots of one target that another VM, ``holder``, may use until ``expires_at``.
+    """Slots of one target that the VM ``holder`` may use until ``expires_at``.
 
     ``uses`` is the number of requests that run under the lease.
     """
@@ -46,7 +46,7 @@
     uses: int = 0
 
     def occupied(self, now):
-        """Return the slots that count as used; after expiry, those of its requests."""
+        """Return the slots that count as used; after expiry, only those of requests."""
         if now < self.expires_at:
             return max(self.slots, self.uses)
         return self.uses
@@ -61,7 +61,7 @@
     is that of the VM that sent the request, or ``None`` if unknown.
     """
 
-    until: float
+    expires_at: float
     use_id: int | None = None
     failure_domain: str | None = None
 
@@ -83,8 +83,8 @@
     """The slots of one homed target and their current uses.
 
     ``is_closed`` is set when this VM is no longer the home. ``block_reason`` tells why
-    the target gets no new requests; it is ``None`` if it does. ``link_limits`` limits
-    the slots that each other failure domain may use.
+    the target gets no new requests, and is ``None`` if it gets some. ``link_limits``
+    has the maximum number of slots that each other failure domain may use.
     """
 
     target: object
@@ -139,7 +139,7 @@
         held = sum(
             1
             for hold in self.holds
-            if hold.until > now
+            if hold.expires_at > now
             and self._is_foreign(hold.failure_domain, failure_domain)
         )
         return leased + held
@@ -164,7 +164,7 @@
     def prune(self, now):
         """Remove expired holds and leases."""
         if self.holds:
-            self.holds = [hold for hold in self.holds if hold.until > now]
+            self.holds = [hold for hold in self.holds if hold.expires_at > now]
         expired = [id_ for id_, lease in self.leases.items() if not lease.occupied(now)]
         for id_ in expired:
             del self.leases[id_]
@@ -367,8 +367,8 @@
         entry.record_spill(self._clock.now())
 
     def _hold_slot(self, entry, use, now):
-        # Without this, the holder could use the slot of the lease again while the
-        # target still processes the cancelled request.
+        # Take the slot from the lease: its holder could otherwise use it again while
+        # the target still processes the cancelled request.
         if use.lease is not None:
             use.lease.slots -= 1
         domain = use.lease.failure_domain if use.lease is not None else None
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -15,7 +15,7 @@
     unpack_document,
     unpack_head,
 )
-from heathercleat.version.drain_ramp import departed_share
+from heathercleat.version.drain_ramp import moved_share
 from heathercleat.version.text import Drain, DrainScope
 
 #: Maximum number of attempts to write an edit or to learn whether it took effect.
@@ -69,7 +69,7 @@
         may_have_written = False
         for _ in range(MAX_ATTEMPTS):
             try:
-                version = await self._find(edit.id)
+                version = await self._find_version(edit.id)
                 if version is not None:
                     return version
                 await self._platform.put_object(object_key(data), data)
@@ -79,11 +79,11 @@
                 if await self._write(edit, data, row):
                     return edit.base_version + 1
             except PlatformError as error:
-                last = error
+                last_error = error
             else:
-                last = None
-        if last is None or not may_have_written:
-            raise last or PlatformError("the head row changes all the time")
+                last_error = None
+        if last_error is None or not may_have_written:
+            raise last_error or PlatformError("the head row changes all the time")
         message = f"the platform did not say whether edit {edit.id} took effect"
         raise HeathercleatError(ResultCode.EDIT_UNKNOWN, message)
 
@@ -105,7 +105,7 @@
         data = await self._platform.get_object(unpack_head(row.value).object_key)
         return unpack_document(data)
 
-    async def _find(self, edit_id):
+    async def _find_version(self, edit_id):
         """Return the version written by an edit, or ``None``."""
         row = await self._platform.read(_edit_key(edit_id))
         return None if row is None else unpack_head(row.value).version
@@ -170,11 +170,11 @@
 def headroom_after(text, drain, now):
     """Yield the :class:`ServiceHeadroom` of each service when ``drain`` starts.
 
-    Drains that start earlier or at the same time are taken into account.
+    Other drains in force at that time are taken into account.
 
     :param now: epoch seconds.
     """
-    at = max(drain.at, now)
+    at = max(drain.starts_at, now)
     drains = [*text.drains.values(), drain]
     for service in text.services.values():
         targets = service.targets.values()
@@ -191,15 +191,20 @@
 
 
 def schedule_drain(text, drain, now):
-    """Return a drain that starts late enough to ramp its callers down gradually.
+    """Return a drain that starts late enough for its callers to move gradually.
 
-    Only drains of failure domains need that lead time.
+    Only drains of failure domains need a ramp.
 
     :param now: epoch seconds.
     """
     if drain.scope is not DrainScope.FAILURE_DOMAIN:
         return drain
-    return replace(drain, at=max(drain.at, now + text.ramps.ramp_seconds(drain.name)))
+    return replace(
+        drain,
+        starts_at=max(
+            drain.starts_at, now + text.ramps.ramp_seconds(drain.drained_name)
+        ),
+    )
 
 
 def plan_drain(document, drain, now):
@@ -218,14 +223,14 @@
         each for each in headroom_after(text, drain, now) if not each.is_enough
     ]
     if insufficient:
-        figures = "; ".join(
+        shortfalls = "; ".join(
             f"{each.service} would keep {each.remaining} of {each.slots} slots, "
             f"fewer than {each.minimum}"
             for each in insufficient
         )
-        raise HeathercleatError(ResultCode.HEADROOM_REFUSED, figures)
+        raise HeathercleatError(ResultCode.HEADROOM_REFUSED, shortfalls)
     drains = dict(_active_drains(document, text, now))
-    drains[drain.id] = [drain.scope.value, drain.name, drain.at]
+    drains[drain.id] = [drain.scope.value, drain.drained_name, drain.starts_at]
     return Document(document.source, drains)
 
 
@@ -242,15 +247,15 @@
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
     text = document.parse()
     drains = dict(_active_drains(document, text, now))
-    ended = drains.pop(drain_id, None)
+    cancelled_fields = drains.pop(drain_id, None)
     drain = text.drains[drain_id]
     ramp_seconds = _ramp_seconds(text, drain)
     if (
-        ended is not None
+        cancelled_fields is not None
         and ramp_seconds
-        and departed_share(drain, ramp_seconds, now) > 0
+        and moved_share(drain, ramp_seconds, now) > 0
     ):
-        drains[drain_id] = [*ended[:3], drain.until or now]
+        drains[drain_id] = [*cancelled_fields[:3], drain.cancelled_at or now]
     return Document(document.source, drains)
 
 
@@ -259,8 +264,8 @@
     for id_, fields in document.drains.items():
         drain = text.drains[id_]
         if (
-            drain.until is None
-            or departed_share(drain, _ramp_seconds(text, drain), now) > 0
+            drain.cancelled_at is None
+            or moved_share(drain, _ramp_seconds(text, drain), now) > 0
         ):
             yield id_, fields
 
@@ -268,7 +273,7 @@
 def _ramp_seconds(text, drain):
     if drain.scope is not DrainScope.FAILURE_DOMAIN:
         return 0.0
-    return text.ramps.ramp_seconds(drain.name)
+    return text.ramps.ramp_seconds(drain.drained_name)
 
 
 def parse_drain(id_, scope, name, at):
@@ -292,8 +297,8 @@
         },
         DrainScope.FAILURE_DOMAIN: set(text.failure_domains),
     }.get(drain.scope)
-    if names is not None and drain.name not in names:
-        message = f'the text has no {drain.scope.value} "{drain.name}"'
+    if names is not None and drain.drained_name not in names:
+        message = f'the text has no {drain.scope.value} "{drain.drained_name}"'
         raise HeathercleatError(ResultCode.UNKNOWN_NAME, message)
 
 
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -115,7 +115,7 @@
         self._vm.journal.write(
             Event.CONFIGURATION_ADOPTED, version=version, source=source
         )
-        self._vm.configuration_changed(text)
+        self._vm.apply_configuration(text)
         return True
 
     async def fetch_if_newer(self, host, version, vm_serial):
@@ -163,7 +163,7 @@
 
     async def announce(self):
         """Announce the current versions to every VM of the failure domain."""
-        for member in self._membership.running():
+        for member in self._membership.other_running_members():
             await spawn(self._exchange, member.host, daemon=True)
 
     async def run(self):
@@ -190,7 +190,7 @@
         await self.announce()
 
     def _is_reader(self):
-        live = self._membership.live()
+        live = self._membership.live_names()
         return (
             self._vm.name in rank_by_weight("readers", live)[:READER_COUNT]
             or len(live) <= 1
@@ -225,7 +225,7 @@
             await spawn(self._exchange, choice(others).host, daemon=True)
 
     async def _exchange(self, host):
-        """Exchange versions with a peer and fetch what is newer there."""
+        """Exchange versions with a peer and fetch what it has in a newer version."""
         local = Announcement(self._version, self._directory.serial)
         try:
             remote = await self._links.call(host, local)
@@ -251,15 +251,15 @@
     def _record_listed(self, entry, domain):
         """Record a listed VM as a member, with its last known incarnation.
 
-        If the entry is of this VM and leaving, begin a graceful shutdown.
+        Begins a graceful shutdown if the list has this VM as leaving.
         """
         known = self._membership.members.get(entry.name)
         incarnation = known.incarnation if known is not None else 0
         state = MemberState.LEAVING if entry.leaving else MemberState.LIVE
         if entry.name == self._vm.name:
             if entry.leaving:
-                self._vm.request_leave()
+                self._vm.request_shutdown()
             return
-        self._membership.record(
+        self._membership.apply_record(
             MemberRecord(entry.name, entry.host, domain, incarnation, state.value)
         )
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -36,18 +36,23 @@
     text, here = vm.text, vm.settings.failure_domain
     targets = sorted(
         service.targets.values(),
-        key=lambda target: (text.distance(here, target.failure_domain), target.name),
+        key=lambda target: (
+            text.latency_between(here, target.failure_domain),
+            target.name,
+        ),
     )
     for target in targets:
-        yield _describe_target(vm, target, text.distance(here, target.failure_domain))
+        yield _describe_target(
+            vm, target, text.latency_between(here, target.failure_domain)
+        )
 
 
-def _describe_target(vm, target, distance):
+def _describe_target(vm, target, latency):
     now = vm.clock.now()
     description = {
         "target": target.name,
         "failure_domain": target.failure_domain,
-        "distance": distance,
+        "distance": latency,
         "slots": target.limit,
     }
     drain = vm.text.find_drain(target, vm.clock.wall())
--- a/src/heathercleat/process/logs.py
+++ b/src/heathercleat/process/logs.py
@@ -26,7 +26,7 @@
         self._vm = vm
         self._failure_domain = failure_domain
 
-    def write(self, event, **inputs):
+    def write(self, event, **event_fields):
         """Log ``event``; the keyword arguments become fields of the line."""
         if not self._logger.isEnabledFor(event.level):
             return
@@ -35,7 +35,7 @@
             "name": event.name.lower(),
             "vm": self._vm,
             "failure_domain": self._failure_domain,
-            **inputs,
+            **event_fields,
         }
         self._logger.log(event.level, "%s", event.name, extra={"fields": fields})
 
@@ -126,10 +126,10 @@
         self._thread.join(FLUSH_SECONDS)
 
     def _capture_curio_logs(self):
-        """Handle the errors that curio logs in the same way.
+        """Send the errors that curio logs to the same handler.
 
-        Its warnings are ignored: they concern only results that arrive just after a
-        timeout and are used nevertheless.
+        Warnings of curio are ignored: they report results that arrive just after a
+        timeout, which are used nevertheless.
         """
         curio_logger = getLogger(CURIO_LOGGER_NAME)
         curio_logger.setLevel(ERROR)
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -16,7 +16,7 @@
 class Heartbeats:
     """Sends heartbeats and detects failed VMs.
 
-    :param vm: the identity of this VM (incarnation, versions, journal).
+    :param vm: the process: name, incarnation, versions, journal.
     :param membership: the :class:`Membership` to update.
     :param links: the :class:`PeerLinks` to other VMs.
     """
@@ -80,7 +80,7 @@
         if not self._membership.is_settled:
             return
         now = self._clock.now()
-        self._membership.remove_old()
+        self._membership.remove_long_dead()
         for member in self._membership.monitored():
             if now - member.heartbeat_silent_since <= DEAD_AFTER_SECONDS:
                 continue
@@ -89,7 +89,7 @@
             self._membership.declare_dead(member)
             await spawn(self._membership.announce, daemon=True)
 
-    async def suspect(self, name):
+    async def start_probing(self, name):
         """Start probes of a monitored VM that closed its connection.
 
         If its host refuses connections, the process has exited, and the VM is declared
@@ -126,11 +126,11 @@
             member = self._membership.members.get(suspected.vm)
             if member is None or member.incarnation != suspected.incarnation:
                 return
-            if self._links.to(member.host).is_refused:
+            if self._links.link_to(member.host).is_refused:
                 await self.record_exit(member)
                 return
 
     def _has_recent_ack(self, member, now):
-        # A monitored VM may also be a monitor of this VM. Then a recent
+        # A monitored VM may also be a monitor of this VM. If so, a recent
         # acknowledgement shows that it is alive.
         return member.acked_at > now - HEARTBEAT_INTERVAL_SECONDS
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -21,8 +21,8 @@
 )
 from heathercleat.version.hashing import rendezvous_weight
 
-#: Seconds without a message from a monitor after which its acknowledgement is no longer
-#: required.
+#: Seconds without a message from a monitor after which this VM no longer requires its
+#: acknowledgements.
 SILENT_AFTER_SECONDS = 3.0
 #: Minimum gap in seconds between two ticks that counts as a pause of this process.
 PAUSE_GAP_SECONDS = 0.75
@@ -37,7 +37,7 @@
 class Membership:
     """The membership view of one VM.
 
-    :param vm: the identity of this VM (settings, incarnation, journal).
+    :param vm: the process: name, settings, incarnation, journal.
     :param links: the :class:`PeerLinks` to other VMs.
     """
 
@@ -51,7 +51,7 @@
         self._last_tick = clock.now()
         self._on_new_incarnation = None
         self._on_pause = None
-        self._add_self(MemberState.LIVE)
+        self._record_self(MemberState.LIVE)
 
     @property
     def members(self):
@@ -75,11 +75,12 @@
     def on_new_incarnation(self, callback):
         """Call ``callback()`` after a new incarnation has begun.
 
-        That follows a long pause, or a record that declares this VM dead.
+        A new incarnation begins after a long pause, or after another VM has declared
+        this VM dead.
         """
         self._on_new_incarnation = callback
 
-    def live(self):
+    def live_names(self):
         """Return the sorted names of the live VMs, which may be homes."""
         return sorted(
             name
@@ -87,7 +88,7 @@
             if member.state is MemberState.LIVE
         )
 
-    def running(self):
+    def other_running_members(self):
         """Return the other VMs that are live or leaving."""
         return [
             member
@@ -100,7 +101,7 @@
         """Return whether ``SETTLE_SECONDS`` have passed since a pause or the start."""
         return self._clock.now() >= self._settled_at
 
-    def may_act(self):
+    def may_act_as_home(self):
         """Return whether this VM may admit requests as the home of targets."""
         now = self._clock.now()
         if now < self._settled_at or now - self._last_tick > PAUSE_GAP_SECONDS:
@@ -128,8 +129,8 @@
     def was_monitored_until_end(self, name, incarnation):
         """Return whether this VM received heartbeats of an incarnation until it ended.
 
-        An incarnation ends when it is declared dead or a later one begins. This VM may
-        have stopped being its monitor before that.
+        An incarnation ends when it is declared dead or a later one begins. The result
+        is false if this VM stopped being its monitor before that.
         """
         member = self._members.get(name)
         if member is None:
@@ -147,7 +148,7 @@
             and member.has_exited
         )
 
-    def have_all_exited(self, seconds):
+    def have_recent_dead_exited(self, seconds):
         """Return whether all VMs declared dead in the last ``seconds`` have exited."""
         since = self._clock.now() - seconds
         return all(
@@ -156,21 +157,27 @@
             if member.state is MemberState.DEAD and member.died_at >= since
         )
 
-    def record(self, item):
+    def apply_record(self, record):
         """Apply a :class:`MemberRecord` from a peer or the VM list.
 
-        A record that the view already supersedes is ignored.
+        A record that is no newer than the known one is ignored.
 
         :return: whether the view has changed.
         """
-        if item.failure_domain != self._vm.settings.failure_domain:
+        if record.failure_domain != self._vm.settings.failure_domain:
             return False
-        if item.vm == self._vm.name:
-            return self._refute(item)
+        if record.vm == self._vm.name:
+            return self._refute(record)
         now = self._clock.now()
-        known = self._members.get(item.vm)
+        known = self._members.get(record.vm)
         updated = Member(
-            item.vm, item.host, item.incarnation, MemberState(item.state), now, now, now
+            record.vm,
+            record.host,
+            record.incarnation,
+            MemberState(record.state),
+            now,
+            now,
+            now,
         )
         if known is not None and updated.precedence <= known.precedence:
             return False
@@ -178,13 +185,13 @@
             self._copy_state(known, updated, now)
         if updated.state is MemberState.DEAD:
             updated.died_at = now
-        self._members[item.vm] = updated
+        self._members[record.vm] = updated
         self._update_digest()
         self._vm.journal.write(
             _EVENTS[updated.state],
-            member=item.vm,
-            incarnation=item.incarnation,
-            live=len(self.live()),
+            member=record.vm,
+            incarnation=record.incarnation,
+            live=len(self.live_names()),
         )
         return True
 
@@ -198,7 +205,7 @@
         if member is None or heartbeat.incarnation < member.incarnation:
             return member is not None
         if heartbeat.incarnation > member.incarnation:
-            self.record(self._next_incarnation(member, heartbeat.incarnation))
+            self.apply_record(self._next_incarnation(member, heartbeat.incarnation))
             member = self._members[heartbeat.vm]
         if member.state is MemberState.DEAD:
             return True
@@ -209,7 +216,7 @@
     async def announce(self):
         """Exchange views with all other VMs, to join or to spread a change."""
         async with TaskGroup() as group:
-            for member in self.running():
+            for member in self.other_running_members():
                 await group.spawn(self.exchange_views, member.host)
 
     async def exchange_views(self, host):
@@ -227,17 +234,17 @@
         :param records: fields of a :class:`ViewExchange` message.
         """
         for fields in records:
-            self.record(MemberRecord(*fields))
+            self.apply_record(MemberRecord(*fields))
 
     async def leave(self):
         """Announce that this VM accepts no new targets or callers."""
-        self._add_self(MemberState.LEAVING)
+        self._record_self(MemberState.LEAVING)
         await self.announce()
 
     async def rejoin(self):
         """Announce, with a new incarnation, that this VM accepts targets again."""
         self._vm.renew_incarnation()
-        self._add_self(MemberState.LIVE)
+        self._record_self(MemberState.LIVE)
         await self.announce()
 
     def _copy_state(self, known, updated, now):
@@ -270,7 +277,7 @@
         return [self._members[name] for name in names]
 
     def _is_silent(self, member, now):
-        if self._links.to(member.host).is_refused:
+        if self._links.link_to(member.host).is_refused:
             return True
         return member.silent_since + SILENT_AFTER_SECONDS <= now
 
@@ -299,11 +306,11 @@
     def start_new_incarnation(self):
         """Start a new incarnation, after a pause or after being declared dead."""
         self._vm.renew_incarnation()
-        self._add_self(self._members[self._vm.name].state)
+        self._record_self(self._members[self._vm.name].state)
         if self._on_new_incarnation is not None:
             self._on_new_incarnation()
 
-    def remove_old(self):
+    def remove_long_dead(self):
         """Remove records of VMs that have been dead for ``DEAD_RETENTION_SECONDS``."""
         now = self._clock.now()
         old = [
@@ -328,20 +335,20 @@
             gone=member.has_exited,
         )
 
-    def _refute(self, item):
+    def _refute(self, record):
         """Refute a record that declares this incarnation dead.
 
         :return: whether a new incarnation was started.
         """
-        if item.incarnation < self._vm.incarnation:
+        if record.incarnation < self._vm.incarnation:
             return False
-        if MemberState(item.state) is not MemberState.DEAD:
+        if MemberState(record.state) is not MemberState.DEAD:
             return False
         self._vm.journal.write(Event.ACCUSED, by="view")
         self.start_new_incarnation()
         return True
 
-    def _add_self(self, state):
+    def _record_self(self, state):
         now = self._clock.now()
         name, settings = self._vm.name, self._vm.settings
         self._members[name] = Member(
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -16,7 +16,7 @@
 class PeerLink:
     """A connection to one VM; calls are serialized.
 
-    :param vm: the identity of this VM.
+    :param vm: the process: settings, incarnation, fence.
     :param host: IP address of the peer.
     """
 
@@ -48,17 +48,17 @@
             return self._bytes
         return self._bytes + stream.bytes_sent + stream.bytes_received
 
-    async def call(self, item, timeout=CALL_TIMEOUT_SECONDS):
+    async def call(self, message, timeout=CALL_TIMEOUT_SECONDS):
         """Send a message and return the response.
 
-        :param timeout: timeout in seconds, including the wait for earlier calls.
+        :param timeout: timeout in seconds; the wait for earlier calls counts.
         :raises PeerError: if the peer is unreachable or refuses the call.
         """
         if not self.is_reachable:
             raise PeerError(f"{self._host} did not answer a moment ago")
         deadline = self._clock.now() + timeout
         try:
-            response = await with_deadline(deadline, self._clock, self._call(item))
+            response = await with_deadline(deadline, self._clock, self._call(message))
         except (OSError, EOFError, ValueError) as error:
             self._is_refused = isinstance(error, ConnectionRefusedError)
             self._retry_at = self._clock.now() + BACKOFF_SECONDS
@@ -74,14 +74,14 @@
             self._bytes += stream.bytes_sent + stream.bytes_received
             await stream.close()
 
-    async def _call(self, item):
+    async def _call(self, message):
         await self._vm.fence.wait_if_fenced(self._host)
         async with self._lock:
             done = False
             try:
                 if self._stream is None:
                     self._stream = await self._open()
-                response = await self._stream.call(item)
+                response = await self._stream.call(message)
                 done = True
             finally:
                 if not done:
@@ -128,7 +128,7 @@
 class PeerLinks:
     """The links of a process by host.
 
-    :param vm: the identity of this VM.
+    :param vm: the process: settings, incarnation, fence.
     """
 
     def __init__(self, vm, clock):
@@ -141,16 +141,16 @@
         """Return the number of bytes sent and received over all links."""
         return sum(link.bytes for link in self._links.values())
 
-    def to(self, host):
+    def link_to(self, host):
         """Return the :class:`PeerLink` to ``host``, created on first use."""
         link = self._links.get(host)
         if link is None:
             link = self._links[host] = PeerLink(self._vm, host, self._clock)
         return link
 
-    async def call(self, host, item, timeout=CALL_TIMEOUT_SECONDS):
+    async def call(self, host, message, timeout=CALL_TIMEOUT_SECONDS):
         """Call the VM on ``host``; see :meth:`PeerLink.call`."""
-        return await self.to(host).call(item, timeout)
+        return await self.link_to(host).call(message, timeout)
 
     async def close(self):
         """Close every link."""
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -76,10 +76,10 @@
                 await stream.send(Refused(ResultCode.BAD_REQUEST.number, "wrong key"))
                 return
             await stream.send(Accepted())
-            while (item := await stream.receive()) is not None:
+            while (message := await stream.receive()) is not None:
                 if self._vm.fence.contains(address[0]):
                     return
-                await stream.send(await self._answer(item, hello))
+                await stream.send(await self._answer(message, hello))
         except (OSError, ValueError, TypeError, TaskTimeout) as error:
             if not isinstance(error, OSError):
                 self._vm.journal.write(
@@ -88,7 +88,7 @@
         finally:
             self._vm.count_peer_bytes(stream.bytes_sent + stream.bytes_received)
         if hello is not None:
-            await self._vm.heartbeats.suspect(hello.vm)
+            await self._vm.heartbeats.start_probing(hello.vm)
 
     async def _authenticate(self, stream):
         nonce = token_bytes(NONCE_BYTES)
@@ -106,54 +106,58 @@
         keys = self._vm.settings.keys
         return hello if verify(keys, hello.signature, *parts) else None
 
-    async def _answer(self, item, hello):
-        handler = self._handlers.get(type(item))
+    async def _answer(self, message, hello):
+        handler = self._handlers.get(type(message))
         if handler is None:
             return Refused(ResultCode.BAD_REQUEST.number, "not a call")
         try:
-            return await handler(item, hello)
+            return await handler(message, hello)
         except PeerError as error:
             return Refused(ResultCode.NOT_HOME.number, str(error))
 
-    async def _heartbeat(self, item, hello):
+    async def _heartbeat(self, message, hello):
         vm = self._vm
-        accused = vm.membership.record_heartbeat(item)
-        await vm.configuration.fetch_if_newer(hello.host, item.version, item.vm_serial)
+        accused = vm.membership.record_heartbeat(message)
+        await vm.configuration.fetch_if_newer(
+            hello.host, message.version, message.vm_serial
+        )
         return HeartbeatAck(
-            item.sequence, accused, vm.membership.digest, vm.version, vm.vm_serial
+            message.sequence, accused, vm.membership.digest, vm.version, vm.vm_serial
         )
 
-    async def _view_exchange(self, item, hello):
-        self._vm.membership.merge(item.members)
+    async def _view_exchange(self, message, hello):
+        self._vm.membership.merge(message.members)
         return ViewExchange(self._vm.membership.records())
 
-    async def _acquire(self, item, hello):
-        return self._vm.homes.hand_over(item.vm, item.targets)
+    async def _acquire(self, message, hello):
+        return self._vm.homes.hand_over(message.vm, message.targets)
 
-    async def _released(self, item, hello):
-        self._vm.homes.record_released(item.target, item.use_id)
+    async def _released(self, message, hello):
+        self._vm.homes.record_released(message.target, message.use_id)
         return Accepted()
 
-    async def _occupancy_notice(self, item, hello):
-        self._vm.occupancy_records.record(item.vm, item.incarnation, item.covers)
+    async def _occupancy_notice(self, message, hello):
+        self._vm.occupancy_records.record(
+            message.vm, message.incarnation, message.covers
+        )
         return Accepted()
 
-    async def _lease_request(self, item, hello):
-        return self._vm.lease_granter.grant(item, hello.vm, hello.failure_domain)
+    async def _lease_request(self, message, hello):
+        return self._vm.lease_granter.grant(message, hello.vm, hello.failure_domain)
 
-    async def _lease_renewal(self, item, hello):
-        return self._vm.lease_granter.renew(item.lease_id)
+    async def _lease_renewal(self, message, hello):
+        return self._vm.lease_granter.renew(message.lease_id)
 
-    async def _lease_return(self, item, hello):
-        self._vm.ledger.return_lease(item.lease_id, item.slots)
+    async def _lease_return(self, message, hello):
+        self._vm.ledger.return_lease(message.lease_id, message.slots)
         return Accepted()
 
-    async def _close_out(self, item, hello):
-        if item.birth != self._vm.instance_id:
+    async def _close_out(self, message, hello):
+        if message.birth != self._vm.instance_id:
             return ClosedOut(EntryState.GONE.value, 0, [], b"")
         try:
             entry = self._vm.deduplication.close_out(
-                item.ticket_id, item.key, item.expires_at
+                message.ticket_id, message.key, message.expires_at
             )
         except RequestError:
             return ClosedOut(EntryState.UNKNOWN.value, 0, [], b"")
@@ -163,19 +167,21 @@
         headers = [list(pair) for pair in outcome.headers]
         return ClosedOut(entry.state.value, outcome.status, headers, outcome.body)
 
-    async def _fetch_configuration(self, item, hello):
-        keeper = self._vm.configuration
-        return Configuration(keeper.version, keeper.data)
+    async def _fetch_configuration(self, message, hello):
+        manager = self._vm.configuration
+        return Configuration(manager.version, manager.data)
 
-    async def _fetch_vms(self, item, hello):
+    async def _fetch_vms(self, message, hello):
         directory = self._vm.directory
         return VmListResponse(directory.serial, directory.to_fields())
 
-    async def _fetch_readiness(self, item, hello):
+    async def _fetch_readiness(self, message, hello):
         text = self._vm.text
         return Readiness({} if text is None else self._vm.readiness.usable())
 
-    async def _announcement(self, item, hello):
+    async def _announcement(self, message, hello):
         vm = self._vm
-        await vm.configuration.fetch_if_newer(hello.host, item.version, item.vm_serial)
+        await vm.configuration.fetch_if_newer(
+            hello.host, message.version, message.vm_serial
+        )
         return Announcement(vm.version, vm.vm_serial)
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -112,8 +112,8 @@
         self._version.set(vm.version)
         self._peers.set(vm.control_bytes)
         self._dropped.set(vm.dropped_log_lines)
-        self._live.set(len(vm.membership.live()))
-        self._may_act.set(vm.membership.may_act())
+        self._live.set(len(vm.membership.live_names()))
+        self._may_act.set(vm.membership.may_act_as_home())
         self._platform.set(vm.configuration.is_platform_available)
 
     def _counter(self, name, text, labels):
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -13,7 +13,7 @@
         "vm_serial": vm.vm_serial,
         "incarnation": vm.incarnation,
         "leaving": vm.leaving,
-        "may_act": vm.membership.may_act(),
+        "may_act": vm.membership.may_act_as_home(),
         "platform_answers": vm.configuration.is_platform_available,
         "control_bytes": vm.control_bytes,
         "members": [
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -207,7 +207,7 @@
     def requires_claims(self):
         """Return whether new tickets require claims.
 
-        They do while the platform is available.
+        They do only while the platform is available.
         """
         return self.configuration.is_platform_available
 
@@ -240,7 +240,7 @@
         """
         return self._retry_budgets.setdefault(service, RetryBudget())
 
-    def configuration_changed(self, text):
+    def apply_configuration(self, text):
         """Apply a new version of the configuration."""
         self._client_blocks = build_client_blocks(
             text.client_blocks, text.failure_domains
@@ -263,7 +263,7 @@
     def local_homes(self, service):
         """Return the live VMs of this failure domain, likely homes of a service first.
 
-        The homes follow from the VM list, which may be out of date.
+        The homes are computed from the VM list, which may be out of date.
         """
         domain = self._settings.failure_domain
         entries = {entry.name: entry for entry in self._available_vms(domain)}
@@ -281,7 +281,7 @@
         """Store an outcome in the table in the background."""
         await spawn(self.claims.record, ticket, key, outcome, daemon=True)
 
-    def request_leave(self):
+    def request_shutdown(self):
         """Begin a graceful shutdown."""
         self._leave_requested = True
 
@@ -290,8 +290,8 @@
         self._journal.write(
             Event.VM_STARTED, incarnation=self._incarnation, birth=self._instance_id
         )
-        signal.signal(signal.SIGTERM, lambda *_: self.request_leave())
-        signal.signal(signal.SIGINT, lambda *_: self.request_leave())
+        signal.signal(signal.SIGTERM, lambda *_: self.request_shutdown())
+        signal.signal(signal.SIGINT, lambda *_: self.request_shutdown())
         signal.signal(signal.SIGHUP, lambda *_: self._reload())
         self._listeners.listen()
         async with TaskGroup(wait=any) as group:
@@ -350,7 +350,7 @@
         await self.membership.leave()
         # Callers may use earlier look-ups until they expire.
         await sleep(self._settings.lookup_ttl + LEAVE_MARGIN_SECONDS)
-        # A request that arrived later could be interrupted by the end of the process.
+        # Without this, the process could exit during a request that arrives later.
         await self._listeners.close_to_callers()
         while self._listeners.is_busy:
             await sleep(CHECK_INTERVAL_SECONDS)
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests with at-most-once semantics: tickets, claims, repeats and close-outs."""
+"""Requests with at-most-once semantics: tickets, claims, client retries, close-outs."""
 
 from hashlib import sha256
 
@@ -16,7 +16,7 @@
 async def run_at_most_once(vm, call):
     """Run a non-idempotent request at most once and return its :class:`Outcome`.
 
-    A request without a ticket is sent to a target at most once too, but a repeat of it
+    A request without a ticket is also sent to a target at most once, but a client retry
     counts as another request.
 
     :raises RequestError: if there is no outcome; the code says whether the request ran.
@@ -36,7 +36,7 @@
 async def _run_as_owner(vm, call):
     entry, is_first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
     if not is_first:
-        return await _answer_repeat(vm, call, entry)
+        return await _answer_client_retry(vm, call, entry)
     state, outcome = EntryState.UNKNOWN, None
     try:
         await _claim(vm, call, entry)
@@ -55,10 +55,10 @@
         request=call.id,
         ticket=call.ticket.id,
         key=call.key,
-        claims=call.ticket.claims,
+        claims=call.ticket.requires_claims,
         status=outcome.status,
     )
-    if call.ticket.claims:
+    if call.ticket.requires_claims:
         await vm.record_outcome(call.ticket, call.key, outcome)
     return outcome
 
@@ -68,7 +68,7 @@
 
     :raises RequestError: if the request must not run.
     """
-    if not call.ticket.claims or entry.claimed:
+    if not call.ticket.requires_claims or entry.is_claimed:
         return
     try:
         claim = vm.claims.claim(call.ticket, call.key)
@@ -78,13 +78,13 @@
         message = "the claim could not be written, so the request was not run"
         raise RequestError(ResultCode.CLAIM_FAILED, message) from None
     if row.state is RowState.CLAIMED and row.writer == vm.instance_id:
-        entry.claimed = True
+        entry.is_claimed = True
         return
     message = "another VM closed this ticket and key"
     raise RequestError(ResultCode.TICKET_CLOSED, message)
 
 
-async def _answer_repeat(vm, call, entry):
+async def _answer_client_retry(vm, call, entry):
     """Return the outcome of the first run, waiting for it if necessary.
 
     :raises RequestError: if there is none.
@@ -143,7 +143,7 @@
 async def _fetch_state(vm, call):
     """Return ``(EntryState, Outcome or None)`` from the owner or the claim table."""
     state, outcome = await _query_owner(vm, call.ticket, call.key)
-    if state is not EntryState.GONE or not call.ticket.claims:
+    if state is not EntryState.GONE or not call.ticket.requires_claims:
         return state, outcome
     try:
         row = await vm.claims.close_out(call.ticket, call.key)
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -41,19 +41,19 @@
 class AttemptFailedError(RequestError):
     """An attempt without a usable response.
 
-    :param failure: the failure that counts against the health of the target:
-        ``connect``, ``lost``, ``bad answer`` or ``deadline``; ``None`` if the target
-        is not at fault.
+    :param health_failure: the kind of failure that counts against the health of the
+        target: ``connect``, ``lost``, ``bad answer`` or ``deadline``; ``None`` if the
+        target is not at fault.
     """
 
-    def __init__(self, code, message, failure=None, retry_at=None):
+    def __init__(self, code, message, health_failure=None, retry_at=None):
         super().__init__(code, message, retry_at)
-        self._failure = failure
+        self._health_failure = health_failure
 
     @property
-    def failure(self):
-        """Return the failure that counts against the target, or ``None``."""
-        return self._failure
+    def health_failure(self):
+        """Return the kind of failure that counts against the target, or ``None``."""
+        return self._health_failure
 
     @property
     def not_run(self):
@@ -141,7 +141,7 @@
     def timeout_error(self):
         """Return the :class:`AttemptFailedError` for a deadline that has passed."""
         if self._is_reading_body:
-            # The caller was too slow, so the target is not at fault.
+            # The caller sent its body too slowly, so the target is not at fault.
             code = ResultCode.DEADLINE_IN_RUN
             return AttemptFailedError(code, "the upload was too slow")
         if self._stream is None and not self._is_finished:
@@ -182,11 +182,12 @@
         self._bytes_sent_before = self._stream.bytes_sent
 
     async def _send(self):
-        # The deadline may have passed during a pause since the permit was issued.
+        # This process may have been paused since the slot was granted, and the deadline
+        # may have passed.
         if self._clock.now() >= self._call.deadline:
             code = ResultCode.DEADLINE_BEFORE_RUN
             raise AttemptFailedError(code, "the deadline passed before the run")
-        head = self._head()
+        head = self._make_request_head()
         if self._call.body is not None:
             events = [head]
             if self._call.body:
@@ -196,7 +197,7 @@
         await self._stream.send(head)
         await self._send_body()
 
-    def _head(self):
+    def _make_request_head(self):
         call = self._call
         headers = [
             (name, value)
@@ -294,7 +295,7 @@
         )
 
     def _has_sent_nothing(self):
-        # After the attempt the connection is gone, and the request may have run.
+        # After `finish`, the number of bytes sent is unknown: the request may have run.
         if self._is_finished:
             return False
         return (
--- a/src/heathercleat/request/call.py
+++ b/src/heathercleat/request/call.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from heathercleat.version.text import Semantics
+from heathercleat.version.text import DeliverySemantics
 
 
 @dataclass(slots=True)
@@ -35,17 +35,17 @@
     def cancels_on_disconnect(self):
         """Return whether to cancel the request when its caller disconnects.
 
-        An at-most-once request continues, because the caller can repeat it to get the
-        outcome. While the body is still being sent, reading it detects a disconnect.
+        An at-most-once request continues, because the caller can retry it to get the
+        outcome. While the caller still sends the body, reading it detects a disconnect.
         """
-        if self.kind.semantics is Semantics.AT_MOST_ONCE:
+        if self.kind.semantics is DeliverySemantics.AT_MOST_ONCE:
             return False
         return self.stream is not None and self.stream.is_request_complete
 
 
 @dataclass(slots=True)
 class Outcome:
-    """A complete response that is stored to answer repeats of the request."""
+    """A complete response that is stored to answer client retries of the request."""
 
     status: int
     headers: list
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -9,7 +9,7 @@
 from heathercleat.events import Event
 from heathercleat.request.ticket import issue_ticket
 from heathercleat.version.drain_ramp import ramp_position
-from heathercleat.version.text import Semantics
+from heathercleat.version.text import DeliverySemantics
 
 #: Maximum number of entry VMs in a response from the best failure domain, and of
 #: fallbacks from other domains.
@@ -74,7 +74,7 @@
 def _avoided(vm, service, client):
     """Return the failure domains that a client should avoid.
 
-    These are drained or not ready for all their callers.
+    These are failure domains that are drained or can't serve all their callers yet.
     """
     drained = vm.text.avoided_domains(client, vm.clock.wall())
     if vm.readiness.share(service) >= 1:
@@ -130,7 +130,9 @@
     The ticket is ``None`` if the service has no at-most-once requests or the caller
     should send them to another VM.
     """
-    is_needed = any(kind.semantics is Semantics.AT_MOST_ONCE for kind in service.kinds)
+    is_needed = any(
+        kind.semantics is DeliverySemantics.AT_MOST_ONCE for kind in service.kinds
+    )
     if not is_needed or vm.leaving or domain != vm.settings.failure_domain:
         return {"ticket": None}
     expires_at = now + vm.settings.ticket_ttl
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -22,12 +22,12 @@
     TARGET_HEADER,
     end_to_end,
 )
-from heathercleat.version.text import Semantics
+from heathercleat.version.text import DeliverySemantics
 
 #: Maximum number of attempts for one request, including the first.
 MAX_ATTEMPTS = 3
 #: Maximum size in bytes of a response to an at-most-once request. It is buffered, so
-#: that a caller that disconnected gets it when it repeats the request.
+#: that a caller that disconnected gets it when it retries the request.
 MAX_BUFFERED_RESPONSE_BYTES = 1 << 20
 SERVER_ERRORS = (500, 502, 503, 504)
 
@@ -58,7 +58,7 @@
 async def _run_attempts(vm, call, deliver):
     """Run attempts until one succeeds or no further one is allowed."""
     tried = set()
-    uncertain = None
+    uncertain_error = None
     budget = vm.retry_budget(call.service.name)
     budget.deposit()
     for number in range(1, MAX_ATTEMPTS + 1):
@@ -68,12 +68,12 @@
             target = _target_name(permit)
             return await _run_attempt(vm, call, permit, deliver)
         except RequestError as error:
-            # If an attempt may have run, report that rather than a later refusal.
-            if uncertain is None and error.code.run is not Run.NOT_RUN:
-                uncertain = error
+            # If the request may have run, report that rather than a later refusal.
+            if uncertain_error is None and error.code.run is not Run.NOT_RUN:
+                uncertain_error = error
             is_last = number == MAX_ATTEMPTS or target is None
             if is_last or not _may_retry(vm, call, error) or not budget.withdraw():
-                raise uncertain or error from None
+                raise uncertain_error or error from None
             tried.add(target)
             _log_retry(vm, call, target, error, budget)
 
@@ -139,23 +139,23 @@
 
 
 async def _announce_occupancy(vm, call, permit):
-    """Ensure that an announced bound covers the deadline before the request is sent."""
+    """Ensure that the announced occupancy bound of the target covers the deadline."""
     if isinstance(permit, LeasedPermit):
         return
     try:
-        await vm.occupancy_publisher.ensure(permit.target.name, call.deadline)
+        await vm.occupancy_publisher.ensure_announced(permit.target.name, call.deadline)
     except BaseException:
         await vm.admission.release(call, permit, is_finished=True)
         raise
 
 
 async def _exchange(vm, call, permit, attempt, deliver):
-    at_most_once = call.kind.semantics is Semantics.AT_MOST_ONCE
+    at_most_once = call.kind.semantics is DeliverySemantics.AT_MOST_ONCE
     if not at_most_once and call.stream.is_request_complete and call.stream.is_closed():
         raise CallerDisconnectedError
     await attempt.send(fresh=at_most_once)
     if at_most_once and call.lease_id is None:
-        # Continue if the caller disconnects: a repeat returns the outcome.
+        # Continue if the caller disconnects: a client retry returns the outcome.
         return await _receive(vm, call, permit, attempt, deliver)
     watcher = await spawn(_watch_caller, call, attempt)
     try:
@@ -202,12 +202,12 @@
     if status in REFUSAL_STATUSES:
         vm.health.record_refusal(permit.target)
         trusted = call.service.trust_refusals
-        if trusted or call.kind.semantics is Semantics.IDEMPOTENT:
+        if trusted or call.kind.semantics is DeliverySemantics.IDEMPOTENT:
             code = ResultCode.TARGET_REFUSED if trusted else ResultCode.ANSWER_LOST
             raise AttemptFailedError(code, f"{permit.target.name} answered {status}")
     if status in SERVER_ERRORS:
         vm.health.record_failure(permit.target, "status")
-        if call.kind.semantics is Semantics.IDEMPOTENT and status != 500:
+        if call.kind.semantics is DeliverySemantics.IDEMPOTENT and status != 500:
             code = ResultCode.ANSWER_LOST
             raise AttemptFailedError(code, f"{permit.target.name} answered {status}")
 
@@ -223,8 +223,8 @@
     if isinstance(permit, LeasedPermit):
         # The granter refused the request or is unreachable.
         vm.lease_holder.discard(permit.lease)
-    elif error.failure is not None:
-        vm.health.record_failure(permit.target, error.failure)
+    elif error.health_failure is not None:
+        vm.health.record_failure(permit.target, error.health_failure)
 
 
 def _may_retry(vm, call, error):
@@ -237,7 +237,7 @@
         return False
     if error.code.run is Run.NOT_RUN:
         return error.code is not ResultCode.BODY_TOO_LARGE
-    return call.kind.semantics is Semantics.IDEMPOTENT
+    return call.kind.semantics is DeliverySemantics.IDEMPOTENT
 
 
 async def _stream_response(call, attempt, target, extra_headers):
--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -1,9 +1,9 @@
-"""Tickets: the right of one process to run non-idempotent requests.
+"""Tickets: permission for one process to run non-idempotent requests.
 
 A ticket names one process of one VM. Only that process runs requests under the ticket,
-so each key runs at most once without coordination between VMs. If ``claims`` is set,
-each run also requires a claim in the platform's table, from which another VM can learn
-what ran after the process has exited.
+so each key runs at most once without coordination between VMs. If ``requires_claims``
+is true, each run also requires a claim in the platform's table. After the process has
+exited, other VMs can learn from the claims which requests it ran.
 """
 
 from base64 import urlsafe_b64decode, urlsafe_b64encode
@@ -29,14 +29,16 @@
     vm: str
     instance_id: str
     service: str
-    claims: bool
+    requires_claims: bool
     expires_at: float
 
 
-def issue_ticket(keys, vm, instance_id, service, claims, expires_at):
+def issue_ticket(keys, vm, instance_id, service, requires_claims, expires_at):
     """Return a new ticket, signed with the first of ``keys`` and encoded as text."""
     ticket_id = token_hex(_ID_BYTES)
-    data = msgpack.packb([ticket_id, vm, instance_id, service, claims, expires_at])
+    data = msgpack.packb(
+        [ticket_id, vm, instance_id, service, requires_claims, expires_at]
+    )
     return urlsafe_b64encode(sign(keys[0], b"ticket", data) + data).decode()
 
 
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -8,6 +8,7 @@
 from bisect import bisect_right
 from ipaddress import ip_address, ip_network
 
+#: Domain index of address ranges without a failure domain.
 NO_DOMAIN = 0xFFFF
 
 
@@ -21,10 +22,10 @@
     def __init__(self, domains, ranges):
         self._domains = domains
         self._starts = array("I")
-        self._values = array("H")
-        for start, value in ranges:
+        self._domain_indexes = array("H")
+        for start, domain_index in ranges:
             self._starts.append(start)
-            self._values.append(value)
+            self._domain_indexes.append(domain_index)
 
     def __len__(self):
         return len(self._starts)
@@ -32,9 +33,9 @@
     @property
     def size_bytes(self):
         """Return the size of the packed arrays, in bytes."""
-        return self._starts.itemsize * len(self._starts) + self._values.itemsize * len(
-            self._values
-        )
+        return self._starts.itemsize * len(
+            self._starts
+        ) + self._domain_indexes.itemsize * len(self._domain_indexes)
 
     def find(self, address):
         """Return the failure domain of an IPv4 address, or ``None``."""
@@ -45,8 +46,8 @@
         index = bisect_right(self._starts, number) - 1
         if index < 0:
             return None
-        value = self._values[index]
-        return None if value == NO_DOMAIN else self._domains[value]
+        domain_index = self._domain_indexes[index]
+        return None if domain_index == NO_DOMAIN else self._domains[domain_index]
 
     def assign_range(self, first, last, domain):
         """Assign a range of addresses to a failure domain.
@@ -55,23 +56,25 @@
         :param last: the last address, inclusive.
         :param domain: one of the table's failure domains, or ``None``.
         """
-        value = NO_DOMAIN if domain is None else self._domains.index(domain)
+        domain_index = NO_DOMAIN if domain is None else self._domains.index(domain)
         first_index = bisect_right(self._starts, first) - 1
         last_index = bisect_right(self._starts, last) - 1
-        after = NO_DOMAIN if last_index < 0 else self._values[last_index]
+        following_domain_index = (
+            NO_DOMAIN if last_index < 0 else self._domain_indexes[last_index]
+        )
         begin = (
             first_index
             if first_index >= 0 and self._starts[first_index] == first
             else first_index + 1
         )
         end = last_index + 1
-        starts, values = array("I", [first]), array("H", [value])
+        starts, domain_indexes = array("I", [first]), array("H", [domain_index])
         has_adjacent_range = end < len(self._starts) and self._starts[end] == last + 1
         if last < 0xFFFFFFFF and not has_adjacent_range:
             starts.append(last + 1)
-            values.append(after)
+            domain_indexes.append(following_domain_index)
         self._starts[begin:end] = starts
-        self._values[begin:end] = values
+        self._domain_indexes[begin:end] = domain_indexes
 
 
 def build_client_blocks(blocks, domains):
--- a/src/heathercleat/version/document.py
+++ b/src/heathercleat/version/document.py
@@ -35,7 +35,8 @@
 class Document:
     """A configuration: the source text and the planned drains by id.
 
-    A drain is ``[scope, name, at]``, with a fourth field ``until`` once cancelled.
+    A drain is ``[scope, name, start]``, followed by the time of cancellation if it was
+    cancelled; times are in epoch seconds.
     """
 
     source: str
--- a/src/heathercleat/version/domain_ranking.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -39,7 +39,7 @@
         return sum(
             min(
                 (
-                    self._text.distance(domain, other)
+                    self._text.latency_between(domain, other)
                     for other in self.serving_domains(each)
                 ),
                 default=0.0,
@@ -56,7 +56,7 @@
         serving_domains = self.serving_domains(service)
 
         def sort_key(domain):
-            latency = self._text.distance(caller_domain, domain)
+            latency = self._text.latency_between(caller_domain, domain)
             total = latency + self.dependency_latency(service, domain)
             is_last_choice = domain not in serving_domains or domain in self._avoided
             return is_last_choice, total, latency, domain
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -3,7 +3,7 @@
 Callers of a drained failure domain are redirected to other failure domains. To stay
 within the shift caps of the services, they move one after the other: each caller has a
 position between 0 and 1, a hash of its address, and moves when the share of callers
-that have to be away exceeds its position.
+that must have moved exceeds its position.
 """
 
 from functools import lru_cache
@@ -51,24 +51,28 @@
             return frozenset()
         position = ramp_position(caller)
         return frozenset(
-            drain.name
+            drain.drained_name
             for drain in drains
-            if departed_share(drain, self.ramp_seconds(drain.name), wall_time)
+            if moved_share(drain, self.ramp_seconds(drain.drained_name), wall_time)
             > position
         )
 
 
-def departed_share(drain, ramp_seconds, wall_time):
-    """Return the share of a domain's callers that have to be away at ``wall_time``.
+def moved_share(drain, ramp_seconds, wall_time):
+    """Return the share of a domain's callers that must have moved at ``wall_time``.
 
     It rises linearly to 1 over the ``ramp_seconds`` before the drain begins, and falls
     to 0 at the same rate after the drain was cancelled.
     """
-    if drain.until is None or wall_time < drain.until:
-        return _rising_share(drain.at, ramp_seconds, wall_time)
-    share_at_cancellation = _rising_share(drain.at, ramp_seconds, drain.until)
+    if drain.cancelled_at is None or wall_time < drain.cancelled_at:
+        return _rising_share(drain.starts_at, ramp_seconds, wall_time)
+    share_at_cancellation = _rising_share(
+        drain.starts_at, ramp_seconds, drain.cancelled_at
+    )
     return (
-        max(0.0, share_at_cancellation - (wall_time - drain.until) / ramp_seconds)
+        max(
+            0.0, share_at_cancellation - (wall_time - drain.cancelled_at) / ramp_seconds
+        )
         if ramp_seconds
         else 0.0
     )
@@ -80,10 +84,12 @@
     return rendezvous_weight("ramp", caller) / _POSITIONS
 
 
-def _rising_share(at, ramp_seconds, wall_time):
-    if wall_time >= at:
+def _rising_share(starts_at, ramp_seconds, wall_time):
+    if wall_time >= starts_at:
         return 1.0
-    return max(0.0, 1.0 - (at - wall_time) / ramp_seconds) if ramp_seconds else 0.0
+    return (
+        max(0.0, 1.0 - (starts_at - wall_time) / ramp_seconds) if ramp_seconds else 0.0
+    )
 
 
 def _service_ramp_seconds(service, failure_domain):
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -2,7 +2,7 @@
 
 Instants are in epoch seconds. Limits of regions, links and shift caps are divided over
 the targets in whole slots, so that the home of each target can enforce its share with a
-local counter. The shares never add up to more than the configured limit.
+local counter. The sum of the shares never exceeds the configured limit.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 from heathercleat.version.placement import Placement
 from heathercleat.version.validation import find_schema_faults, find_semantic_faults
 
-DEFAULT_BODY_LIMIT = 1 << 20
+DEFAULT_BODY_LIMIT_BYTES = 1 << 20
 DEFAULT_CONNECTIONS = 400
 DEFAULT_QUEUE_LIMIT = 64
 DEFAULT_QUEUE_WAIT_MS = 500
@@ -23,7 +23,7 @@
 DEFAULT_REGION_LATENCY_MS = 50.0
 
 
-class Semantics(Enum):
+class DeliverySemantics(Enum):
     """Delivery semantics of a request, and whether its body can be resent."""
 
     IDEMPOTENT = "idempotent"
@@ -50,7 +50,7 @@
     name: str
     method: str
     path: str
-    semantics: Semantics
+    semantics: DeliverySemantics
     timeout: float
     weight: int
     body_limit: int
@@ -62,7 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ShiftCap:
-    """Limit on the slots of spill added to a target within ``window`` seconds."""
+    """Limit on the rise of a target's use by other failure domains.
+
+    Within ``window`` seconds, the number of slots that they use may rise by ``slots``.
+    """
 
     slots: int
     window: float
@@ -125,44 +128,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A planned drain from ``at`` to ``until``, in epoch seconds.
+    """A planned drain; ``drained_name`` names a target, VM or failure domain.
 
-    ``until`` is ``None`` unless the drain was cancelled. A cancelled drain is kept
-    until all callers have returned.
+    ``starts_at`` and ``cancelled_at`` are epoch seconds; ``cancelled_at`` is ``None``
+    unless the drain was cancelled. A cancelled drain is kept until all callers have
+    returned.
     """
 
     id: str
     scope: DrainScope
-    name: str
-    at: float
-    until: float | None = None
+    drained_name: str
+    starts_at: float
+    cancelled_at: float | None = None
 
     def in_force(self, now):
         """Return whether the drain has begun and is not cancelled at ``now``."""
-        return self.at <= now and (self.until is None or now < self.until)
+        return self.starts_at <= now and (
+            self.cancelled_at is None or now < self.cancelled_at
+        )
 
     def covers(self, target, now):
         """Return whether the drain keeps new requests from ``target`` at ``now``."""
         if not self.in_force(now):
             return False
         if self.scope is DrainScope.TARGET:
-            return self.name == target.name
+            return self.drained_name == target.name
         if self.scope is DrainScope.FAILURE_DOMAIN:
-            return self.name == target.failure_domain
+            return self.drained_name == target.failure_domain
         return False
 
 
 @dataclass(slots=True)
 class Text:
-    """A parsed version of the operators' configuration."""
+    """A parsed version of the operators' configuration; latencies are in seconds."""
 
     regions: dict
     services: dict
     drains: dict
     client_blocks: dict
     failure_domains: dict
-    fd_latency: float
-    region_latency: float
+    latency_within_region: float
+    latency_between_regions: float
     placement: Placement
     ramps: DrainRamps
     links: dict = field(default_factory=dict)
@@ -171,7 +177,7 @@
         """Return the region of a failure domain, or ``None``."""
         return self.failure_domains.get(failure_domain)
 
-    def distance(self, one, other):
+    def latency_between(self, one, other):
         """Return the one-way latency between two failure domains, in seconds."""
         if one == other:
             return 0.0
@@ -179,12 +185,14 @@
         if link is not None and link.latency is not None:
             return link.latency
         if self.region_of(one) == self.region_of(other):
-            return self.fd_latency
-        return self.region_latency
+            return self.latency_within_region
+        return self.latency_between_regions
 
     def nearest(self, domain, others):
         """Return failure domains in ascending order of latency from ``domain``."""
-        return sorted(others, key=lambda other: (self.distance(domain, other), other))
+        return sorted(
+            others, key=lambda other: (self.latency_between(domain, other), other)
+        )
 
     def link_limit(self, one, other):
         """Return the maximum number of slots in use across a link, or ``None``."""
@@ -234,11 +242,11 @@
         for drain in self.drains.values():
             if not drain.in_force(now):
                 continue
-            if drain.scope is DrainScope.VM and drain.name == vm:
+            if drain.scope is DrainScope.VM and drain.drained_name == vm:
                 return drain
             if (
                 drain.scope is DrainScope.FAILURE_DOMAIN
-                and drain.name == failure_domain
+                and drain.drained_name == failure_domain
             ):
                 return drain
         return None
@@ -263,7 +271,7 @@
     faults = list(find_schema_faults(document)) or list(find_semantic_faults(document))
     if faults:
         raise FindingsError(name, _locate_faults(source, faults))
-    return _build(document)
+    return _build_configuration(document)
 
 
 def _locate_faults(source, faults):
@@ -275,10 +283,10 @@
     return sorted(findings, key=lambda finding: (finding.line, finding.column))
 
 
-def _build(document):
+def _build_configuration(document):
     regions = document["regions"]
     latency = document.get("latency", {})
-    services = dict(_services(document))
+    services = dict(_build_services(document))
     return Text(
         regions=regions,
         services=services,
@@ -294,8 +302,10 @@
             for region, entry in regions.items()
             for domain in entry["failure_domains"]
         },
-        fd_latency=latency.get("failure_domains_ms", DEFAULT_FD_LATENCY_MS) / 1000,
-        region_latency=latency.get("regions_ms", DEFAULT_REGION_LATENCY_MS) / 1000,
+        latency_within_region=latency.get("failure_domains_ms", DEFAULT_FD_LATENCY_MS)
+        / 1000,
+        latency_between_regions=latency.get("regions_ms", DEFAULT_REGION_LATENCY_MS)
+        / 1000,
         links={
             frozenset(entry["between"]): Link(
                 _seconds(entry.get("one_way_ms")), entry.get("limit")
@@ -305,7 +315,7 @@
     )
 
 
-def _services(document):
+def _build_services(document):
     region_shares = _region_shares(document)
     for name, entry in document["services"].items():
         queue = entry.get("queue", {})
@@ -319,26 +329,26 @@
                 queue_wait=queue.get("wait_ms", DEFAULT_QUEUE_WAIT_MS) / 1000,
                 min_slots=entry.get("min_slots"),
                 trust_refusals=entry.get("trust_refusals", False),
-                kinds=tuple(_kinds(entry["requests"])),
-                targets=dict(_targets(name, entry, region_shares)),
+                kinds=tuple(_build_kinds(entry["requests"])),
+                targets=dict(_build_targets(name, entry, region_shares)),
             ),
         )
 
 
-def _kinds(entries):
+def _build_kinds(entries):
     for entry in entries:
         yield RequestKind(
             name=entry["kind"],
             method=entry["method"],
             path=entry["path"],
-            semantics=Semantics(entry["run"]),
+            semantics=DeliverySemantics(entry["run"]),
             timeout=entry["timeout_ms"] / 1000,
             weight=entry.get("weight", 1),
-            body_limit=entry.get("body_limit", DEFAULT_BODY_LIMIT),
+            body_limit=entry.get("body_limit", DEFAULT_BODY_LIMIT_BYTES),
         )
 
 
-def _targets(service, entry, region_shares):
+def _build_targets(service, entry, region_shares):
     shift = entry.get("shift_cap")
     shares = _divide_slots(
         shift["slots"] if shift else 0,
--- a/src/heathercleat/version/version_transition.py
+++ b/src/heathercleat/version/version_transition.py
@@ -8,16 +8,16 @@
 
 from dataclasses import dataclass, replace
 
-#: Time until an accepted version is in force on all VMs.
+#: Seconds until an accepted version is in force on all VMs.
 PROPAGATION_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
 class SupersededText:
-    """A version that other homes may use until ``until``, a monotonic instant."""
+    """A version that other homes may use until ``expires_at``, a monotonic instant."""
 
     text: object
-    until: float
+    expires_at: float
 
 
 class VersionTransition:
@@ -45,7 +45,7 @@
 
     def expire_superseded(self, now):
         """Drop the expired versions; return whether there were any."""
-        expired = [each for each in self._superseded if each.until <= now]
+        expired = [each for each in self._superseded if each.expires_at <= now]
         for each in expired:
             self._superseded.remove(each)
         return bool(expired)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -101,7 +101,7 @@
         self._respond = respond
         self.calls = []
 
-    def to(self, host):
+    def link_to(self, host):
         return FakeLink()
 
     async def call(self, host, item, timeout=None):
@@ -138,7 +138,7 @@
     def renew_incarnation(self):
         self.incarnation += 1
 
-    def configuration_changed(self, text):
+    def apply_configuration(self, text):
         self.changes.append(text)
 
     async def fetch_if_newer(self, host, version, vm_serial):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -24,7 +24,7 @@
 class FakeMembership:
     can_act = True
 
-    def may_act(self):
+    def may_act_as_home(self):
         return self.can_act
 
 
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -35,7 +35,7 @@
     membership = Membership(vm, links, clock)
     clock.time += SETTLE_SECONDS
     membership.record_tick()
-    membership.record(record())
+    membership.apply_record(record())
     return links, clock, membership, OccupancyPublisher(vm, membership, links, clock)
 
 
@@ -49,32 +49,32 @@
 
 def test_short_requests_need_no_occupancy_bound():
     links, clock, _, publisher = make_parts()
-    run(publisher.ensure, "t", clock.time + MAX_UNANNOUNCED_SECONDS)
+    run(publisher.ensure_announced, "t", clock.time + MAX_UNANNOUNCED_SECONDS)
     assert not links.calls
 
 
 def test_bound_of_long_requests_is_announced_once_for_a_while():
     links, clock, _, publisher = make_parts()
-    run(publisher.ensure, "t", clock.time + 10)
-    run(publisher.ensure, "t", clock.time + 11)
+    run(publisher.ensure_announced, "t", clock.time + 10)
+    run(publisher.ensure_announced, "t", clock.time + 11)
     assert len(bounds_sent(links)) == 1
     assert bounds_sent(links)[0]["t"][0] >= clock.time + 11
-    run(publisher.ensure, "t", clock.time + 60)
+    run(publisher.ensure_announced, "t", clock.time + 60)
     assert len(bounds_sent(links)) == 2
 
 
 def test_long_request_is_refused_if_a_monitor_does_not_acknowledge():
     _, clock, _, publisher = make_parts(lambda host, item: None)
     with pytest.raises(HeathercleatError) as caught:
-        run(publisher.ensure, "t", clock.time + 10)
+        run(publisher.ensure_announced, "t", clock.time + 10)
     assert caught.value.code is ResultCode.NO_ROOM
 
 
 def test_restarted_monitor_receives_the_bounds_again():
     links, clock, membership, publisher = make_parts()
-    run(publisher.ensure, "t", clock.time + 10)
-    membership.record(record(incarnation=2))
-    run(publisher.ensure, "t", clock.time + 10)
+    run(publisher.ensure_announced, "t", clock.time + 10)
+    membership.apply_record(record(incarnation=2))
+    run(publisher.ensure_announced, "t", clock.time + 10)
     assert len(bounds_sent(links)) == 2
 
 
@@ -85,7 +85,7 @@
     assert list(records.bounds_for(["t"])) == []
     membership.record_heartbeat(heartbeat())
     clock.time += 2.0
-    membership.record(record(state="dead"))
+    membership.apply_record(record(state="dead"))
     assert list(records.bounds_for(["t", "u"])) == [make_bound(150.0)]
     records.clear()
     assert list(records.bounds_for(["t"])) == []
@@ -97,7 +97,7 @@
     records.record("north-a-2", 1, {"t": [150.0, 0.0]})
     membership.record_heartbeat(heartbeat())
     clock.time += 60.0
-    membership.record(record(state="dead"))
+    membership.apply_record(record(state="dead"))
     assert list(records.bounds_for(["t"])) == []
 
 
@@ -150,7 +150,7 @@
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
-    membership.record(record(vm="north-a-3", state="dead"))
+    membership.apply_record(record(vm="north-a-3", state="dead"))
     find_exited(membership, clock)
     assert list(records.bounds_for(["t"])) == [make_bound(150.0)]
 
@@ -158,7 +158,7 @@
 def test_notice_lists_bounds_of_earlier_homes_separately():
     links, clock, _, publisher = make_parts()
     run(publisher.update, {"t": 103.0})
-    run(publisher.ensure, "t", clock.time + 10)
+    run(publisher.ensure_announced, "t", clock.time + 10)
     assert bounds_sent(links)[-1]["t"] == [clock.time + 15, 103.0]
 
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -51,7 +51,7 @@
 
     def record(self, host, state):
         name = f"north-a-{host[-1]}"
-        self.membership.record(MemberRecord(name, host, "north-a", 1, state))
+        self.membership.apply_record(MemberRecord(name, host, "north-a", 1, state))
 
     def respond(self, host, item):
         self.calls.append(item)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -64,21 +64,21 @@
 
 def test_single_vm_may_act_after_the_settle_time(vm, clock):
     membership = Membership(vm, FakeLinks(), clock)
-    assert not membership.may_act()
+    assert not membership.may_act_as_home()
     clock.time += SETTLE_SECONDS
     tick(membership)
-    assert membership.may_act()
+    assert membership.may_act_as_home()
 
 
 def test_right_to_act_expires_without_acknowledgements(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record())
+    membership.apply_record(record())
     send_heartbeat(vm, membership, clock)
-    assert membership.may_act()
+    assert membership.may_act_as_home()
     for _ in range(5):
         clock.time += HOME_LEASE_SECONDS / 4
         tick(membership)
-    assert not membership.may_act()
+    assert not membership.may_act_as_home()
 
 
 def test_paused_vm_may_not_act_before_it_settles_again(vm, clock):
@@ -86,11 +86,11 @@
     dropped = []
     membership.on_new_incarnation(lambda: dropped.append(True))
     clock.time += DEAD_AFTER_SECONDS
-    assert not membership.may_act()
+    assert not membership.may_act_as_home()
     tick(membership)
     assert dropped
     assert vm.incarnation == 2
-    assert not membership.may_act()
+    assert not membership.may_act_as_home()
 
 
 def test_home_lease_expires_before_a_monitor_declares_death():
@@ -99,13 +99,13 @@
 
 def test_silent_member_is_declared_dead_after_the_timeout(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record())
+    membership.apply_record(record())
 
     def live_after(seconds):
         clock.time += seconds
         tick(membership)
         run(make_heartbeats(vm, membership, clock).detect_failures)
-        return membership.live()
+        return membership.live_names()
 
     assert "north-a-2" in live_after(0.7)
     assert "north-a-2" in live_after(0.7)
@@ -114,18 +114,18 @@
 
 def test_pause_of_the_monitor_restarts_its_observation(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record())
+    membership.apply_record(record())
     clock.time += 10
     tick(membership)
     clock.time += SETTLE_SECONDS
     tick(membership)
     run(make_heartbeats(vm, membership, clock).detect_failures)
-    assert "north-a-2" in membership.live()
+    assert "north-a-2" in membership.live_names()
 
 
 def test_monitor_that_stalls_often_still_declares_a_silent_member_dead(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record())
+    membership.apply_record(record())
     for _ in range(1 + ceil(DEAD_AFTER_SECONDS / SETTLE_SECONDS)):
         clock.time += 2 * PAUSE_GAP_SECONDS
         tick(membership)
@@ -133,14 +133,14 @@
             clock.time += SETTLE_SECONDS / 2
             tick(membership)
             run(make_heartbeats(vm, membership, clock).detect_failures)
-    assert "north-a-2" not in membership.live()
+    assert "north-a-2" not in membership.live_names()
 
 
 def test_record_of_the_death_of_this_vm_is_refuted(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record(vm="north-a-1", incarnation=1, state="dead"))
+    membership.apply_record(record(vm="north-a-1", incarnation=1, state="dead"))
     assert vm.incarnation == 2
-    assert "north-a-1" in membership.live()
+    assert "north-a-1" in membership.live_names()
 
 
 @pytest.mark.parametrize(
@@ -151,21 +151,21 @@
     vm, clock, incarnation, state, live
 ):
     membership = make_membership(vm, clock)
-    membership.record(record(state="dead"))
-    membership.record(record(incarnation=incarnation, state=state))
-    assert ("north-a-2" in membership.live()) is live
+    membership.apply_record(record(state="dead"))
+    membership.apply_record(record(incarnation=incarnation, state=state))
+    assert ("north-a-2" in membership.live_names()) is live
 
 
 def test_heartbeat_ack_reports_a_dead_incarnation(vm, clock):
     membership = make_membership(vm, clock)
-    membership.record(record(state="dead"))
+    membership.apply_record(record(state="dead"))
     assert membership.record_heartbeat(heartbeat()) is True
     assert membership.record_heartbeat(heartbeat(incarnation=2)) is False
-    assert "north-a-2" in membership.live()
+    assert "north-a-2" in membership.live_names()
 
 
 def test_heartbeats_go_to_at_most_three_monitors(vm, clock):
     membership = make_membership(vm, clock)
     for number in range(2, 165):
-        membership.record(record(vm=f"north-a-{number}"))
+        membership.apply_record(record(vm=f"north-a-{number}"))
     assert len(membership.monitors()) == 3
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -37,7 +37,11 @@
 def test_ticket_is_read_as_it_was_issued():
     text = issue_ticket(KEYS, "vm", "birth", "rules", True, 12.0)
     ticket = read_ticket(KEYS, text)
-    assert (ticket.vm, ticket.instance_id, ticket.claims) == ("vm", "birth", True)
+    assert (ticket.vm, ticket.instance_id, ticket.requires_claims) == (
+        "vm",
+        "birth",
+        True,
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -14,7 +14,7 @@
     schedule_drain,
 )
 from heathercleat.version.document import Document
-from heathercleat.version.drain_ramp import departed_share, ramp_position
+from heathercleat.version.drain_ramp import moved_share, ramp_position
 from heathercleat.version.text import Drain, DrainScope
 from standins.fleet import Fleet, wait_for
 from standins.load import Load
@@ -86,22 +86,22 @@
     [(90, 0), (94, 0), (97, 0.5), (99.4, 0.9), (100, 1), (500, 1)],
 )
 def test_callers_move_away_before_the_drain_begins(wall_time, share):
-    assert departed_share(make_drain(), RAMP_SECONDS, wall_time) == pytest.approx(share)
+    assert moved_share(make_drain(), RAMP_SECONDS, wall_time) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(
     ("wall_time", "share"), [(200, 1), (203, 0.5), (206, 0), (999, 0)]
 )
 def test_callers_return_after_a_cancelled_drain(wall_time, share):
-    assert departed_share(
+    assert moved_share(
         make_drain(until=200.0), RAMP_SECONDS, wall_time
     ) == pytest.approx(share)
 
 
 def test_drain_cancelled_during_its_ramp_returns_callers():
     drain = make_drain(until=97.0)
-    assert departed_share(drain, RAMP_SECONDS, 97.0) == pytest.approx(0.5)
-    assert departed_share(drain, RAMP_SECONDS, 100.0) == pytest.approx(0.0)
+    assert moved_share(drain, RAMP_SECONDS, 97.0) == pytest.approx(0.5)
+    assert moved_share(drain, RAMP_SECONDS, 100.0) == pytest.approx(0.0)
 
 
 @given(
@@ -115,7 +115,7 @@
     at, cancelled_after, wall_time, later
 ):
     drain = make_drain(at, at + cancelled_after)
-    change = departed_share(drain, RAMP_SECONDS, wall_time + later) - departed_share(
+    change = moved_share(drain, RAMP_SECONDS, wall_time + later) - moved_share(
         drain, RAMP_SECONDS, wall_time
     )
     assert abs(change) * SLOTS <= CAP_SLOTS + 1e-6
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -104,7 +104,7 @@
     for number in range(2, MANY_VMS):
         host = f"127.0.1.{number}"
         record = MemberRecord(f"{here}-{number}", host, here, 0, "live")
-        parts.membership.record(record)
+        parts.membership.apply_record(record)
     assert not parts.vm.homes.desired()
     assert parts.tracker.share(parts.service) == 0
     parts.poll_homes()
@@ -115,7 +115,7 @@
     parts = Parts()
 
     async def act():
-        waiting = await spawn(parts.tracker.wait_first_round)
+        waiting = await spawn(parts.tracker.wait_for_first_poll)
         await sleep(0)
         assert not waiting.terminated
         await parts.tracker._poll_homes()
