--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -290,4 +290,4 @@
         await send_response(self._stream, message)
 
     def _close_header(self):
-        return {"connection": "close"} if self._vm.leaving else {}
+        return {"connection": "close"} if self._vm.is_leaving else {}
--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -57,14 +57,14 @@
 class PendingWrite:
     """A queued write of a row, on condition that the row is at ``version``.
 
-    ``done`` is set after the transaction, once ``conflict`` or ``error`` is known.
+    ``done`` is set after the transaction, once ``has_conflict`` or ``error`` is known.
     """
 
     key: str
     value: bytes
     version: int
     done: Signal
-    conflict: bool = False
+    has_conflict: bool = False
     error: PlatformError | None = None
 
 
@@ -155,7 +155,7 @@
         await pending.done.wait()
         if pending.error is not None:
             raise pending.error
-        return pending.conflict
+        return pending.has_conflict
 
     async def _write_batch(self, batch):
         while batch:
@@ -163,12 +163,12 @@
             if conflicts is None:
                 return
             for pending in batch:
-                pending.conflict = pending.key in conflicts
-                if pending.conflict or not conflicts:
+                pending.has_conflict = pending.key in conflicts
+                if pending.has_conflict or not conflicts:
                     await pending.done.set()
             if not conflicts:
                 return
-            batch = [pending for pending in batch if not pending.conflict]
+            batch = [pending for pending in batch if not pending.has_conflict]
 
     async def _transact(self, batch):
         """Send one transaction.
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -264,7 +264,7 @@
         try:
             await self._request_leases(queue, waiter)
             await self._wait_until(waiter, give_up_at)
-            if waiter.permit is None and not waiter.evicted:
+            if waiter.permit is None and not waiter.is_evicted:
                 # A slot may have become free while this process was stalled.
                 await self.admit_queued(request.service.name)
         except BaseException:
@@ -273,7 +273,7 @@
         queue.remove(waiter)
         if waiter.permit is None:
             return self._claim_slow_or_refuse(
-                waiter, "evicted" if waiter.evicted else "waited"
+                waiter, "evicted" if waiter.is_evicted else "waited"
             )
         self._log_permit(request, waiter.permit, self._clock.now() - waiter.queued_at)
         return waiter.permit
@@ -293,12 +293,12 @@
         finally:
             if watcher is not None:
                 await watcher.cancel()
-        if waiter.caller_left:
+        if waiter.has_caller_left:
             raise CallerDisconnectedError
 
     async def _watch_caller(self, waiter):
         if await waiter.request.stream.wait_closed():
-            waiter.caller_left = True
+            waiter.has_caller_left = True
             await waiter.signal.set()
 
     async def _enqueue(self, queue, waiter):
@@ -314,7 +314,7 @@
         queue.remove(evicted_waiter)
         if evicted_waiter is waiter:
             return False
-        evicted_waiter.evicted = True
+        evicted_waiter.is_evicted = True
         await evicted_waiter.signal.set()
         return True
 
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -192,7 +192,7 @@
         return self._desired_pairs
 
     def _assigned(self):
-        if self._membership.leaving:
+        if self._membership.is_leaving:
             return
         live = self._membership.live_names()
         domain = self._vm.settings.failure_domain
@@ -250,12 +250,12 @@
             return None
 
     def _add_pending(self, handovers):
-        until = self._clock.now() + HANDOVER_RETENTION_SECONDS
+        expires_at = self._clock.now() + HANDOVER_RETENTION_SECONDS
         for handover in handovers:
             if handover is None:
                 continue
             for name, holds in handover.targets.items():
-                pending = PendingHandover(holds, handover.levels[name], until)
+                pending = PendingHandover(holds, handover.levels[name], expires_at)
                 self._pending.setdefault(name, []).append(pending)
 
     def _pop_pending(self, name):
@@ -277,16 +277,16 @@
         pending = self._pop_pending(target.name)
         for each in pending:
             for use_id, wall, domain in each.holds:
-                until = from_wall(self._clock, wall) + MAX_CLOCK_SKEW_SECONDS
-                holds.append(Hold(until, use_id, domain))
+                expires_at = from_wall(self._clock, wall) + MAX_CLOCK_SKEW_SECONDS
+                holds.append(Hold(expires_at, use_id, domain))
             for wall, level in each.levels:
                 levels.append(
                     (from_wall(self._clock, wall) + MAX_CLOCK_SKEW_SECONDS, level)
                 )
         if not pending:
-            until = self._occupied_until(service, target, handovers)
-            until += MAX_CLOCK_SKEW_SECONDS + CANCEL_GRACE_SECONDS
-            holds = [Hold(until) for _ in range(target.slots)]
+            expires_at = self._occupied_until(service, target, handovers)
+            expires_at += MAX_CLOCK_SKEW_SECONDS + CANCEL_GRACE_SECONDS
+            holds = [Hold(expires_at) for _ in range(target.slots)]
         self._ledger.adopt(
             self._transition.restrict_target(target),
             holds,
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -110,9 +110,9 @@
             if self._announced_until or self._acknowledged:
                 await self._announce_all(self._edition)
 
-    def _set_bound(self, target, until):
+    def _set_bound(self, target, bound):
         self._edition += 1
-        self._announced_until[target] = until
+        self._announced_until[target] = bound
         self._editions[target] = self._edition
 
     async def _announce_all(self, edition):
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -15,7 +15,7 @@
 class Waiter:
     """A queued request.
 
-    ``signal`` is set together with ``permit``, ``evicted`` or ``caller_left``.
+    ``signal`` is set together with ``permit``, ``is_evicted`` or ``has_caller_left``.
     """
 
     request: object
@@ -23,8 +23,8 @@
     queued_at: float
     signal: Signal = field(default_factory=Signal)
     permit: object = None
-    evicted: bool = False
-    caller_left: bool = False
+    is_evicted: bool = False
+    has_caller_left: bool = False
 
     @property
     def eviction_rank(self):
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -64,7 +64,7 @@
         return self._digest
 
     @property
-    def leaving(self):
+    def is_leaving(self):
         """Return whether this VM has announced that it is leaving."""
         return self._members[self._vm.name].state is MemberState.LEAVING
 
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -12,7 +12,7 @@
         "version": vm.version,
         "vm_serial": vm.vm_serial,
         "incarnation": vm.incarnation,
-        "leaving": vm.leaving,
+        "leaving": vm.is_leaving,
         "may_act": vm.membership.may_act_as_home(),
         "platform_answers": vm.configuration.is_platform_available,
         "control_bytes": vm.control_bytes,
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -199,9 +199,9 @@
         return self._fence
 
     @property
-    def leaving(self):
+    def is_leaving(self):
         """Return whether this VM accepts no new callers."""
-        return self.membership.leaving
+        return self.membership.is_leaving
 
     @property
     def requires_claims(self):
@@ -360,10 +360,10 @@
         if self.text is None:
             return
         drain = self.text.find_vm_drain(self.name, None, self._clock.wall())
-        if drain is not None and not self.leaving:
+        if drain is not None and not self.is_leaving:
             self._journal.write(Event.VM_LEAVING, drain=drain.id)
             await self.membership.leave()
-        elif drain is None and self.leaving:
+        elif drain is None and self.is_leaving:
             await self.membership.rejoin()
 
     def _available_vms(self, domain):
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -133,7 +133,7 @@
     is_needed = any(
         kind.semantics is DeliverySemantics.AT_MOST_ONCE for kind in service.kinds
     )
-    if not is_needed or vm.leaving or domain != vm.settings.failure_domain:
+    if not is_needed or vm.is_leaving or domain != vm.settings.failure_domain:
         return {"ticket": None}
     expires_at = now + vm.settings.ticket_ttl
     settings = vm.settings
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -315,11 +315,11 @@
 def test_standing_queue_shortens_the_wait():
     service = parse_text(to_source(make_text())).services["lookup"]
     queue = ServiceQueue()
-    assert queue.max_wait(service, now=100.0, stalled=0.0) == service.queue_wait
+    assert queue.max_wait(service, now=100.0, stalled_seconds=0.0) == service.queue_wait
     queue.push(type("Waiting", (), {"request": type("R", (), {"deadline": 1.0})})())
-    assert queue.max_wait(service, now=100.1, stalled=0.0) == service.queue_wait
-    assert queue.max_wait(service, now=101.0, stalled=0.9) == service.queue_wait
-    shorter = queue.max_wait(service, now=101.0, stalled=0.0)
+    assert queue.max_wait(service, now=100.1, stalled_seconds=0.0) == service.queue_wait
+    assert queue.max_wait(service, now=101.0, stalled_seconds=0.9) == service.queue_wait
+    shorter = queue.max_wait(service, now=101.0, stalled_seconds=0.0)
     assert shorter == pytest.approx(MAX_STANDING_HOLDS * queue.mean_hold_seconds)
 
 
