--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -177,7 +177,7 @@
         if threshold is None:
             health.is_slow = False
         elif health.is_slow and seconds <= threshold:
-            # Discard the moving average of the time when the target was slow.
+            # Discard the moving average, which includes the slow responses.
             health.is_slow, health.latency = False, seconds
             entry = self._ledger.targets.get(target.name)
             if entry is not None:
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -44,9 +44,10 @@
 
 @dataclass(slots=True)
 class AcknowledgedEdition:
-    """The latest bounds that a monitor acknowledged.
+    """The latest edition of the bounds that a monitor acknowledged.
 
-    ``edition`` counts the changes of the bounds.
+    The edition rises with each change. ``incarnation`` is that of the monitor, which
+    loses the bounds when it restarts.
     """
 
     incarnation: int
@@ -66,7 +67,7 @@
         self._membership = membership
         self._links = links
         self._clock = clock
-        self._announced_until = {}
+        self._bounds = {}
         self._inherited_until = {}
         self._editions = {}
         self._edition = 0
@@ -82,7 +83,7 @@
         if deadline <= self._clock.now() + MAX_UNANNOUNCED_SECONDS:
             return
         async with self._lock:
-            if self._announced_until.get(target, 0.0) < deadline:
+            if self._bounds.get(target, 0.0) < deadline:
                 self._set_bound(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
             if not await self._announce_all(self._editions[target]):
                 message = "the monitors of this VM did not answer"
@@ -95,8 +96,8 @@
             earlier homes may occupy the target.
         """
         async with self._lock:
-            for target in [name for name in self._announced_until if name not in holds]:
-                del self._announced_until[target]
+            for target in [name for name in self._bounds if name not in holds]:
+                del self._bounds[target]
                 self._inherited_until.pop(target, None)
                 del self._editions[target]
                 self._edition += 1
@@ -105,14 +106,14 @@
                     self._inherited_until[target] = until
                     self._set_bound(
                         target,
-                        max(until, self._announced_until.get(target, DISTANT_PAST)),
+                        max(until, self._bounds.get(target, DISTANT_PAST)),
                     )
-            if self._announced_until or self._acknowledged:
+            if self._bounds or self._acknowledged:
                 await self._announce_all(self._edition)
 
     def _set_bound(self, target, bound):
         self._edition += 1
-        self._announced_until[target] = bound
+        self._bounds[target] = bound
         self._editions[target] = self._edition
 
     async def _announce_all(self, edition):
@@ -151,7 +152,7 @@
                 to_wall(self._clock, until),
                 to_wall(self._clock, self._inherited_until.get(target, until)),
             ]
-            for target, until in self._announced_until.items()
+            for target, until in self._bounds.items()
         }
         try:
             notice = OccupancyNotice(self._vm.name, self._vm.incarnation, bounds)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -70,19 +70,19 @@
     def _local_domain(self):
         return self._vm.settings.failure_domain
 
-    def usable(self):
+    def usable_slots(self):
         """Return ``{service name: usable slots}`` of the targets homed here."""
         services = {service.name: service for service, _ in self._vm.homes.desired()}
         return {name: self._usable_slots_here(each) for name, each in services.items()}
 
-    def share(self, service):
+    def ready_share(self, service):
         """Return the share of a service's callers that this domain can serve, 0 to 1.
 
         :param service: a :class:`Service` of the current configuration.
         """
         return self._shares(service)[self._local_domain]
 
-    def avoided(self, service, position):
+    def avoided_domains(self, service, position):
         """Return the failure domains that can't serve a caller of this domain now.
 
         :param position: the caller's position in the ramp, from 0 up to 1; see
@@ -126,7 +126,7 @@
 
     def _is_ready(self):
         services = self._vm.text.services.values()
-        return all(self.share(service) >= 1 for service in services)
+        return all(self.ready_share(service) >= 1 for service in services)
 
     async def _poll_homes(self):
         hosts = dict(self._hosts_to_poll())
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -83,8 +83,8 @@
     """The slots of one homed target and their current uses.
 
     ``is_closed`` is set when this VM is no longer the home. ``block_reason`` tells why
-    the target gets no new requests, and is ``None`` if it gets some. ``link_limits``
-    has the maximum number of slots that each other failure domain may use.
+    the target gets no new requests, and is ``None`` if the target is usable.
+    ``link_limits`` has the maximum number of slots for each other failure domain.
     """
 
     target: object
--- a/src/heathercleat/process/explain.py
+++ b/src/heathercleat/process/explain.py
@@ -25,7 +25,7 @@
         "client": client,
         "client_domain": vm.client_blocks.find(client),
         "vms": lookup["vms"],
-        "ready_share": vm.readiness.share(service),
+        "ready_share": vm.readiness.ready_share(service),
         "expected_wait": None if wait == float("inf") else wait,
         "places": list(_describe_targets(vm, service)),
     }
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -177,7 +177,7 @@
 
     async def _fetch_readiness(self, message, hello):
         text = self._vm.text
-        return Readiness({} if text is None else self._vm.readiness.usable())
+        return Readiness({} if text is None else self._vm.readiness.usable_slots())
 
     async def _announcement(self, message, hello):
         vm = self._vm
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -106,7 +106,7 @@
             self._free.labels(name).set(sum(entry.free(now) for entry in entries))
             self._used.labels(name).set(sum(entry.used(now) for entry in entries))
             self._foreign.labels(name).set(sum(entry.foreign(now) for entry in entries))
-            self._ready.labels(name).set(vm.readiness.share(service))
+            self._ready.labels(name).set(vm.readiness.ready_share(service))
             self._slow.labels(name).set(sum(map(vm.health.is_slow, entries)))
             self._waiting.labels(name).set(vm.admission.waiting_count(name))
         self._version.set(vm.version)
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -35,7 +35,7 @@
                 self._vm.configuration.record_claim_failure()
             raise
         finally:
-            if observed.answered:
+            if observed.is_done:
                 code, event = ResultCode.OK, Event.REQUEST_DONE
             self._finish(call, code, event)
 
@@ -61,16 +61,16 @@
 
 
 class _Observed:
-    """Whether a call has been answered."""
+    """Whether the complete response of a call has been sent."""
 
     def __init__(self):
-        self._answered = False
+        self._is_done = False
 
     @property
-    def answered(self):
+    def is_done(self):
         """Return whether the complete response has been sent."""
-        return self._answered
+        return self._is_done
 
     def done(self):
         """Record that the complete response has been sent."""
-        self._answered = True
+        self._is_done = True
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -56,6 +56,6 @@
         "slots": sum(entry.target.limit for entry in entries),
         "free": sum(entry.free(now) for entry in entries),
         "waiting": vm.admission.waiting_count(name),
-        "ready_share": vm.readiness.share(service),
+        "ready_share": vm.readiness.ready_share(service),
         "leased": sum(lease.slots for lease in vm.lease_holder.leases_for(name)),
     }
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -207,7 +207,7 @@
     def requires_claims(self):
         """Return whether new tickets require claims.
 
-        They do only while the platform is available.
+        Claims are required only while the platform is available.
         """
         return self.configuration.is_platform_available
 
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -295,7 +295,7 @@
         )
 
     def _has_sent_nothing(self):
-        # After `finish`, the number of bytes sent is unknown: the request may have run.
+        # The stream is gone, so the request may have been sent and may have run.
         if self._is_finished:
             return False
         return (
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -36,19 +36,19 @@
     if service is None:
         message = f'unknown service "{query.get("service", "")}"'
         raise RequestError(ResultCode.UNKNOWN_SERVICE, message)
-    client = _client(query, caller)
+    client = _parse_client(query, caller)
     domain = vm.client_blocks.find(client) or vm.settings.failure_domain
-    avoided = _avoided(vm, service, client)
+    avoided = _avoided_domains(vm, service, client)
     candidates = vm.candidates.find(service, domain, avoided)
     nearest = candidates[0].domain if candidates else vm.settings.failure_domain
-    selected = _select(candidates, avoided)
+    selected = _select_vms(candidates, avoided)
     now = vm.clock.wall()
     response = {
         "service": service.name,
         "version": vm.version,
         "vms": [_describe(vm, *each) for each in selected],
         "expires_at": now + vm.settings.lookup_ttl,
-        **_ticket(vm, service, nearest, now),
+        **_make_ticket_fields(vm, service, nearest, now),
     }
     vm.journal.write(
         Event.LOOKUP_ANSWERED,
@@ -71,18 +71,18 @@
     }
 
 
-def _avoided(vm, service, client):
+def _avoided_domains(vm, service, client):
     """Return the failure domains that a client should avoid.
 
     These are failure domains that are drained or can't serve all their callers yet.
     """
     drained = vm.text.avoided_domains(client, vm.clock.wall())
-    if vm.readiness.share(service) >= 1:
+    if vm.readiness.ready_share(service) >= 1:
         return drained
-    return drained | vm.readiness.avoided(service, ramp_position(client))
+    return drained | vm.readiness.avoided_domains(service, ramp_position(client))
 
 
-def _client(query, caller):
+def _parse_client(query, caller):
     client = query.get("client", caller)
     try:
         return str(IPv4Address(client))
@@ -91,23 +91,23 @@
         raise RequestError(ResultCode.BAD_REQUEST, message) from None
 
 
-def _select(candidates, avoided):
+def _select_vms(candidates, avoided):
     """Return ``(entry VM, weight)`` pairs of the best domain, then one for each other.
 
     The weight of a fallback is 0 if its domain should be avoided.
     """
     if not candidates:
         return []
-    near = _draw(candidates[0], MAX_NEAR_VMS)
+    near = _draw_vms(candidates[0], MAX_NEAR_VMS)
     fallbacks = (
         (entry, 0 if other.domain in avoided else weight)
         for other in candidates[1:]
-        for entry, weight in _draw(other, 1)
+        for entry, weight in _draw_vms(other, 1)
     )
     return [*near, *islice(fallbacks, MAX_FALLBACK_VMS)]
 
 
-def _draw(domain, count):
+def _draw_vms(domain, count):
     """Return up to ``count`` pairs of a domain, drawn at random by weight.
 
     The weight is the number of the service's slots that the VM is the home of, since
@@ -124,7 +124,7 @@
     return list(distinct.values())[:count]
 
 
-def _ticket(vm, service, domain, now):
+def _make_ticket_fields(vm, service, domain, now):
     """Return the ticket fields of a response.
 
     The ticket is ``None`` if the service has no at-most-once requests or the caller
--- a/src/heathercleat/version/document.py
+++ b/src/heathercleat/version/document.py
@@ -35,8 +35,8 @@
 class Document:
     """A configuration: the source text and the planned drains by id.
 
-    A drain is ``[scope, name, start]``, followed by the time of cancellation if it was
-    cancelled; times are in epoch seconds.
+    A drain is ``[scope, name, start]``, followed by the instant of its cancellation, if
+    any; instants are in epoch seconds.
     """
 
     source: str
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -18,7 +18,7 @@
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
 from heathercleat.process.membership.membership import SETTLE_SECONDS, Membership
-from heathercleat.request.lookup import _select
+from heathercleat.request.lookup import _select_vms
 from heathercleat.version.text import Drain, DrainScope
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_text import make_text
@@ -79,23 +79,23 @@
 def test_share_falls_with_the_slots_that_earlier_requests_hold(held, share):
     parts = Parts()
     parts.adopt(held)
-    assert parts.tracker.share(parts.service) == pytest.approx(share)
+    assert parts.tracker.ready_share(parts.service) == pytest.approx(share)
 
 
 def test_share_recovers_as_the_holds_expire():
     parts = Parts()
     parts.adopt(SLOTS)
-    assert parts.tracker.share(parts.service) == 0
+    assert parts.tracker.ready_share(parts.service) == 0
     parts.clock.time += 5.1
     parts.membership.record_tick()
     parts.clock.time += SETTLE_SECONDS
     parts.membership.record_tick()
-    assert parts.tracker.share(parts.service) == 1
+    assert parts.tracker.ready_share(parts.service) == 1
 
 
 def test_target_that_is_not_adopted_yet_is_not_ready():
     parts = Parts()
-    assert parts.tracker.share(parts.service) == 0
+    assert parts.tracker.ready_share(parts.service) == 0
 
 
 def test_vm_without_a_home_in_its_domain_sends_callers_elsewhere():
@@ -106,9 +106,9 @@
         record = MemberRecord(f"{here}-{number}", host, here, 0, "live")
         parts.membership.apply_record(record)
     assert not parts.vm.homes.desired()
-    assert parts.tracker.share(parts.service) == 0
+    assert parts.tracker.ready_share(parts.service) == 0
     parts.poll_homes()
-    assert parts.tracker.share(parts.service) == 1
+    assert parts.tracker.ready_share(parts.service) == 1
 
 
 def test_lookups_wait_for_the_first_poll_of_homes():
@@ -130,7 +130,7 @@
         DomainVms(name, [(VmEntry(f"{name}-1", NEIGHBOR, name, False), SLOTS)], [SLOTS])
         for name in ("north-a", "north-b")
     ]
-    (_, first), (_, other) = _select(domains, avoided)
+    (_, first), (_, other) = _select_vms(domains, avoided)
     assert first == SLOTS
     assert bool(other) is has_weight
 
@@ -138,38 +138,38 @@
 def test_drained_targets_do_not_reduce_the_share():
     parts = Parts()
     parts.vm.text.drains["d"] = Drain("d", DrainScope.TARGET, "t1", 0.0)
-    assert parts.tracker.share(parts.service) == 1
+    assert parts.tracker.ready_share(parts.service) == 1
 
 
 def test_callers_beyond_the_share_avoid_the_domain():
     parts = Parts(peer_response=Readiness({"lookup": SLOTS}))
     parts.adopt(held=6)
     parts.poll_homes()
-    assert parts.tracker.avoided(parts.service, 0.4) == frozenset()
-    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
+    assert parts.tracker.avoided_domains(parts.service, 0.4) == frozenset()
+    assert parts.tracker.avoided_domains(parts.service, 0.6) == {"north-a"}
 
 
 def test_short_handover_does_not_divert_callers():
     parts = Parts()
     parts.adopt()
-    assert parts.tracker.share(parts.service) == 1
+    assert parts.tracker.ready_share(parts.service) == 1
     parts.ledger.drop_all()
     parts.clock.time += DIVERT_DELAY_SECONDS - 0.1
-    assert parts.tracker.avoided(parts.service, 0.6) == frozenset()
+    assert parts.tracker.avoided_domains(parts.service, 0.6) == frozenset()
     parts.clock.time += 0.2
-    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
+    assert parts.tracker.avoided_domains(parts.service, 0.6) == {"north-a"}
 
 
 def test_other_unready_domain_is_avoided_too():
     parts = Parts(peer_response=Readiness({"lookup": 0}))
     parts.poll_homes()
-    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a", "north-b"}
+    assert parts.tracker.avoided_domains(parts.service, 0.6) == {"north-a", "north-b"}
 
 
 def test_unresponsive_domain_counts_as_ready():
     parts = Parts(peer_response=None)
     parts.poll_homes()
-    assert parts.tracker.avoided(parts.service, 0.6) == {"north-a"}
+    assert parts.tracker.avoided_domains(parts.service, 0.6) == {"north-a"}
 
 
 def test_other_domains_are_polled_only_while_this_one_is_unready():
