--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -13,7 +13,7 @@
     AttemptResult,
     TargetResponse,
 )
-from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.crash_limits import CrashLimits
 from heathercleat.steering.request.fingerprint import fingerprint
 from tests.fakes import ManualClock
 from tests.steering_parts import call
@@ -57,7 +57,7 @@
     """Return a function with the quarantine work of a VM for one request."""
     clock = ManualClock()
     suspects = Suspects(Journal("vm-1", "north-a"), clock)
-    containment = Containment(suspects, clock)
+    crash_limits = CrashLimits(suspects, clock)
     answered = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
 
     made = call(clock)
@@ -66,10 +66,10 @@
     def check():
         made.groups = made.sender = None
         made.fingerprint = fingerprint(b"GET", next(paths), HEADERS, b"")
-        containment.refusal(made)
+        crash_limits.check_or_start_trial(made)
         suspects.refused_until(made.fingerprint)
         suspects.record_response(made.fingerprint)
-        containment.record_result(made, answered, True)
+        crash_limits.record_result(made, answered, True)
 
     return check
 
--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -21,9 +21,9 @@
 from heathercleat.process.settings import DEFAULT_PORTS, load_settings
 
 KEY_VARIABLE = "HEATHERCLEAT_KEY"
-CALL_SECONDS = 20.0
+CALL_TIMEOUT_SECONDS = 20.0
 #: Timeout for calls to further VMs that a command makes.
-FOLLOW_UP_SECONDS = 2.0
+FOLLOW_UP_TIMEOUT_SECONDS = 2.0
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
@@ -45,7 +45,7 @@
     :param timeout: timeout of a call, in seconds.
     """
 
-    def __init__(self, host, port, key, timeout=CALL_SECONDS):
+    def __init__(self, host, port, key, timeout=CALL_TIMEOUT_SECONDS):
         self._host = host
         self._port = port
         self._key = key
@@ -63,7 +63,7 @@
 
     def with_host(self, host):
         """Return a client of another VM, with the same key and port."""
-        return OperatorClient(host, self._port, self._key, FOLLOW_UP_SECONDS)
+        return OperatorClient(host, self._port, self._key, FOLLOW_UP_TIMEOUT_SECONDS)
 
     def _call(self, method, path, body=b""):
         token = operator_token(self._key, method, path, body, self._clock.wall())
--- a/src/heathercleat/cli/_quarantine.py
+++ b/src/heathercleat/cli/_quarantine.py
@@ -16,7 +16,7 @@
 )
 
 #: Timeout of a call to the store.
-STORE_SECONDS = 5.0
+STORE_TIMEOUT_SECONDS = 5.0
 
 
 def add_quarantine(commands):
@@ -150,7 +150,7 @@
     settings = load_node_settings(args.settings)
 
     async def main():
-        store = TableStoreClient(settings.store, SystemClock(), STORE_SECONDS)
+        store = TableStoreClient(settings.store, SystemClock(), STORE_TIMEOUT_SECONDS)
         try:
             return await make_call(store)
         finally:
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -47,7 +47,7 @@
 LINGER_SECONDS = 1.0
 LINGER_BYTES = 16 * 1024 * 1024
 MAX_KEY_LENGTH = 256
-FIRST_SERVER_ERROR = 500
+FIRST_SERVER_ERROR_STATUS = 500
 REQUEST_ID_BYTES = 8
 
 
@@ -62,14 +62,14 @@
         super().__init__(HttpStream(sock, h11.SERVER), LINGER_SECONDS, LINGER_BYTES)
         self._vm = vm
         self._caller = address[0]
-        self._forwarded = forwarded
+        self._is_forwarded = forwarded
 
     async def _serve_next(self):
         """Serve one request; return whether the connection can be reused."""
         head = await self._read_head()
         if head is None:
             return False
-        self._busy = True
+        self._is_busy = True
         try:
             await self._serve(head)
         except RequestError as error:
@@ -108,7 +108,7 @@
         if head.http_version != b"1.1":
             raise RequestError(ResultCode.BAD_REQUEST, "HTTP/1.1 is needed")
         path = head.target.decode("latin-1")
-        if not self._forwarded and urlsplit(path).path == LOOKUP_PATH:
+        if not self._is_forwarded and urlsplit(path).path == LOOKUP_PATH:
             await self._serve_lookup(path)
             return
         call = self._build_call(head, path, headers)
@@ -157,7 +157,7 @@
         deadline = self._deadline(headers, kind)
         return Call(
             id=find(headers, REQUEST_ID_HEADER)
-            if self._forwarded
+            if self._is_forwarded
             else token_hex(REQUEST_ID_BYTES),
             service=service,
             kind=kind,
@@ -194,12 +194,12 @@
 
     def _ticket(self, headers):
         text = find(headers, TICKET_HEADER)
-        if text is None or self._forwarded:
+        if text is None or self._is_forwarded:
             return None
         return read_ticket(self._vm.settings.keys, text)
 
     def _lease(self, headers):
-        if not self._forwarded:
+        if not self._is_forwarded:
             return None
         token, lease = find(headers, PEER_HEADER), find(headers, LEASE_HEADER)
         if token is None or lease is None or not self._vm.tokens.accepts(token):
@@ -240,7 +240,7 @@
 
     async def _send_outcome(self, call, outcome):
         # After a server error it is unknown whether the target ran the request.
-        failed = outcome.status >= FIRST_SERVER_ERROR
+        failed = outcome.status >= FIRST_SERVER_ERROR_STATUS
         run = Run.UNKNOWN if failed else Run.RUN
         headers = [
             *outcome.headers,
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -26,8 +26,8 @@
 from heathercleat.version.document import Document
 
 MAX_TEXT_BYTES = 16 * 1024 * 1024
-TOKEN_SECONDS = 60
-JSON = {"content-type": "application/json"}
+TOKEN_LIFETIME_SECONDS = 60
+JSON_HEADERS = {"content-type": "application/json"}
 
 
 def operator_token(key, method, path, body, wall_time):
@@ -35,7 +35,7 @@
 
     :param wall_time: the current time, in epoch seconds.
     """
-    expires_at = int(wall_time + TOKEN_SECONDS)
+    expires_at = int(wall_time + TOKEN_LIFETIME_SECONDS)
     signature = sign(key, b"operator", method, path, body, expires_at).hex()
     return f"Heathercleat {expires_at}:{signature}"
 
@@ -84,7 +84,7 @@
             return _failure(error.code, [str(error)])
         except (ValueError, KeyError, TypeError) as error:
             return _failure(ResultCode.BAD_REQUEST, [f"bad call: {error!r}"])
-        return Message(headers=JSON, body=dumps(result).encode())
+        return Message(headers=JSON_HEADERS, body=dumps(result).encode())
 
     def _authenticate(self, message):
         scheme, _, token = message.headers.get("authorization", "").partition(" ")
@@ -220,4 +220,4 @@
         "messages": messages,
         "next": code.advice,
     }
-    return Message(status=code.status, headers=JSON, body=dumps(body).encode())
+    return Message(status=code.status, headers=JSON_HEADERS, body=dumps(body).encode())
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -32,11 +32,11 @@
         self._on_open = on_open
         self._idle_seconds = idle_seconds
         self._idle = {}
-        self._open = {}
+        self._open_counts = {}
 
     def open_count(self, host, port):
         """Return the number of connections to an address, including idle ones."""
-        return self._open.get((host, port), 0)
+        return self._open_counts.get((host, port), 0)
 
     async def checkout(self, host, port, limit=None, fresh=False, max_age=None):
         """Return an idle or new connection as an :class:`HttpStream`.
@@ -60,14 +60,14 @@
             if not idle:
                 raise ConnectionLimitError(f"{host}:{port} has {limit} connections")
             await self.discard(host, port, idle.popleft().stream)
-        self._open[address] = self.open_count(host, port) + 1
+        self._open_counts[address] = self.open_count(host, port) + 1
         try:
             sock = await open_socket(host, port, self._source_ip)
             if self._on_open is not None:
                 self._on_open(sock)
             return HttpStream(sock, h11.CLIENT)
         except BaseException:
-            self._open[address] -= 1
+            self._open_counts[address] -= 1
             raise
 
     async def checkin(self, host, port, stream, keep_for=None):
@@ -96,7 +96,7 @@
 
     async def discard(self, host, port, stream):
         """Close a connection."""
-        self._open[host, port] -= 1
+        self._open_counts[host, port] -= 1
         await stream.close()
 
     async def close(self):
--- a/src/heathercleat/connection/server.py
+++ b/src/heathercleat/connection/server.py
@@ -22,27 +22,27 @@
         self._stream = stream
         self._linger_seconds = linger_seconds
         self._linger_bytes = linger_bytes
-        self._busy = False
+        self._is_busy = False
 
     @property
     def is_busy(self):
         """Return whether a request is in progress or partially received."""
-        return self._busy or self._stream.has_partial_head
+        return self._is_busy or self._stream.has_partial_head
 
     def close_if_idle(self):
         """Close the connection unless it is busy."""
-        if not self._busy and self._stream.is_clean():
+        if not self._is_busy and self._stream.is_clean():
             self._stream.abort()
 
     async def serve(self):
         """Serve requests until either side closes the connection."""
         try:
             while await self._serve_next():
-                self._busy = False
+                self._is_busy = False
         except (CallerDisconnectedError, *CONNECTION_ERRORS):
             return
         finally:
-            self._busy = False
+            self._is_busy = False
 
     async def _serve_next(self):
         """Serve one request; return whether the connection can be reused."""
--- a/src/heathercleat/platform/endpoints.py
+++ b/src/heathercleat/platform/endpoints.py
@@ -6,7 +6,7 @@
 from heathercleat.connection.http import Message
 from heathercleat.platform.wire_names import READY_PATH, RESOLVE_PATH
 
-_JSON = {"content-type": "application/json"}
+_JSON_HEADERS = {"content-type": "application/json"}
 
 
 def handle_platform_request(message, is_ready, lookup):
@@ -30,4 +30,4 @@
     if not found.addresses:
         return Message(status=503)
     body = {"addresses": found.addresses, "ttl": f"{round(found.ttl * 1000)}ms"}
-    return Message(headers=_JSON, body=json.dumps(body).encode())
+    return Message(headers=_JSON_HEADERS, body=json.dumps(body).encode())
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -57,19 +57,19 @@
         if name == REQUEST_ID:
             head.request_id = value.decode("latin-1")
         elif name == RESPONSE_SIGNATURE:
-            head.signed = True
+            head.is_signed = True
         elif name == NOT_EXECUTED:
-            head.not_run = True
+            head.reports_not_run = True
         elif name == b"content-encoding":
-            head.encoded = True
+            head.is_encoded = True
         elif name == TARGET_LOAD:
-            head.running, head.waiting = _parse_load(value)
+            head.running_count, head.waiting_count = _parse_load(value)
         elif name == b"keep-alive":
             head.keep_alive_seconds = _parse_keep_alive_timeout(value)
     if status == _MISDIRECTED:
-        head.not_run = True
-        head.replaced = True
-    head.implies_not_run = status in NOT_RUN_STATUSES
+        head.reports_not_run = True
+        head.is_other_incarnation = True
+    head.status_implies_not_run = status in NOT_RUN_STATUSES
     return head
 
 
@@ -96,8 +96,8 @@
 def _parse_load(value):
     """Return ``(running, waiting)``, or ``(None, None)`` when it is malformed."""
     try:
-        running, waiting, _ = value.split(b",")
-        return int(running), int(waiting)
+        running_count, waiting_count, _ = value.split(b",")
+        return int(running_count), int(waiting_count)
     except ValueError:
         return None, None
 
--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -23,7 +23,7 @@
 MAX_RESPONSE_BYTES = 4 << 20
 #: Number of rows per read; the maximum that the store returns.
 PAGE_ROWS = 500
-_JSON = {"content-type": "application/json"}
+_JSON_HEADERS = {"content-type": "application/json"}
 
 
 class TableStoreClient:
@@ -97,7 +97,7 @@
 
     async def _call(self, method, path, body=b"", wait=0.0):
         deadline = self._clock.now() + self._timeout + wait
-        message = Message(method=method, path=path, body=body, headers=_JSON)
+        message = Message(method=method, path=path, body=body, headers=_JSON_HEADERS)
         try:
             response = await with_deadline(
                 deadline, self._clock, self._connection.exchange(message)
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -47,7 +47,7 @@
         """Return whether a request is being read or served."""
         return self._is_reading or self._pipeline.is_busy
 
-    def close_idle(self):
+    def close_if_idle(self):
         """Close the connection if it is not busy."""
         if not self.is_busy:
             self._is_closed = True
@@ -83,7 +83,7 @@
         if head is None:
             return False
         request = PipelinedRequest(self._stream, head, self._clock.now())
-        if not _may_overlap(head):
+        if not _can_serve_concurrently(head):
             async with self._pipeline.exclusive(request):
                 await self._serve(request)
             return await self._switch_stream()
@@ -220,7 +220,7 @@
         self._stream.abort()
 
 
-def _may_overlap(head):
+def _can_serve_concurrently(head):
     """Return whether a request may be served concurrently; it must have no body."""
     if head.method not in _SAFE_METHODS:
         return False
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -70,7 +70,7 @@
     def close_idle(self):
         """Close the client connections without a request in progress."""
         for connection in list(self._clients):
-            connection.close_idle()
+            connection.close_if_idle()
 
     async def start(self, group):
         """Start to accept connections, in tasks of ``group``."""
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -48,7 +48,7 @@
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.process.store.tables import Tables
 from heathercleat.steering.process.warm_connections import WarmConnections
-from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.crash_limits import CrashLimits
 from heathercleat.steering.request.destinations import DestinationSelector
 from heathercleat.steering.request.dispatch import Dispatcher
 from heathercleat.steering.request.estimates import Estimates
@@ -128,7 +128,7 @@
         self.shutdown = Shutdown(RunTimes(clock), lambda: bool(self._members.serving()))
         self._loss_rates = LossRates()
         self._suspects = Suspects(journal, clock)
-        self._containment = Containment(self._suspects, clock)
+        self._crash_limits = CrashLimits(self._suspects, clock)
         self._shift = RegionShiftLimit(settings.bounds.shift_share, clock)
 
     def _build_store(self):
@@ -227,7 +227,7 @@
             self._members,
             self._capacity_reports,
             self._gossip.round_trip,
-            self._containment,
+            self._crash_limits,
         )
         self._steering = Steering(
             places,
@@ -237,7 +237,7 @@
             self._response_times,
             self._loss_rates,
             self.shutdown,
-            self._containment,
+            self._crash_limits,
             journal,
             clock,
         )
--- a/src/heathercleat/steering/request/attempt_result.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -7,9 +7,10 @@
     """Parsed headers of a target's response.
 
     :param signed: whether the target itself has signed the response.
-    :param not_run: whether the target reports that it has not run the request.
+    :param reports_not_run: whether the target reports that it has not run the request.
     :param replaced: whether another incarnation responded at the target's address.
-    :param implies_not_run: whether the status implies that the request has not run.
+    :param status_implies_not_run: whether the status implies that the request has not
+        run.
     :param encoded: whether a content encoding was applied to the body.
     :param running: number of requests running at the target, or ``None``.
     :param waiting: number of requests queued at the target, or ``None``.
@@ -18,25 +19,25 @@
 
     __slots__ = (
         "request_id",
-        "signed",
-        "not_run",
-        "replaced",
-        "implies_not_run",
-        "encoded",
-        "running",
-        "waiting",
+        "is_signed",
+        "reports_not_run",
+        "is_other_incarnation",
+        "status_implies_not_run",
+        "is_encoded",
+        "running_count",
+        "waiting_count",
         "keep_alive_seconds",
     )
 
     def __init__(self):
         self.request_id = None
-        self.signed = False
-        self.not_run = False
-        self.replaced = False
-        self.implies_not_run = False
-        self.encoded = False
-        self.running = None
-        self.waiting = None
+        self.is_signed = False
+        self.reports_not_run = False
+        self.is_other_incarnation = False
+        self.status_implies_not_run = False
+        self.is_encoded = False
+        self.running_count = None
+        self.waiting_count = None
         self.keep_alive_seconds = None
 
 
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -65,7 +65,7 @@
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
         they were not needed; see :mod:`heathercleat.steering.request.fingerprint`.
     :param groups: keys of the groups that share the blame for a crash, or ``None``
-        before they are determined; see :class:`Containment`.
+        before they are determined; see :class:`CrashLimits`.
     :param needs_isolation: whether the request may crash its target and should run on
         a target without other requests.
     :param attempt_log: one line of text for each attempt, for the log.
--- a/src/heathercleat/steering/request/containment.py
+++ b/src/heathercleat/steering/request/crash_limits.py
@@ -38,7 +38,7 @@
         self.expires_at = expires_at
 
 
-class Containment:
+class CrashLimits:
     """Decides which requests to refuse or not to retry because targets crash on them.
 
     Runs at the VM that received the client's request, since that VM sees all responses
@@ -54,7 +54,7 @@
         self._known_senders = RecentResponses(MAX_SENDERS)
         self._trials = {}
 
-    def refusal(self, call):
+    def check_or_start_trial(self, call):
         """Return the :class:`RequestError` with which to refuse a request, or ``None``.
 
         Call it before each attempt until one has run. Once the limit of a group has
@@ -77,7 +77,7 @@
         message = f"targets ended under requests of {', '.join(call.groups)}"
         return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=retry_at)
 
-    def owner_refusal(self, call):
+    def error_after_owner_refusal(self, call):
         """Return the :class:`RequestError` after the owner refused the request.
 
         The owner may know of a crash that has not reached this VM by gossip.
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -11,18 +11,18 @@
     :param members: the live VMs.
     :param capacity_reports: the :class:`CapacityReports`.
     :param round_trip: function that returns the round-trip time to a VM in seconds.
-    :param containment: the :class:`Containment`, which records the results.
+    :param crash_limits: the :class:`CrashLimits`, which records the results.
     """
 
     def __init__(
-        self, local, forward, members, capacity_reports, round_trip, containment
+        self, local, forward, members, capacity_reports, round_trip, crash_limits
     ):
         self._local = local
         self._forward = forward
         self._members = members
         self._capacity_reports = capacity_reports
         self._round_trip = round_trip
-        self._containment = containment
+        self._crash_limits = crash_limits
 
     def is_local(self, destination):
         """Return whether this VM is the owner of a destination."""
@@ -45,7 +45,7 @@
             )
         else:
             result = await self._run_forwarded(call, destination, avoid, wait_until)
-        self._containment.record_result(call, result, is_local)
+        self._crash_limits.record_result(call, result, is_local)
         return result
 
     async def _run_forwarded(self, call, destination, avoid, wait_until):
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -113,13 +113,15 @@
     def _evaluate(self):
         """Return the result for a complete response."""
         head, response, target = self._head, self._response, self._entry.id
-        if head.not_run:
-            reason = "replaced" if head.replaced else "shed"
+        if head.reports_not_run:
+            reason = "replaced" if head.is_other_incarnation else "shed"
             return AttemptResult(AttemptOutcome.REFUSED, target=target, reason=reason)
-        if response.status < _FIRST_ERROR_STATUS and (not head.signed or head.encoded):
+        if response.status < _FIRST_ERROR_STATUS and (
+            not head.is_signed or head.is_encoded
+        ):
             reason = f"{response.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
-        if head.implies_not_run:
+        if head.status_implies_not_run:
             # A client would conclude from the status that the request has not run.
             reason = f"{response.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -22,7 +22,7 @@
 #: heartbeats.
 STALE_REPORT_WAIT_SECONDS = 0.03
 #: The same once the request has stopped waiting: a network hop in a region.
-MIN_WAIT_SECONDS = 0.005
+LAST_WAIT_SECONDS = 0.005
 #: Longest wait in seconds for a slot in another region.
 MAX_REMOTE_WAIT_SECONDS = 0.15
 #: Unsent attempts at reported free slots after which a request is refused.
@@ -41,7 +41,7 @@
     :param response_times: the :class:`ResponseTimes`.
     :param loss_rates: the :class:`LossRates`.
     :param shutdown: the :class:`Shutdown` of this VM.
-    :param containment: the :class:`Containment`.
+    :param crash_limits: the :class:`CrashLimits`.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         response_times,
         loss_rates,
         shutdown,
-        containment,
+        crash_limits,
         journal,
         clock,
     ):
@@ -64,7 +64,7 @@
         self._response_times = response_times
         self._loss_rates = loss_rates
         self._shutdown = shutdown
-        self._containment = containment
+        self._crash_limits = crash_limits
         self._wait_policy = WaitPolicy(response_times)
         self._journal = journal
         self._clock = clock
@@ -104,7 +104,7 @@
             now = clock.now()
             if not self._run_count:
                 self._steering._shutdown.check(call, now)
-                self._check_quarantine()
+                self._raise_if_refused()
             elif self._steering._shutdown.is_too_late(call, now):
                 return self._give_up()
             destination = self._next_destination(now)
@@ -192,7 +192,7 @@
         if destination.target is not None and not self._is_queued(destination, now):
             if destination.is_remote:
                 return self._remote_wait_until(destination, now)
-            min_wait = max(self._call.give_up_at, now + MIN_WAIT_SECONDS)
+            min_wait = max(self._call.give_up_at, now + LAST_WAIT_SECONDS)
             return min(now + STALE_REPORT_WAIT_SECONDS, min_wait)
         round_trip = self._steering._dispatcher.round_trip(destination)
         affinity_until = self._call.affinity_until - round_trip
@@ -243,7 +243,7 @@
             self._avoid.add(result.target)
         if result.outcome is AttemptOutcome.NOT_SENT:
             if result.reason == QUARANTINED:
-                return self._end_quarantined()
+                return self._end_refused_by_owner()
             self._process_unsent(destination, result, wait_until)
             return None
         self._sent_count += 1
@@ -320,22 +320,22 @@
             or self._run_count >= call.route.max_attempts
         ):
             return False
-        if not self._steering._containment.may_retry(call):
+        if not self._steering._crash_limits.may_retry(call):
             return False
         response_time = self._steering._response_times.mean(call.route.name)
         return self._steering._clock.now() + response_time < call.deadline
 
-    def _check_quarantine(self):
+    def _raise_if_refused(self):
         """Raise the refusal of a request that crashes targets."""
-        refusal = self._steering._containment.refusal(self._call)
+        refusal = self._steering._crash_limits.check_or_start_trial(self._call)
         if refusal is not None:
             raise refusal
 
-    def _end_quarantined(self):
+    def _end_refused_by_owner(self):
         """Return the last failed response, or raise the final refusal."""
         if self._run_count:
             return self._give_up()
-        raise self._steering._containment.owner_refusal(self._call)
+        raise self._steering._crash_limits.error_after_owner_refusal(self._call)
 
     def _unknown_outcome_error(self, result):
         timed_out = result.outcome is AttemptOutcome.TIMED_OUT
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -35,10 +35,10 @@
     AttemptResult,
     TargetResponse,
 )
-from heathercleat.steering.request.containment import (
+from heathercleat.steering.request.crash_limits import (
     MAX_SENDERS,
     MAX_TRIALS,
-    Containment,
+    CrashLimits,
 )
 from heathercleat.steering.request.fingerprint import fingerprint, sender_digest
 from tests.fakes import ManualClock
@@ -59,12 +59,12 @@
 
 
 class View:
-    """The containment of one VM, and requests that arrive there."""
+    """The crash limits of one VM, and requests that arrive there."""
 
     def __init__(self, clock):
         self.clock = clock
         self.suspects = Suspects(Journal("vm-1", "north-a"), clock)
-        self.containment = Containment(self.suspects, clock)
+        self.crash_limits = CrashLimits(self.suspects, clock)
         self._requests = iter(range(1_000_000))
 
     def call(self, name=None, path=None):
@@ -78,7 +78,7 @@
         return request
 
     def refusal(self, request):
-        return self.containment.refusal(request)
+        return self.crash_limits.check_or_start_trial(request)
 
     def is_refused(self, name=None):
         return self.refusal(self.call(name)) is not None
@@ -89,13 +89,13 @@
         assert self.refusal(request) is None
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
         result.crashed_incarnation = incarnation
-        self.containment.record_result(request, result, False)
+        self.crash_limits.record_result(request, result, False)
 
     def record_response(self, request=None, name=None):
         """Admit a request, record its response, and return the request."""
         request = request or self.call(name)
         assert self.refusal(request) is None
-        self.containment.record_result(
+        self.crash_limits.record_result(
             request,
             AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
             False,
@@ -287,7 +287,7 @@
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
         result.crashed_incarnation = incarnation
         view.refusal(request)
-        view.containment.record_result(request, result, False)
+        view.crash_limits.record_result(request, result, False)
     assert view.is_refused(b"k=1")
     view.clock.time += SENDER_POLICY.retention_seconds + 0.1
     assert not view.is_refused(b"k=1")
@@ -299,16 +299,16 @@
         view.refusal(request)
         result = AttemptResult(AttemptOutcome.UNKNOWN, target="t")
         result.crashed_incarnation = f"i-{number}"
-        view.containment.record_result(request, result, False)
-        view.containment.record_result(
+        view.crash_limits.record_result(request, result, False)
+        view.crash_limits.record_result(
             request,
             AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b"")),
             False,
         )
-    containment = view.containment
+    crash_limits = view.crash_limits
     assert view.suspects.count <= MAX_SUSPECTS
-    assert len(containment._known_senders) <= MAX_SENDERS
-    assert len(containment._trials) <= MAX_TRIALS
+    assert len(crash_limits._known_senders) <= MAX_SENDERS
+    assert len(crash_limits._trials) <= MAX_TRIALS
 
 
 def test_request_without_credentials_has_no_sender():
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -263,7 +263,7 @@
     for _ in range(3):
         pipelined.send()
     pipelined.node.is_leaving = True
-    pipelined.connection.close_idle()
+    pipelined.connection.close_if_idle()
     for name in ("q1", "q2", "q0"):
         pipelined.respond(name)
     assert pipelined.received == ["q0", "q1", "q2"]
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -136,7 +136,10 @@
     status, headers, not_run, implies_not_run
 ):
     head = parse_response_head(status, headers)
-    assert (head.not_run, head.implies_not_run) == (not_run, implies_not_run)
+    assert (head.reports_not_run, head.status_implies_not_run) == (
+        not_run,
+        implies_not_run,
+    )
 
 
 @pytest.mark.parametrize("load", [b"3", b"a,b,c", b"1,2,3,4"])
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -20,7 +20,7 @@
     AttemptResult,
     TargetResponse,
 )
-from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.crash_limits import CrashLimits
 from heathercleat.steering.request.destinations import (
     LARGE_BODY_BYTES,
     DestinationSelector,
@@ -108,14 +108,14 @@
             view, members, estimates, region_loss_rates, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
-        self.containment = Containment(self.suspects, clock)
+        self.crash_limits = CrashLimits(self.suspects, clock)
         dispatcher = Dispatcher(
             self.local,
             self.forward,
             members,
             self.reports,
             lambda vm: 0.11,
-            self.containment,
+            self.crash_limits,
         )
         self.steering = Steering(
             places,
@@ -125,7 +125,7 @@
             self.response_times,
             own_loss_rates,
             self.shutdown,
-            self.containment,
+            self.crash_limits,
             self.parts.journal,
             clock,
         )
--- a/tests/test_steering_stop.py
+++ b/tests/test_steering_stop.py
@@ -56,7 +56,7 @@
     await sleep(0)
     if has_request:
         client.sendall(REQUEST)
-    connection.close_idle()
+    connection.close_if_idle()
     await task.join()
     return client
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -56,7 +56,7 @@
     Mutation(
         "MIXED-signature",
         f"{STEERING}/request/exchange.py",
-        "(not head.signed or head.encoded)",
+        "(not head.is_signed or head.is_encoded)",
         "False",
         "tests/test_steering_path.py",
         "-k",
@@ -803,7 +803,7 @@
     ),
     Mutation(
         "CONTAINED-groups",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "        keys = call.groups or ()\n",
         "        keys = ()\n",
         "tests/test_containment.py",
@@ -812,7 +812,7 @@
     ),
     Mutation(
         "CONTAINED-known-senders",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "return (sender_group,) if is_known else (sender_group, unknown_senders_group)",
         "return (sender_group, unknown_senders_group)",
         "tests/test_containment.py",
@@ -821,7 +821,7 @@
     ),
     Mutation(
         "CONTAINED-proven-requests",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "if self._suspects.has_response(call.fingerprint):",
         "if False:",
         "tests/test_containment.py",
@@ -840,7 +840,7 @@
     ),
     Mutation(
         "CONTAINED-one-trial",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "            if trial.expires_at > now:\n",
         "            if False:\n",
         "tests/test_containment.py",
