--- a/src/heathercleat/cli/_edit.py
+++ b/src/heathercleat/cli/_edit.py
@@ -17,12 +17,12 @@
 
 def add_edit_commands(commands):
     """Add ``check``, ``diff``, ``apply``, ``history`` and ``show`` to the parser."""
-    check = _add(commands, "check", "check a text without sending it", _check)
+    check = _add_command(commands, "check", "check a text without sending it", _check)
     check.add_argument("text", metavar="TEXT")
-    diff = _add(commands, "diff", "compare a text with the one in force", _diff)
+    diff = _add_command(commands, "diff", "compare a text with the one in force", _diff)
     diff.add_argument("text", metavar="TEXT")
     add_client_options(diff)
-    apply = _add(commands, "apply", "make a text the next version", _apply)
+    apply = _add_command(commands, "apply", "make a text the next version", _apply)
     apply.add_argument("text", metavar="TEXT")
     apply.add_argument(
         "--base",
@@ -32,14 +32,14 @@
     )
     apply.add_argument("--edit-id", help="the id of an earlier attempt, to retry it")
     add_client_options(apply)
-    history = _add(commands, "history", "list the versions", _history)
+    history = _add_command(commands, "history", "list the versions", _history)
     add_client_options(history)
-    version = _add(commands, "show", "print the text of a version", _show)
+    version = _add_command(commands, "show", "print the text of a version", _show)
     version.add_argument("version", type=int, metavar="VERSION")
     add_client_options(version)
 
 
-def _add(commands, name, text, run):
+def _add_command(commands, name, text, run):
     parser = commands.add_parser(name, help=text, description=f"{text.capitalize()}.")
     parser.set_defaults(run=run)
     return parser
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -154,7 +154,7 @@
         if kind is None:
             message = f'"{name}" takes no {method} /{rest[:80]}'
             raise RequestError(ResultCode.UNKNOWN_KIND, message)
-        deadline = self._deadline(headers, kind)
+        deadline = self._read_deadline(headers, kind)
         return Call(
             id=find(headers, REQUEST_ID_HEADER)
             if self._is_forwarded
@@ -168,13 +168,13 @@
             wall_deadline=to_wall(vm.clock, deadline),
             stream=self._stream,
             received_at=vm.clock.now(),
-            key=self._key(headers),
-            ticket=self._ticket(headers),
-            lease_id=self._lease(headers),
+            key=self._read_key(headers),
+            ticket=self._read_ticket(headers),
+            lease_id=self._read_lease_id(headers),
             caller=self._caller,
         )
 
-    def _deadline(self, headers, kind):
+    def _read_deadline(self, headers, kind):
         deadline = self._vm.clock.now() + kind.timeout
         given = find(headers, DEADLINE_HEADER)
         if given is None:
@@ -185,20 +185,20 @@
             message = f'the deadline "{given[:40]}" is not in epoch seconds'
             raise RequestError(ResultCode.BAD_DEADLINE, message) from None
 
-    def _key(self, headers):
+    def _read_key(self, headers):
         key = find(headers, IDEMPOTENCY_KEY_HEADER)
         if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
             message = f"an Idempotency-Key has 1 to {MAX_KEY_LENGTH} characters"
             raise RequestError(ResultCode.BAD_REQUEST, message)
         return key
 
-    def _ticket(self, headers):
+    def _read_ticket(self, headers):
         text = find(headers, TICKET_HEADER)
         if text is None or self._is_forwarded:
             return None
         return read_ticket(self._vm.settings.keys, text)
 
-    def _lease(self, headers):
+    def _read_lease_id(self, headers):
         if not self._is_forwarded:
             return None
         token, lease = find(headers, PEER_HEADER), find(headers, LEASE_HEADER)
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -79,11 +79,13 @@
             query = {name: each[0] for name, each in parse_qs(url.query).items()}
             result = await handler(query, message.body)
         except FindingsError as group:
-            return _failure(group.code, [each.render() for each in group.exceptions])
+            return _error_response(
+                group.code, [each.render() for each in group.exceptions]
+            )
         except HeathercleatError as error:
-            return _failure(error.code, [str(error)])
+            return _error_response(error.code, [str(error)])
         except (ValueError, KeyError, TypeError) as error:
-            return _failure(ResultCode.BAD_REQUEST, [f"bad call: {error!r}"])
+            return _error_response(ResultCode.BAD_REQUEST, [f"bad call: {error!r}"])
         return Message(headers=JSON_HEADERS, body=dumps(result).encode())
 
     def _authenticate(self, message):
@@ -195,12 +197,12 @@
         try:
             version = await self._vm.editor.apply(edit)
         except ConflictError:
-            await self._follow_platform()
+            await self._adopt_and_announce()
             raise
-        await self._follow_platform()
+        await self._adopt_and_announce()
         return {"version": version}
 
-    async def _follow_platform(self):
+    async def _adopt_and_announce(self):
         """Adopt the newest version and announce it to the failure domain."""
         await self._vm.configuration.read_platform()
         await self._vm.configuration.announce()
@@ -213,7 +215,7 @@
         return document
 
 
-def _failure(code, messages):
+def _error_response(code, messages):
     body = {
         "code": code.number,
         "name": code.name.lower(),
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -70,17 +70,19 @@
             self._open_counts[address] -= 1
             raise
 
-    async def checkin(self, host, port, stream, keep_for=None):
+    async def checkin(self, host, port, stream, peer_idle_seconds=None):
         """Return a connection to the pool, or close it if it is not reusable.
 
-        :param keep_for: the idle timeout of the peer in seconds, or ``None``.
+        :param peer_idle_seconds: the idle timeout of the peer, or ``None``.
         """
         if not stream.next_cycle() or not stream.is_clean():
             await self.discard(host, port, stream)
             return
         now = self._clock.now()
-        peer_idle_seconds = self._idle_seconds if keep_for is None else keep_for
-        expires_at = now + min(self._idle_seconds, peer_idle_seconds)
+        idle_seconds = (
+            self._idle_seconds if peer_idle_seconds is None else peer_idle_seconds
+        )
+        expires_at = now + min(self._idle_seconds, idle_seconds)
         idle_connection = _IdleConnection(stream, now, expires_at)
         self._idle.setdefault((host, port), deque()).append(idle_connection)
 
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -17,7 +17,7 @@
 DEFAULT_WAIT_SECONDS = 30.0
 #: Statuses that tell a client that its request has not been executed.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-_MISDIRECTED = 421
+_MISDIRECTED_STATUS = 421
 _OVERWRITTEN_HEADERS = (DEADLINE_MS, EXPECTED_INSTANCE)
 
 
@@ -66,7 +66,7 @@
             head.running_count, head.waiting_count = _parse_load(value)
         elif name == b"keep-alive":
             head.keep_alive_seconds = _parse_keep_alive_timeout(value)
-    if status == _MISDIRECTED:
+    if status == _MISDIRECTED_STATUS:
         head.reports_not_run = True
         head.is_other_incarnation = True
     head.status_implies_not_run = status in NOT_RUN_STATUSES
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -18,11 +18,11 @@
 #: healthy.
 MAX_RANKED_TARGETS = 4
 #: Share of a region's targets that may run requests suspected of crashing targets.
-CONFINED_SHARE = 0.25
+ISOLATION_SHARE = 0.25
 #: Most affinity keys cached for each service and region.
 MAX_OBJECTS = 2048
 #: Affinity key by which targets for confined requests are selected.
-_CONFINED_KEY = "confined"
+_ISOLATION_KEY = "confined"
 
 
 class TargetCapacity(Protocol):
@@ -91,7 +91,7 @@
         "candidates",
         "owners",
         "_ranked",
-        "_confined",
+        "_isolation_candidates",
         "_summary",
         "_summary_until",
     )
@@ -101,7 +101,7 @@
         self.candidates = candidates
         self.owners = sorted({each.owner for each in candidates})
         self._ranked = {}
-        self._confined = None
+        self._isolation_candidates = None
         self._summary = None
         self._summary_until = 0.0
 
@@ -113,16 +113,16 @@
         return self._summary
 
     @property
-    def confined(self):
+    def isolation_candidates(self):
         """Return the candidates for requests suspected of crashing targets.
 
         All VMs that know the same targets select the same candidates.
         """
-        if self._confined is None:
-            count = ceil(CONFINED_SHARE * len(self.candidates))
-            sort_key = _sort_key_for(_CONFINED_KEY)
-            self._confined = nlargest(count, self.candidates, key=sort_key)
-        return self._confined
+        if self._isolation_candidates is None:
+            count = ceil(ISOLATION_SHARE * len(self.candidates))
+            sort_key = _sort_key_for(_ISOLATION_KEY)
+            self._isolation_candidates = nlargest(count, self.candidates, key=sort_key)
+        return self._isolation_candidates
 
     def affinity_targets(self, affinity, count, usable, now):
         """Return the healthy candidates that rank first for an affinity key.
--- a/src/heathercleat/steering/request/attempt_result.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -53,13 +53,13 @@
 
 
 #: Reason of an unsent attempt: no slot would be free before the deadline.
-NO_SLOT_IN_TIME = "no slot in time"
+NO_SLOT_IN_TIME_REASON = "no slot in time"
 #: Reason of an unsent attempt: the client disconnected.
-CLIENT_LEFT = "client left"
+CLIENT_LEFT_REASON = "client left"
 #: Reason of an attempt that the deadline ended.
-DEADLINE = "deadline"
+DEADLINE_REASON = "deadline"
 #: Reason of an unsent attempt: targets crash on the request; see :class:`Suspects`.
-QUARANTINED = "quarantined"
+QUARANTINED_REASON = "quarantined"
 
 
 _SERVER_ERROR = 500
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -64,7 +64,7 @@
     def select_free(self, call, avoid, avoid_vms):
         """Return the best :class:`Destination` with a free slot, or ``None``."""
         eligible = self._eligible_targets(call, avoid, avoid_vms)
-        isolated = self._isolated(eligible) if call.needs_isolation else None
+        isolated = self._find_isolated(eligible) if call.needs_isolation else None
         if isolated is not None:
             return isolated
         affinity_target = self._affinity_target(eligible)
@@ -85,7 +85,7 @@
             return found
         return self._best_in_other_regions(eligible, self._region_wait(eligible))
 
-    def _isolated(self, eligible):
+    def _find_isolated(self, eligible):
         """Return the :class:`Destination` for a request that may crash its target.
 
         It is one of a few targets of this region, with no other request running, and
@@ -95,7 +95,7 @@
         if region_targets is None:
             return None
         free = region_targets.summary(now).free
-        for each in region_targets.confined:
+        for each in region_targets.isolation_candidates:
             slots = each.entry.slots
             if (
                 each.capacity.free(now) >= slots
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -8,7 +8,7 @@
 from heathercleat.platform.headers import parse_response_head, target_request_headers
 from heathercleat.request.headers import check_framing, end_to_end
 from heathercleat.steering.request.attempt_result import (
-    DEADLINE,
+    DEADLINE_REASON,
     AttemptOutcome,
     AttemptResult,
     TargetResponse,
@@ -59,7 +59,7 @@
             outcome = (
                 AttemptOutcome.TIMED_OUT if self._is_sent else AttemptOutcome.NOT_SENT
             )
-            return AttemptResult(outcome, target=target, reason=DEADLINE)
+            return AttemptResult(outcome, target=target, reason=DEADLINE_REASON)
         except (RequestError, ValueError, *CONNECTION_ERRORS) as error:
             outcome = (
                 AttemptOutcome.UNKNOWN if self._is_sent else AttemptOutcome.NOT_SENT
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -5,7 +5,7 @@
 
 from heathercleat.connection.http import CONNECTION_ERRORS, read_body, with_deadline
 from heathercleat.steering.request.attempt_result import (
-    CLIENT_LEFT,
+    CLIENT_LEFT_REASON,
     AttemptOutcome,
     AttemptResult,
     TargetResponse,
@@ -175,7 +175,7 @@
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=f"VM {ip}: {error!r}")
         if call.is_disconnected:
             await self._pool.checkin(ip, self._port, stream)
-            return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT)
+            return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT_REASON)
         # Also for requests that must not run twice: while the request is queued at the
         # owner it has not run, and the owner must learn of the disconnect.
         call.on_disconnect = StreamInterrupter(stream)
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -8,10 +8,10 @@
 )
 from heathercleat.steering.process.shutdown import LEAVING_REASON
 from heathercleat.steering.request.attempt_result import (
-    CLIENT_LEFT,
-    DEADLINE,
-    NO_SLOT_IN_TIME,
-    QUARANTINED,
+    CLIENT_LEFT_REASON,
+    DEADLINE_REASON,
+    NO_SLOT_IN_TIME_REASON,
+    QUARANTINED_REASON,
     AttemptOutcome,
     AttemptResult,
 )
@@ -91,20 +91,20 @@
         """
         now = self._clock.now()
         if call.is_disconnected:
-            return CLIENT_LEFT
+            return CLIENT_LEFT_REASON
         if now >= call.send_deadline:
             return LEAVING_REASON
         if self._shutdown.is_too_late(call, now):
             return LEAVING_REASON
         if now >= call.deadline:
-            return DEADLINE
+            return DEADLINE_REASON
         if self._suspects.refused_until(call.fingerprint) is not None:
-            return QUARANTINED
+            return QUARANTINED_REASON
         return None
 
     def _no_slot_result(self, call):
         is_too_long = self._admission.is_wait_too_long(call)
-        reason = NO_SLOT_IN_TIME if is_too_long else "no free slot"
+        reason = NO_SLOT_IN_TIME_REASON if is_too_long else "no free slot"
         wait = self._admission.expected_wait(call)
         return AttemptResult(AttemptOutcome.NOT_SENT, wait=wait, reason=reason)
 
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -5,8 +5,8 @@
 from heathercleat.events import Event
 from heathercleat.steering.process.retry_after import compute_retry_at
 from heathercleat.steering.request.attempt_result import (
-    NO_SLOT_IN_TIME,
-    QUARANTINED,
+    NO_SLOT_IN_TIME_REASON,
+    QUARANTINED_REASON,
     AttemptOutcome,
 )
 from heathercleat.steering.request.destinations import LARGE_BODY_BYTES
@@ -242,7 +242,7 @@
         if result.target is not None:
             self._avoid.add(result.target)
         if result.outcome is AttemptOutcome.NOT_SENT:
-            if result.reason == QUARANTINED:
+            if result.reason == QUARANTINED_REASON:
                 return self._end_refused_by_owner()
             self._process_unsent(destination, result, wait_until)
             return None
@@ -284,7 +284,7 @@
 
     def _process_unsent(self, destination, result, wait_until):
         now = self._steering._clock.now()
-        has_no_slot_in_time = result.reason == NO_SLOT_IN_TIME
+        has_no_slot_in_time = result.reason == NO_SLOT_IN_TIME_REASON
         if now < wait_until or not (
             destination.target is None or destination.is_affinity_target
         ):
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -322,7 +322,7 @@
 
 def test_suspected_request_is_isolated_at_one_of_few_targets():
     scene = Scene([], entries=[entry(f"t{number}", slots=2) for number in range(8)])
-    few = scene.view.regions("s1")["north"].confined
+    few = scene.view.regions("s1")["north"].isolation_candidates
     few = [each.entry.id for each in few]
     others = {f"t{number}" for number in range(8)} - set(few)
     assert len(few) == 2
@@ -338,7 +338,7 @@
     scene = Scene([], entries=[entry("t1", slots=2)])
     request = scene.call()
     request.needs_isolation = True
-    assert scene.places._isolated(scene.places._eligible_targets(request)) is None
+    assert scene.places._find_isolated(scene.places._eligible_targets(request)) is None
     assert scene.places.select_free(request, (), ()).target == "t1"
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,7 +21,7 @@
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.request.attempt_result import (
-    QUARANTINED,
+    QUARANTINED_REASON,
     AttemptOutcome,
     AttemptResult,
 )
@@ -246,12 +246,15 @@
         return await task.join()
 
     result = run(main)
-    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, QUARANTINED)
+    assert (result.outcome, result.reason) == (
+        AttemptOutcome.NOT_SENT,
+        QUARANTINED_REASON,
+    )
 
 
 def test_refusal_of_the_owner_is_final():
     """The owner may know of a crash before this VM is notified."""
-    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
+    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED_REASON)
     scene = Scene([refused, answered()])
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
@@ -263,7 +266,7 @@
 def test_quarantine_after_an_attempt_reports_an_unknown_outcome():
     """A refusal would state that it has not run."""
     unknown = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
-    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED)
+    refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED_REASON)
     scene = Scene([unknown, refused, answered()])
     with pytest.raises(RequestError) as caught:
         scene.run(scene.call())
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -15,7 +15,7 @@
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.request.attempt_result import (
-    NO_SLOT_IN_TIME,
+    NO_SLOT_IN_TIME_REASON,
     AttemptOutcome,
     AttemptResult,
     TargetResponse,
@@ -216,7 +216,7 @@
 
 def test_request_without_a_slot_in_time_is_refused_at_once():
     no_slot_in_time = AttemptResult(
-        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0
+        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME_REASON, wait=9.0
     )
     scene = full_targets_scene([no_slot_in_time] * 50)
     request = scene.call()
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -12,7 +12,7 @@
 from heathercleat.steering.process.capacity.run_times import RunTimes
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.process.shutdown import Shutdown
-from heathercleat.steering.request.attempt_result import DEADLINE, AttemptOutcome
+from heathercleat.steering.request.attempt_result import DEADLINE_REASON, AttemptOutcome
 from heathercleat.steering.request.local import CONNECT_TIMEOUT_SECONDS, LocalDispatcher
 from standins.skewed import MAX_STEP_SECONDS, SuspendAwareClock
 from standins.steering_fleet import SteeringFleet
@@ -161,7 +161,7 @@
         return await task.join()
 
     result = run(main)
-    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE)
+    assert (result.outcome, result.reason) == (AttemptOutcome.NOT_SENT, DEADLINE_REASON)
     assert pool.checkout_count == 0
     assert target.limit(parts.clock.now()) == 1
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -56,7 +56,7 @@
     Mutation(
         "MIXED-signature",
         f"{STEERING}/request/exchange.py",
-        "(not head.is_signed or head.is_encoded)",
+        "not head.is_signed or head.is_encoded",
         "False",
         "tests/test_steering_path.py",
         "-k",
@@ -869,7 +869,7 @@
     Mutation(
         "CONTAINED-few-targets",
         f"{STEERING}/request/destinations.py",
-        "isolated = self._isolated(eligible) if call.needs_isolation else None",
+        "isolated = self._find_isolated(eligible) if call.needs_isolation else None",
         "isolated = None",
         "tests/test_containment.py",
         "-k",
