--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -54,8 +54,10 @@
 
     def get(self, path, **query):
         """Return the JSON response to a GET call; ``None`` values are left out."""
-        given = {name: value for name, value in query.items() if value is not None}
-        return self._call("GET", f"{path}?{urlencode(given)}" if given else path)
+        parameters = {name: value for name, value in query.items() if value is not None}
+        return self._call(
+            "GET", f"{path}?{urlencode(parameters)}" if parameters else path
+        )
 
     def post(self, path, body):
         """Return the JSON response to a POST call with a JSON body."""
@@ -88,8 +90,8 @@
         deadline = self._clock.now() + self._timeout
         stream = await connect(self._host, self._port, deadline, self._clock)
         try:
-            exchanged = exchange(stream, message, MAX_RESPONSE_BYTES)
-            return await with_deadline(deadline, self._clock, exchanged)
+            exchanging = exchange(stream, message, MAX_RESPONSE_BYTES)
+            return await with_deadline(deadline, self._clock, exchanging)
         finally:
             await stream.close()
 
@@ -120,8 +122,8 @@
         host, port = settings.address, settings.ports.operator
         key = settings.keys[0]
     if args.vm:
-        host, _, given = args.vm.partition(":")
-        port = int(given) if given.isdecimal() else port
+        host, _, port_text = args.vm.partition(":")
+        port = int(port_text) if port_text.isdecimal() else port
     if args.key_file:
         key = _read_key(args.key_file)
     if host is None or not key:
--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -27,11 +27,11 @@
 
 def _status(args):
     client = make_client(args)
-    first = client.get("/v1/status")
-    statuses = [first]
+    called_status = client.get("/v1/status")
+    statuses = [called_status]
     unreachable = []
-    for entry in first["vms"]:
-        if entry["vm"] == first["vm"]:
+    for entry in called_status["vms"]:
+        if entry["vm"] == called_status["vm"]:
             continue
         try:
             statuses.append(client.with_host(entry["host"]).get("/v1/status"))
--- a/src/heathercleat/cli/_trace.py
+++ b/src/heathercleat/cli/_trace.py
@@ -8,7 +8,7 @@
 from heathercleat.errors import HeathercleatError
 from heathercleat.events import Event
 
-#: Limits on the state changes shown before the last line of a request.
+#: Limits on the number and age of state changes shown before a request's last line.
 MAX_STATE_CHANGES = 12
 STATE_CHANGE_SECONDS = 10.0
 #: Events on changes of a VM's state that affect routing.
@@ -103,12 +103,17 @@
 
 
 def _fingerprint_lines(lines, request_lines):
-    """Yield lines with the request's fingerprint, up to its last line."""
+    """Yield the lines about quarantine or crashes with the same fingerprint.
+
+    The lines are not of the request itself, and are not later than its last line.
+    """
     fingerprints = {line.get("fingerprint") for line in request_lines} - {None, ""}
     for line in lines:
-        is_same = line.get("fingerprint") in fingerprints and line not in request_lines
+        is_related = (
+            line.get("fingerprint") in fingerprints and line not in request_lines
+        )
         if (
-            is_same
+            is_related
             and line["name"] in _FINGERPRINT_EVENTS
             and line["at"] <= request_lines[-1]["at"]
         ):
@@ -117,22 +122,22 @@
 
 def _state_changes(lines, request_lines):
     """Return the latest state changes of the VMs that handled a request."""
-    end = request_lines[-1]["at"]
+    ended_at = request_lines[-1]["at"]
     # Without an attempt, the state of any VM may be the cause.
-    attempted = {
+    attempted_vms = {
         each.split(" ", 1)[0]
         for line in request_lines
         for each in line.get("tries", ())
     }
-    vms = attempted | {line["vm"] for line in request_lines if attempted}
+    vms = attempted_vms | {line["vm"] for line in request_lines if attempted_vms}
     found = [
         line
         for line in lines
         if line["name"] in STATE_CHANGE_EVENTS
         and (not vms or line["vm"] in vms)
-        and end - STATE_CHANGE_SECONDS <= line["at"] <= end
+        and ended_at - STATE_CHANGE_SECONDS <= line["at"] <= ended_at
     ]
-    latest = nsmallest(MAX_STATE_CHANGES, found, key=lambda line: end - line["at"])
+    latest = nsmallest(MAX_STATE_CHANGES, found, key=lambda line: ended_at - line["at"])
     return sorted(latest, key=lambda line: line["at"])
 
 
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -176,13 +176,13 @@
 
     def _read_deadline(self, headers, kind):
         deadline = self._vm.clock.now() + kind.timeout
-        given = find(headers, DEADLINE_HEADER)
-        if given is None:
+        text = find(headers, DEADLINE_HEADER)
+        if text is None:
             return deadline
         try:
-            return min(deadline, from_wall(self._vm.clock, float(given)))
+            return min(deadline, from_wall(self._vm.clock, float(text)))
         except ValueError:
-            message = f'the deadline "{given[:40]}" is not in epoch seconds'
+            message = f'the deadline "{text[:40]}" is not in epoch seconds'
             raise RequestError(ResultCode.BAD_DEADLINE, message) from None
 
     def _read_key(self, headers):
@@ -240,8 +240,8 @@
 
     async def _send_outcome(self, call, outcome):
         # After a server error it is unknown whether the target ran the request.
-        failed = outcome.status >= FIRST_SERVER_ERROR_STATUS
-        run = Run.UNKNOWN if failed else Run.RUN
+        is_error = outcome.status >= FIRST_SERVER_ERROR_STATUS
+        run = Run.UNKNOWN if is_error else Run.RUN
         headers = [
             *outcome.headers,
             (CODE_HEADER, str(ResultCode.OK.number)),
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -98,14 +98,14 @@
         self._conn.receive_data(data)
         return not data
 
-    def reset_for_response(self, request):
+    def reset_for_response(self, request_events):
         """Prepare for another response after one that belongs to a different request.
 
-        :param request: the h11 events of the request; they are not sent again.
+        :param request_events: the events of the request; they are not sent again.
         """
         unread, _ = self._conn.trailing_data
         self._conn = self._new_connection()
-        for event in request:
+        for event in request_events:
             self._conn.send(event)
         if unread:
             self._conn.receive_data(unread)
--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -23,10 +23,10 @@
     return register
 
 
-def encode(item):
+def encode(instance):
     """Return the encoding of a message."""
-    fields = [getattr(item, name) for name in item.__slots__]
-    return msgpack.packb([item.NUMBER, *fields])
+    fields = [getattr(instance, name) for name in instance.__slots__]
+    return msgpack.packb([instance.NUMBER, *fields])
 
 
 def decode(fields):
@@ -128,8 +128,8 @@
     """Response to ``AcquireTargets``: state of the targets at the earlier home.
 
     ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
-    for each occupied slot. ``levels`` holds ``{target: [[instant, slots of spill],
-    ...]}`` within the window of the shift cap. ``vouched`` holds the fields of each
+    for each occupied slot. ``levels`` holds ``{target: [[instant, moved slots], ...]}``
+    within the window of the shift cap. ``vouched`` holds the fields of each
     ``OccupancyBound`` that the sender has recorded as a monitor.
     """
 
@@ -263,6 +263,6 @@
     usable: dict
 
 
-def fields_of(item):
+def fields_of(instance):
     """Return the fields of a message as a list, to nest it in another message."""
-    return list(astuple(item))
+    return list(astuple(instance))
--- a/src/heathercleat/connection/peer.py
+++ b/src/heathercleat/connection/peer.py
@@ -34,9 +34,9 @@
         """Return the number of bytes received."""
         return self._bytes_received
 
-    async def send(self, item):
+    async def send(self, message):
         """Send a message."""
-        data = encode(item)
+        data = encode(message)
         self._bytes_sent += len(data)
         await self._sock.sendall(data)
 
@@ -57,7 +57,7 @@
             self._bytes_received += len(data)
             self._unpacker.feed(data)
 
-    async def call(self, item):
+    async def call(self, message):
         """Send a message and return the response.
 
         A cancelled call closes the stream, so that its late response is not attributed
@@ -66,7 +66,7 @@
         :raises EOFError: when the peer closes the connection first.
         """
         try:
-            await self.send(item)
+            await self.send(message)
             response = await self.receive()
         except CancelledError:
             await self.close()
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -18,8 +18,8 @@
     """Open connections by address; reuses those whose last exchange was complete.
 
     :param source_ip: the local IP address to connect from.
-    :param fence: returns the :class:`Fence` in force.
-    :param on_open: called with each new socket, or ``None``.
+    :param fence: function that returns the :class:`Fence` in force.
+    :param on_open: function that is called with each new socket, or ``None``.
     :param idle_seconds: the longest time that a connection stays idle.
     """
 
--- a/src/heathercleat/platform/decode.py
+++ b/src/heathercleat/platform/decode.py
@@ -24,13 +24,13 @@
     :param rows: each :class:`StoreRow` of the operators' table.
     :raises ValueError: when the configuration is malformed.
     """
-    table, evacuated = None, set()
+    routing_table, evacuated = None, set()
     for row in rows:
         if row.key == CONFIG_KEY:
-            table = decode_config(row.value)
+            routing_table = decode_config(row.value)
         elif row.key.startswith(EVACUATE_PREFIX):
             evacuated.add(row.key.removeprefix(EVACUATE_PREFIX))
-    return table, frozenset(evacuated)
+    return routing_table, frozenset(evacuated)
 
 
 def decode_config(value):
--- a/src/heathercleat/platform/endpoints.py
+++ b/src/heathercleat/platform/endpoints.py
@@ -13,8 +13,9 @@
     """Return the response to a readiness check or look-up.
 
     :param message: the request, a :class:`Message`.
-    :param is_ready: returns whether this VM accepts clients.
-    :param lookup: returns the :class:`Lookup` for a region and a failure domain.
+    :param is_ready: function that returns whether this VM accepts clients.
+    :param lookup: function that returns the :class:`Lookup` for a region and a
+        failure domain.
     """
     url = urlsplit(message.path)
     if message.method != "GET":
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -13,9 +13,9 @@
 from heathercleat.steering.request.attempt_result import TargetResponseHead
 from heathercleat.steering.request.call import ClientHead
 
-#: Time that a client waits for the response if its request has no deadline.
-DEFAULT_WAIT_SECONDS = 30.0
-#: Statuses that tell a client that its request has not been executed.
+#: Timeout of a client whose request has no deadline.
+DEFAULT_TIMEOUT_SECONDS = 30.0
+#: Response statuses that imply that the request has not run.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _MISDIRECTED_STATUS = 421
 _OVERWRITTEN_HEADERS = (DEADLINE_MS, EXPECTED_INSTANCE)
@@ -23,17 +23,17 @@
 
 def parse_client_head(headers):
     """Return the :class:`ClientHead` for the headers of a client's request."""
-    request_id, wait, affinity = None, DEFAULT_WAIT_SECONDS, None
+    request_id, timeout, affinity = None, DEFAULT_TIMEOUT_SECONDS, None
     for name, value in headers:
         if name == REQUEST_ID:
             request_id = value.decode("latin-1")
         elif name == DEADLINE_MS:
-            wait = _parse_milliseconds(value)
+            timeout = _parse_milliseconds(value)
         elif name == b"cookie":
             affinity = (
                 _find_cookie(value.decode("latin-1"), AFFINITY_COOKIE) or affinity
             )
-    return ClientHead(request_id, wait, affinity)
+    return ClientHead(request_id, timeout, affinity)
 
 
 def target_request_headers(headers, remaining, target_id):
@@ -41,7 +41,7 @@
 
     :param headers: the end-to-end headers of the client.
     :param remaining: the time until the deadline, in seconds.
-    :param target_id: the only incarnation that may execute the request.
+    :param target_id: the only target that may run the request.
     """
     for name, value in headers:
         if name not in _OVERWRITTEN_HEADERS:
@@ -82,7 +82,7 @@
     try:
         return int(value) / 1000
     except ValueError:
-        return DEFAULT_WAIT_SECONDS
+        return DEFAULT_TIMEOUT_SECONDS
 
 
 def _find_cookie(value, name):
@@ -94,7 +94,11 @@
 
 
 def _parse_load(value):
-    """Return ``(running, waiting)``, or ``(None, None)`` when it is malformed."""
+    """Parse ``running,waiting,slots``.
+
+    Return the numbers of running and waiting requests, or ``(None, None)`` if the value
+    is malformed.
+    """
     try:
         running_count, waiting_count, _ = value.split(b",")
         return int(running_count), int(waiting_count)
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -11,12 +11,12 @@
 from heathercleat.platform.units import parse_duration
 from heathercleat.steering.process.capacity.target import TargetEntry
 
-#: State of a target, and whether it is draining.
+#: Whether a target is draining, by the state in its row.
 _STATES = {"ready": False, "draining": True}
 _MAX_PORT = 65535
-#: Upper limit for plausible values.
+#: Maximum number of slots of a plausible row.
 MAX_SLOTS = 10_000
-#: Upper limit of counters and times: 64-bit signed integers.
+#: Upper limit of counters and times, which are 64-bit signed integers.
 MAX_COUNT = 1 << 63
 #: Maximum length of a value in error messages.
 _MAX_SHOWN_LENGTH = 60
--- a/src/heathercleat/platform/wire_names.py
+++ b/src/heathercleat/platform/wire_names.py
@@ -8,7 +8,7 @@
 AFFINITY_COOKIE = "Affinity-Key"
 #: Present when the target itself produced the response.
 RESPONSE_SIGNATURE = b"response-signature"
-#: The target incarnation that the request is addressed to.
+#: Id of the target that the request is addressed to.
 EXPECTED_INSTANCE = b"expected-instance"
 #: Running requests, waiting requests and slots of a target, separated by commas.
 TARGET_LOAD = b"server-load"
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -17,7 +17,7 @@
 from heathercleat.steering.connection.call_reader import CallReader
 from heathercleat.steering.connection.pipeline import Pipeline, PipelinedRequest
 
-#: Limits on reading and dropping what a client sends after the last response.
+#: Limits on reading and discarding data that a client sends after the last response.
 LINGER_SECONDS = 0.5
 LINGER_BYTES = 8 << 20
 #: Limit per connection, so that one client cannot occupy all slots of a small service.
@@ -93,7 +93,7 @@
         return may_read_more
 
     async def _switch_stream(self):
-        """Switch to the next request; return whether the connection allows one."""
+        """Switch to the stream of the next request; return whether there is one."""
         if not self._stream.is_request_complete:
             await self._linger()
             return False
@@ -104,7 +104,7 @@
         return True
 
     async def _linger(self):
-        """Read and drop data so that closing does not reset the connection."""
+        """Read and discard data, so that closing does not reset the connection."""
         async with ignore_after(LINGER_SECONDS):
             await self._stream.linger(LINGER_BYTES)
 
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -54,7 +54,7 @@
         head = await self._stream.next_event()
         if not isinstance(head, h11.Request):
             return False
-        # Durations in the order start when it was sent, not when its body has arrived.
+        # Durations in the order count from the arrival of its head, not of its body.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH_PREFIX):
@@ -140,8 +140,8 @@
     """
     try:
         packed = zlib.decompress(body)
-    except zlib.error as fault:
-        raise ValueError(f"not compressed: {fault}") from None
+    except zlib.error as error:
+        raise ValueError(f"not compressed: {error}") from None
     version, last_change, rows, lapsing, is_whole = msgpack.unpackb(packed)
     rows = [StoreRow(*fields) for fields in rows]
     return Snapshot(version, rows, last_change, lapsing, is_whole)
--- a/src/heathercleat/steering/connection/pipeline.py
+++ b/src/heathercleat/steering/connection/pipeline.py
@@ -52,7 +52,7 @@
         self.task = None
 
     async def wait_for_turn(self):
-        """Wait until the responses to all preceding requests were sent.
+        """Mark the response as ready; wait until all preceding ones were sent.
 
         :raises EOFError: if one of them failed, since the client would take this
             response for the missing one.
@@ -69,7 +69,7 @@
 class Pipeline:
     """The pending requests of a connection.
 
-    :param limit: limit of pending requests; later ones are not read.
+    :param limit: maximum number of pending requests; further ones are not read yet.
     :param abort: function that aborts the connection after a failed request.
     """
 
--- a/src/heathercleat/steering/request/attempt_result.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -52,13 +52,13 @@
         self.body = body
 
 
-#: Reason of an unsent attempt: no slot would be free before the deadline.
+#: Reason of an unsent attempt: no slot would be free before ``Call.give_up_at``.
 NO_SLOT_IN_TIME_REASON = "no slot in time"
 #: Reason of an unsent attempt: the client disconnected.
 CLIENT_LEFT_REASON = "client left"
-#: Reason of an attempt that the deadline ended.
+#: Reason of an attempt during or before which the deadline passed.
 DEADLINE_REASON = "deadline"
-#: Reason of an unsent attempt: targets crash on the request; see :class:`Suspects`.
+#: Reason of an unsent attempt: the request crashed targets; see :class:`Suspects`.
 QUARANTINED_REASON = "quarantined"
 
 
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -56,7 +56,8 @@
     :param give_up_at: when the request stops waiting for a slot.
     :param send_deadline: last instant at which the request may be sent to a target; set
         while the VM shuts down.
-    :param affinity_until: until when only the affinity targets may run the request.
+    :param affinity_until: instant until which only the affinity targets may run the
+        request.
     :param is_client_retry: whether the client retries a refused request.
     :param affinity: affinity key of the requested object, or ``None``.
     :param client_wait: timeout of the client in seconds; ``None`` at the owner.
@@ -132,5 +133,6 @@
         self.attempt_started_at = 0.0
         self.stop_estimate = None
         self.is_disconnected = False
-        #: The :class:`Interruptible` to end when the client disconnects, or ``None``.
+        #: The :class:`Interruptible` to interrupt when the client disconnects, or
+        #: ``None``.
         self.on_disconnect = None
--- a/src/heathercleat/steering/request/crash_limits.py
+++ b/src/heathercleat/steering/request/crash_limits.py
@@ -1,10 +1,11 @@
-"""Limits on requests that crash targets, per request, sender and unknown senders.
-
-Quarantine of single requests does not stop a caller that varies its request. A crash is
-therefore also counted against groups: the sender, and all unknown senders of a service
-and route. A request that has had a complete response belongs to no group, and a sender
-with a complete response is known. A complete response clears a sender of all its
-crashes so far, but clears the group of unknown senders of one crash only.
+"""Limits on requests that crash targets.
+
+Crashes are counted per request, per sender, and for all unknown senders of a route
+together. Quarantine of single requests does not stop a caller that varies its request,
+so a crash is also counted against groups: the sender, and all unknown senders of a
+service and route. A request that has had a complete response belongs to no group, and a
+sender that has had one is known. A complete response removes all crashes counted
+against the sender so far, but only one of those counted against the unknown senders.
 """
 
 from heathercleat.codes import ResultCode
@@ -18,9 +19,9 @@
 from heathercleat.steering.request.attempt_result import AttemptOutcome
 from heathercleat.steering.request.fingerprint import sender_digest
 
-#: Remembered senders with complete responses; takes about a megabyte.
+#: Maximum number of remembered senders with complete responses.
 MAX_SENDERS = 8192
-#: Remembered trials; expired ones are dropped when the limit is reached.
+#: Number of remembered trials at which expired ones are dropped.
 MAX_TRIALS = 1024
 
 
@@ -28,7 +29,7 @@
     """The only request of a limited group that is allowed to run, as a probe.
 
     :param fingerprint: identifies the request; a client may reuse request ids.
-    :param expires_at: when the trial expires.
+    :param expires_at: when another request may replace an unfinished trial.
     """
 
     __slots__ = ("fingerprint", "expires_at")
@@ -41,8 +42,8 @@
 class CrashLimits:
     """Decides which requests to refuse or not to retry because targets crash on them.
 
-    Runs at the VM that received the client's request, since that VM sees all responses
-    to a sender, whichever VM owns the targets.
+    Used at the VM that received the client's request, since that VM sees the responses
+    to it, whichever VM owns the target.
 
     :param suspects: the :class:`Suspects`, shared between VMs.
     """
@@ -57,8 +58,9 @@
     def check_or_start_trial(self, call):
         """Return the :class:`RequestError` with which to refuse a request, or ``None``.
 
-        Call it before each attempt until one has run. Once the limit of a group has
-        expired, the request becomes the trial of the group if there is no other.
+        Called before each attempt until one may have run. Also sets the groups of the
+        call and whether it needs isolation. Once a limited group is no longer refused,
+        the request becomes its trial, unless another request already is.
         """
         if call.groups is None:
             call.groups = self._find_groups(call)
@@ -78,9 +80,10 @@
         return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=retry_at)
 
     def error_after_owner_refusal(self, call):
-        """Return the :class:`RequestError` after the owner refused the request.
+        """Return the :class:`RequestError` to send when the owner refused the request.
 
-        The owner may know of a crash that has not reached this VM by gossip.
+        The owner may know of a crash that this VM has not received by gossip yet; the
+        error then assumes a whole quarantine.
         """
         retry_at = self._suspects.refused_until(call.fingerprint)
         return _quarantine_error(
@@ -96,10 +99,10 @@
         """Record the :class:`AttemptResult` of an attempt.
 
         A crash that the owner reports in the result is recorded without waiting for
-        its next heartbeat.
+        the owner's next heartbeat.
 
-        :param is_local: whether this VM owns the target; it has then already recorded
-            the result for the request.
+        :param is_local: whether this VM owns the target. If so, the result is already
+            recorded for the request itself, and only its groups are recorded here.
         """
         keys = call.groups or ()
         if not is_local:
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -9,8 +9,8 @@
 #: From this size on, targets in the failure domain of this VM come before affinity
 #: targets, since sending the body costs more than the cache saves.
 LARGE_BODY_BYTES = 16 << 10
-#: An owner is ruled out if its reported wait exceeds the remaining wait by this factor;
-#: below that the owner decides, since its report may be out of date.
+#: An owner is excluded if its reported wait exceeds the remaining wait by this factor.
+#: Below that the owner decides, since its report may be out of date.
 MAX_WAIT_FACTOR = 2.0
 #: Smallest difference in loss between two regions at which requests move.
 MIN_LOSS_DIFFERENCE = 0.08
@@ -80,16 +80,16 @@
             return self._best_in_other_regions(eligible, 0.0) or self._best_in_region(
                 eligible
             )
-        found = self._best_in_region(eligible)
-        if found is not None or not self._shift.may_move():
-            return found
+        destination = self._best_in_region(eligible)
+        if destination is not None or not self._shift.may_move():
+            return destination
         return self._best_in_other_regions(eligible, self._region_wait(eligible))
 
     def _find_isolated(self, eligible):
         """Return the :class:`Destination` for a request that may crash its target.
 
-        It is one of a few targets of this region, with no other request running, and
-        never the last one with free slots. ``None`` if there is no such target.
+        The target is one of a few in this region, runs no other request, and is not
+        the only one with free slots. ``None`` if there is no such target.
         """
         region_targets, now = eligible.own_region_targets, eligible.now
         if region_targets is None:
@@ -108,8 +108,8 @@
     def select_queue(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` with the queue to wait in, or ``None``.
 
-        It is that of the affinity target unless the wait is too long there, otherwise
-        the shortest one in this region.
+        The queue of the affinity target is preferred, unless its wait is too long. The
+        alternative is the queue with the shortest wait in this region.
         """
         eligible = self._eligible_targets(call, avoid, avoid_vms)
         max_wait = call.give_up_at - eligible.now
@@ -150,8 +150,8 @@
         """Return the :class:`Destination` in a less loaded region, or ``None``.
 
         The region must be able to respond in time and its own clients must lose less.
-        Requests with large bodies stay, since sending them costs more than a late
-        response; so do requests with an affinity target.
+        Requests with large bodies stay in this region, since sending them costs more
+        than a late response. Requests with an affinity target also stay.
         """
         if len(call.body) >= LARGE_BODY_BYTES or not self._shift.may_move():
             return None
@@ -327,10 +327,10 @@
                 candidate.owner,
                 candidate.entry.id in affinity_ids,
             )
-            in_time = self._estimates.is_in_time(
+            is_in_time = self._estimates.is_in_time(
                 eligible.call, owner, is_affinity_target
             )
-            return in_time or self._estimates.round_trip(owner) < region_wait
+            return is_in_time or self._estimates.round_trip(owner) < region_wait
 
         spare_slots = [
             (_spare_slots(each.summary(eligible.now)), each)
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -28,15 +28,15 @@
     def wait(self, owner, call):
         """Return how long a request would wait for a slot at an owner.
 
-        ``None`` if the owner has no target in service, 0 if it does not report to this
-        VM.
+        The wait is ``None`` if the owner has no target in service, and 0 if the owner
+        does not report to this VM.
         """
         if owner == self._members.own.vm:
             return self._admission.expected_wait(call)
         if not self._capacity_reports.is_known(owner):
             return 0.0
-        waits = self._capacity_reports.wait_estimate(owner, call.service)
-        return waits and waits.for_call(
+        estimate = self._capacity_reports.wait_estimate(owner, call.service)
+        return estimate and estimate.for_call(
             call, self._clock.now(), self.response_time(call, True)
         )
 
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -14,9 +14,9 @@
     TargetResponse,
 )
 
-#: Limit because responses are buffered, so that truncated ones are not passed on.
+#: Responses are buffered whole, so that truncated ones are not passed on.
 MAX_RESPONSE_BYTES = 64 << 20
-#: Responses to earlier requests that are skipped before the connection is dropped.
+#: Maximum number of responses to read; those to earlier requests are skipped.
 MAX_STALE_RESPONSES = 4
 _FIRST_ERROR_STATUS = 400
 
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -58,8 +58,8 @@
         """Return the order for a call.
 
         :param wait_until: when to stop waiting for a slot.
-        :param round_trip: the round-trip time to the owner in seconds; it shortens
-            some of the deadlines.
+        :param round_trip: the round-trip time to the owner in seconds, which is
+            subtracted from the latency objective and the send deadline.
         """
         return cls(
             call.id,
@@ -176,8 +176,8 @@
         if call.is_disconnected:
             await self._pool.checkin(ip, self._port, stream)
             return AttemptResult(AttemptOutcome.NOT_SENT, reason=CLIENT_LEFT_REASON)
-        # Also for requests that must not run twice: while the request is queued at the
-        # owner it has not run, and the owner must learn of the disconnect.
+        # Also set for requests that must not run twice, since the owner has to cancel
+        # a queued request, which has not run, when the client disconnects.
         call.on_disconnect = StreamInterrupter(stream)
         try:
             now = self._clock.now()
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -81,8 +81,8 @@
             result = await self._send(call, slot_use, preferred)
             return result
         finally:
-            answered = result is not None and result.outcome is AttemptOutcome.ANSWERED
-            await self._admission.release(slot_use, answered)
+            responded = result is not None and result.outcome is AttemptOutcome.ANSWERED
+            await self._admission.release(slot_use, responded)
 
     def _reason_not_to_send(self, call):
         """Return why a request that has a slot must not be sent, or ``None``.
@@ -149,7 +149,7 @@
         return result
 
     async def _record_crash(self, call, entry, result):
-        """Record a crash if the target process itself has ended."""
+        """Record a crash if the target process has terminated."""
         if not await self._crash_detector.has_crashed(entry):
             return
         result.crashed_incarnation = entry.incarnation_id
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -18,10 +18,10 @@
 FORWARDED_RECHECK_SECONDS = 0.25
 #: The same for a request with a large body, or one past its latency objective.
 LONG_RECHECK_SECONDS = 1.0
-#: Longest wait in seconds if the owner reported a free slot; reports are delayed by
-#: heartbeats.
+#: Longest wait in seconds at a target with a reported free slot; the report may be out
+#: of date.
 STALE_REPORT_WAIT_SECONDS = 0.03
-#: The same once the request has stopped waiting: a network hop in a region.
+#: The same after the request's ``give_up_at``: a network hop in a region.
 LAST_WAIT_SECONDS = 0.005
 #: Longest wait in seconds for a slot in another region.
 MAX_REMOTE_WAIT_SECONDS = 0.15
@@ -72,7 +72,7 @@
     async def run(self, call):
         """Return the final :class:`TargetResponse` of a target.
 
-        :raises RequestError: with the refusal to send if no target responded.
+        :raises RequestError: if there is no usable response of a target.
         :raises CallerDisconnectedError: if the client disconnected.
         """
         self._budget(call.service).record_request(self._clock.now())
@@ -184,24 +184,24 @@
         return spent
 
     def _wait_until(self, destination, now):
-        """Return the instant until which the request may wait for a slot there.
+        """Return the instant until which the request may wait for a slot.
 
-        At its affinity target the request waits even if a slot was reported free, since
-        it would otherwise be forwarded there a second time.
+        A request waits at its affinity target even if a slot was reported free, since
+        it would otherwise be forwarded to that target a second time.
         """
         if destination.target is not None and not self._is_queued(destination, now):
             if destination.is_remote:
                 return self._remote_wait_until(destination, now)
-            min_wait = max(self._call.give_up_at, now + LAST_WAIT_SECONDS)
-            return min(now + STALE_REPORT_WAIT_SECONDS, min_wait)
+            latest = max(self._call.give_up_at, now + LAST_WAIT_SECONDS)
+            return min(now + STALE_REPORT_WAIT_SECONDS, latest)
         round_trip = self._steering._dispatcher.round_trip(destination)
         affinity_until = self._call.affinity_until - round_trip
-        end = (
+        latest = (
             affinity_until
             if now < affinity_until
             else self._call.give_up_at - round_trip
         )
-        return min(end, now + self._recheck_seconds(destination, now))
+        return min(latest, now + self._recheck_seconds(destination, now))
 
     def _is_queued(self, destination, now):
         """Return whether the request queues if there is no free slot."""
@@ -236,7 +236,7 @@
         )
 
     def _process_result(self, destination, result, wait_until):
-        """Record a result; return the final response, or ``None`` to go on."""
+        """Record a result; return the final response, or ``None`` to try again."""
         self._last_reason = result.reason
         self._call.attempt_log.append(self._describe(destination, result))
         if result.target is not None:
@@ -326,13 +326,16 @@
         return self._steering._clock.now() + response_time < call.deadline
 
     def _raise_if_refused(self):
-        """Raise the refusal of a request that crashes targets."""
+        """Raise a :class:`RequestError` if the request is refused.
+
+        It is refused because it, or a group that it belongs to, crashed targets.
+        """
         refusal = self._steering._crash_limits.check_or_start_trial(self._call)
         if refusal is not None:
             raise refusal
 
     def _end_refused_by_owner(self):
-        """Return the last failed response, or raise the final refusal."""
+        """Return the last failed response, or raise the final error."""
         if self._run_count:
             return self._give_up()
         raise self._steering._crash_limits.error_after_owner_refusal(self._call)
@@ -343,7 +346,7 @@
         return RequestError(code, f"{result.target}: {result.reason}")
 
     def _give_up(self):
-        """Return the last failed response, or raise the final refusal."""
+        """Return the last failed response, or raise the final error."""
         if self._failed_response is not None:
             return self._failed_response
         if self._run_count:
@@ -359,5 +362,5 @@
     def _retry_at(self):
         """Return the instant from which the client may retry."""
         expected = self._steering._destinations.expected_wait(self._call) or 0.0
-        mean = max(MIN_RETRY_SECONDS, expected)
-        return compute_retry_at(self._call, mean, self._steering._clock.now())
+        mean_wait = max(MIN_RETRY_SECONDS, expected)
+        return compute_retry_at(self._call, mean_wait, self._steering._clock.now())
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -1,15 +1,15 @@
 """How long a request waits for a slot before it is refused or takes another target.
 
-A request waits as long as a response before its deadline is possible. Requests that
-would not get a slot by then are refused at once; see :mod:`.process.capacity.queue`.
+A request waits while a response before its deadline is still possible. A request that
+is not expected to get a slot in that time is refused at once; see :mod:`.process.capacity.queue`.
 """
 
-#: Most response times are below the mean times this factor.
+#: Factor on the mean response time below which most response times are.
 RESPONSE_TIME_FACTOR = 1.25
-#: Share of the timeout that remains at least when a request stops waiting, so that the
+#: Minimum share of the timeout that remains when a request stops waiting, so that the
 #: client can retry.
 MIN_REMAINING_SHARE = 0.2
-#: Seconds before a request stops waiting from which it accepts any idle target.
+#: Seconds before ``give_up_at`` from which a request accepts any idle target.
 ANY_TARGET_SECONDS = 0.02
 
 
@@ -33,12 +33,14 @@
     def affinity_until(self, call):
         """Return the instant until which only affinity targets are used.
 
-        It is the arrival of the request if other targets, which respond more slowly,
-        would be in time too.
+        This is the request's arrival if other targets, which respond more slowly, can
+        also meet the latency objective.
         """
         route = call.route.name
-        longest = RESPONSE_TIME_FACTOR * self._response_times.at_other_target(route)
-        if call.arrived_at + longest <= call.soft_deadline:
+        response_time = RESPONSE_TIME_FACTOR * self._response_times.at_other_target(
+            route
+        )
+        if call.arrived_at + response_time <= call.soft_deadline:
             return call.arrived_at
         latest = call.soft_deadline - self._response_times.at_affinity_target(route)
         return min(latest, call.give_up_at - ANY_TARGET_SECONDS)
--- a/tests/test_platform_decode.py
+++ b/tests/test_platform_decode.py
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("load", [b"3", b"a,b,c", b"1,2,3,4"])
 def test_malformed_load_is_ignored(load):
-    assert parse_response_head(200, [(b"server-load", load)]).running is None
+    assert parse_response_head(200, [(b"server-load", load)]).running_count is None
 
 
 def test_settings_are_decoded():
