--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -128,8 +128,8 @@
     """Response to ``AcquireTargets``: state of the targets at the earlier home.
 
     ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
-    for each occupied slot. ``levels`` holds ``{target: [[instant, moved slots], ...]}``
-    within the window of the shift cap. ``vouched`` holds the fields of each
+    for each occupied slot. ``levels`` holds ``{target: [[instant, slots used
+    by other failure domains], ...]}`` within the window of the shift cap. ``vouched`` holds the fields of each
     ``OccupancyBound`` that the sender has recorded as a monitor.
     """
 
--- a/src/heathercleat/connection/persistent.py
+++ b/src/heathercleat/connection/persistent.py
@@ -31,12 +31,12 @@
                 stream = None
             if stream is None:
                 stream = await self._connect()
-            reusable = False
+            is_reusable = False
             try:
                 response = await exchange(stream, message, self._limit)
-                reusable = stream.next_cycle()
+                is_reusable = stream.next_cycle()
             finally:
-                if reusable:
+                if is_reusable:
                     self._stream = stream
                 else:
                     await stream.close()
--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -29,13 +29,13 @@
 
     @property
     def ids(self):
-        """Return the ids of the affinity targets, best first."""
+        """Return its id in a tuple, as in :attr:`Destination.preferred`."""
         return (self.candidate.entry.id,)
 
     def may_have_free_slot(self, now):
         """Return whether it has a free slot or its free slots are unknown.
 
-        An owner that does not report to this VM responds without waiting.
+        Without a report of the owner, the free slots are unknown.
         """
         capacity = self.candidate.capacity
         return capacity.free(now) > 0 or not capacity.is_known(now)
@@ -70,8 +70,8 @@
     def _in_other_regions(self, eligible):
         """Yield the affinity targets of other regions that can respond in time."""
         max_round_trip = self._max_round_trip(eligible.call.route)
-        for targets in eligible.other_region_targets:
-            for candidate in eligible.affinity_targets(targets):
+        for region_targets in eligible.other_region_targets:
+            for candidate in eligible.affinity_targets(region_targets):
                 if self._estimates.round_trip(candidate.owner) <= max_round_trip:
                     yield AffinityTarget(candidate, True)
 
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -12,7 +12,7 @@
 #: An owner is excluded if its reported wait exceeds the remaining wait by this factor.
 #: Below that the owner decides, since its report may be out of date.
 MAX_WAIT_FACTOR = 2.0
-#: Smallest difference in loss between two regions at which requests move.
+#: Minimum difference between the loss rates of two regions for spillover.
 MIN_LOSS_DIFFERENCE = 0.08
 #: Remaining wait in seconds that is assumed for spillover to another region.
 MAX_SPILLOVER_WAIT_SECONDS = 0.1
@@ -149,7 +149,7 @@
     def select_spillover(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` in a less loaded region, or ``None``.
 
-        The region must be able to respond in time and its own clients must lose less.
+        The region must be able to respond in time and must have a lower loss rate.
         Requests with large bodies stay in this region, since sending them costs more
         than a late response. Requests with an affinity target also stay.
         """
@@ -210,14 +210,14 @@
         now = self._clock.now()
         return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
-    def _shortest_wait(self, eligible, targets, is_usable, max_wait, is_remote):
+    def _shortest_wait(self, eligible, region_targets, is_usable, max_wait, is_remote):
         """Return the :class:`Destination` with the shortest wait, or ``None``.
 
         :param is_usable: filter for candidates.
         :param max_wait: seconds for which the request may still wait.
         """
-        affinity_targets = eligible.affinity_targets(targets, is_usable)
-        candidates = affinity_targets or filter(is_usable, targets.candidates)
+        affinity_targets = eligible.affinity_targets(region_targets, is_usable)
+        candidates = affinity_targets or filter(is_usable, region_targets.candidates)
         costs = {}
         for owner in {each.owner for each in candidates}:
             cost = self._waiting_cost(eligible.call, owner, max_wait)
@@ -259,7 +259,7 @@
             eligible, region_targets, affinity_targets, eligible.is_usable, False
         )
 
-    def _best(self, eligible, targets, affinity_targets, is_usable, is_remote):
+    def _best(self, eligible, region_targets, affinity_targets, is_usable, is_remote):
         """Return the best :class:`Destination` with a free slot, or ``None``.
 
         Affinity targets come first, then targets of this VM, then the targets with the
@@ -269,19 +269,19 @@
         """
         now, preferred = eligible.now, _ids(affinity_targets)
         for each in affinity_targets:
-            # An owner that does not report to this VM responds without waiting.
+            # Without a report of the owner, the free slots are unknown.
             may_have_free_slot = each.capacity.free(
                 now
             ) > 0 or not each.capacity.is_known(now)
             if may_have_free_slot and is_usable(each):
                 return Destination(each.owner, each.entry.id, preferred, is_remote)
-        summary = targets.summary(now)
+        summary = region_targets.summary(now)
         if not (summary.idle if affinity_targets else summary.free):
             return None
         best = min(
             (
                 each
-                for each in targets.candidates
+                for each in region_targets.candidates
                 if self._is_free(each, preferred, now) and is_usable(each)
             ),
             key=lambda each: self._sort_key(each, now),
@@ -336,13 +336,13 @@
             (_spare_slots(each.summary(eligible.now)), each)
             for each in eligible.other_region_targets
         ]
-        for spare, targets in sorted(spare_slots, key=lambda each: -each[0]):
+        for spare, region_targets in sorted(spare_slots, key=lambda each: -each[0]):
             if spare <= 0.0:
                 return None
-            affinity_targets = eligible.affinity_targets(targets)
+            affinity_targets = eligible.affinity_targets(region_targets)
             affinity_ids.update(_ids(affinity_targets))
             destination = self._best(
-                eligible, targets, affinity_targets, is_faster, True
+                eligible, region_targets, affinity_targets, is_faster, True
             )
             if destination is not None:
                 return destination
--- a/src/heathercleat/steering/request/eligibility.py
+++ b/src/heathercleat/steering/request/eligibility.py
@@ -44,8 +44,8 @@
     def other_region_targets(self):
         """Return the :class:`RegionTargets` of the other allowed regions."""
         return [
-            targets
-            for region, targets in self._regions.items()
+            region_targets
+            for region, region_targets in self._regions.items()
             if region != self._own_region and self.call.route.allows(region)
         ]
 
@@ -72,7 +72,7 @@
             )
         return self._own_region_affinity_targets
 
-    def affinity_targets(self, targets, is_usable=None):
+    def affinity_targets(self, region_targets, is_usable=None):
         """Return the affinity targets in a region, best first.
 
         :param is_usable: filter for candidates; :meth:`is_usable` by default.
@@ -81,6 +81,6 @@
         if call.affinity is None or not call.route.sticky:
             return []
         is_usable = is_usable or self.is_usable
-        return targets.affinity_targets(
+        return region_targets.affinity_targets(
             call.affinity, AFFINITY_TARGETS_PER_REGION, is_usable, self.now
         )
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -40,15 +40,15 @@
             call, self._clock.now(), self.response_time(call, True)
         )
 
-    def shortest_wait(self, targets, call):
+    def shortest_wait(self, region_targets, call):
         """Return the shortest reported wait at the owners of a region, or ``None``.
 
-        :param targets: the :class:`RegionTargets`.
+        :param region_targets: the :class:`RegionTargets`.
         """
         own = self._members.own.vm
         waits = [
             self.wait(owner, call)
-            for owner in targets.owners
+            for owner in region_targets.owners
             if owner == own or self._capacity_reports.is_known(owner)
         ]
         return min((each for each in waits if each is not None), default=None)
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -1,7 +1,8 @@
 """How long a request waits for a slot before it is refused or takes another target.
 
 A request waits while a response before its deadline is still possible. A request that
-is not expected to get a slot in that time is refused at once; see :mod:`.process.capacity.queue`.
+is not expected to get a slot in that time is refused at once; see
+:mod:`.process.capacity.queue`.
 """
 
 #: Factor on the mean response time below which most response times are.
