--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -128,10 +128,10 @@
     """Response to ``AcquireTargets``: state of the targets at the earlier home.
 
     ``targets`` holds ``{target: [[use id, deadline, sender's domain], ...]}``, an entry
-    for each occupied slot. ``levels`` holds ``{target: [[instant, level], ...]}`` within
-    the window of the shift cap; the level is the number of slots that other failure
-    domains use. ``vouched`` holds the fields of each ``OccupancyBound`` that the sender
-    has recorded as a monitor.
+    for each occupied slot. ``levels`` holds ``{target: [[instant, level], ...]}``
+    within the window of the shift cap; the level is the number of slots that other
+    failure domains use. ``vouched`` holds the fields of each ``OccupancyBound`` that
+    the sender has recorded as a monitor.
     """
 
     targets: dict
