--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -12,8 +12,8 @@
         "version": vm.version,
         "vm_serial": vm.vm_serial,
         "incarnation": vm.incarnation,
-        "leaving": vm.leaving,
-        "may_act": vm.membership.may_act(),
+        "leaving": vm.is_leaving,
+        "may_act": vm.membership.may_act_as_home(),
         "platform_answers": vm.configuration.is_platform_available,
         "control_bytes": vm.control_bytes,
         "members": [
@@ -56,6 +56,6 @@
         "slots": sum(entry.target.limit for entry in entries),
         "free": sum(entry.free(now) for entry in entries),
         "waiting": vm.admission.waiting_count(name),
-        "ready_share": vm.readiness.share(service),
+        "ready_share": vm.readiness.ready_share(service),
         "leased": sum(lease.slots for lease in vm.lease_holder.leases_for(name)),
     }
