--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -26,8 +26,8 @@
 from heathercleat.version.document import Document
 
 MAX_TEXT_BYTES = 16 * 1024 * 1024
-TOKEN_SECONDS = 60
-JSON = {"content-type": "application/json"}
+TOKEN_LIFETIME_SECONDS = 60
+JSON_HEADERS = {"content-type": "application/json"}
 
 
 def operator_token(key, method, path, body, wall_time):
@@ -35,7 +35,7 @@
 
     :param wall_time: the current time, in epoch seconds.
     """
-    expires_at = int(wall_time + TOKEN_SECONDS)
+    expires_at = int(wall_time + TOKEN_LIFETIME_SECONDS)
     signature = sign(key, b"operator", method, path, body, expires_at).hex()
     return f"Heathercleat {expires_at}:{signature}"
 
@@ -79,12 +79,14 @@
             query = {name: each[0] for name, each in parse_qs(url.query).items()}
             result = await handler(query, message.body)
         except FindingsError as group:
-            return _failure(group.code, [each.render() for each in group.exceptions])
+            return _error_response(
+                group.code, [each.render() for each in group.exceptions]
+            )
         except HeathercleatError as error:
-            return _failure(error.code, [str(error)])
+            return _error_response(error.code, [str(error)])
         except (ValueError, KeyError, TypeError) as error:
-            return _failure(ResultCode.BAD_REQUEST, [f"bad call: {error!r}"])
-        return Message(headers=JSON, body=dumps(result).encode())
+            return _error_response(ResultCode.BAD_REQUEST, [f"bad call: {error!r}"])
+        return Message(headers=JSON_HEADERS, body=dumps(result).encode())
 
     def _authenticate(self, message):
         scheme, _, token = message.headers.get("authorization", "").partition(" ")
@@ -195,12 +197,12 @@
         try:
             version = await self._vm.editor.apply(edit)
         except ConflictError:
-            await self._follow_platform()
+            await self._adopt_and_announce()
             raise
-        await self._follow_platform()
+        await self._adopt_and_announce()
         return {"version": version}
 
-    async def _follow_platform(self):
+    async def _adopt_and_announce(self):
         """Adopt the newest version and announce it to the failure domain."""
         await self._vm.configuration.read_platform()
         await self._vm.configuration.announce()
@@ -213,11 +215,11 @@
         return document
 
 
-def _failure(code, messages):
+def _error_response(code, messages):
     body = {
         "code": code.number,
         "name": code.name.lower(),
         "messages": messages,
         "next": code.advice,
     }
-    return Message(status=code.status, headers=JSON, body=dumps(body).encode())
+    return Message(status=code.status, headers=JSON_HEADERS, body=dumps(body).encode())
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -18,8 +18,8 @@
     """Open connections by address; reuses those whose last exchange was complete.
 
     :param source_ip: the local IP address to connect from.
-    :param fence: returns the :class:`Fence` in force.
-    :param on_open: called with each new socket, or ``None``.
+    :param fence: function that returns the :class:`Fence` in force.
+    :param on_open: function that is called with each new socket, or ``None``.
     :param idle_seconds: the longest time that a connection stays idle.
     """
 
@@ -32,11 +32,11 @@
         self._on_open = on_open
         self._idle_seconds = idle_seconds
         self._idle = {}
-        self._open = {}
+        self._open_counts = {}
 
     def open_count(self, host, port):
         """Return the number of connections to an address, including idle ones."""
-        return self._open.get((host, port), 0)
+        return self._open_counts.get((host, port), 0)
 
     async def checkout(self, host, port, limit=None, fresh=False, max_age=None):
         """Return an idle or new connection as an :class:`HttpStream`.
@@ -60,27 +60,29 @@
             if not idle:
                 raise ConnectionLimitError(f"{host}:{port} has {limit} connections")
             await self.discard(host, port, idle.popleft().stream)
-        self._open[address] = self.open_count(host, port) + 1
+        self._open_counts[address] = self.open_count(host, port) + 1
         try:
             sock = await open_socket(host, port, self._source_ip)
             if self._on_open is not None:
                 self._on_open(sock)
             return HttpStream(sock, h11.CLIENT)
         except BaseException:
-            self._open[address] -= 1
+            self._open_counts[address] -= 1
             raise
 
-    async def checkin(self, host, port, stream, keep_for=None):
+    async def checkin(self, host, port, stream, peer_idle_seconds=None):
         """Return a connection to the pool, or close it if it is not reusable.
 
-        :param keep_for: the idle timeout of the peer in seconds, or ``None``.
+        :param peer_idle_seconds: the idle timeout of the peer, or ``None``.
         """
         if not stream.next_cycle() or not stream.is_clean():
             await self.discard(host, port, stream)
             return
         now = self._clock.now()
-        peer_idle_seconds = self._idle_seconds if keep_for is None else keep_for
-        expires_at = now + min(self._idle_seconds, peer_idle_seconds)
+        idle_seconds = (
+            self._idle_seconds if peer_idle_seconds is None else peer_idle_seconds
+        )
+        expires_at = now + min(self._idle_seconds, idle_seconds)
         idle_connection = _IdleConnection(stream, now, expires_at)
         self._idle.setdefault((host, port), deque()).append(idle_connection)
 
@@ -96,7 +98,7 @@
 
     async def discard(self, host, port, stream):
         """Close a connection."""
-        self._open[host, port] -= 1
+        self._open_counts[host, port] -= 1
         await stream.close()
 
     async def close(self):
--- a/src/heathercleat/platform/endpoints.py
+++ b/src/heathercleat/platform/endpoints.py
@@ -6,15 +6,16 @@
 from heathercleat.connection.http import Message
 from heathercleat.platform.wire_names import READY_PATH, RESOLVE_PATH
 
-_JSON = {"content-type": "application/json"}
+_JSON_HEADERS = {"content-type": "application/json"}
 
 
 def handle_platform_request(message, is_ready, lookup):
     """Return the response to a readiness check or look-up.
 
     :param message: the request, a :class:`Message`.
-    :param is_ready: returns whether this VM accepts clients.
-    :param lookup: returns the :class:`Lookup` for a region and a failure domain.
+    :param is_ready: function that returns whether this VM accepts clients.
+    :param lookup: function that returns the :class:`Lookup` for a region and a
+        failure domain.
     """
     url = urlsplit(message.path)
     if message.method != "GET":
@@ -30,4 +31,4 @@
     if not found.addresses:
         return Message(status=503)
     body = {"addresses": found.addresses, "ttl": f"{round(found.ttl * 1000)}ms"}
-    return Message(headers=_JSON, body=json.dumps(body).encode())
+    return Message(headers=_JSON_HEADERS, body=json.dumps(body).encode())
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -17,7 +17,7 @@
 from heathercleat.steering.connection.call_reader import CallReader
 from heathercleat.steering.connection.pipeline import Pipeline, PipelinedRequest
 
-#: Limits on reading and dropping what a client sends after the last response.
+#: Limits on reading and discarding data that a client sends after the last response.
 LINGER_SECONDS = 0.5
 LINGER_BYTES = 8 << 20
 #: Limit per connection, so that one client cannot occupy all slots of a small service.
@@ -47,7 +47,7 @@
         """Return whether a request is being read or served."""
         return self._is_reading or self._pipeline.is_busy
 
-    def close_idle(self):
+    def close_if_idle(self):
         """Close the connection if it is not busy."""
         if not self.is_busy:
             self._is_closed = True
@@ -83,7 +83,7 @@
         if head is None:
             return False
         request = PipelinedRequest(self._stream, head, self._clock.now())
-        if not _may_overlap(head):
+        if not _can_serve_concurrently(head):
             async with self._pipeline.exclusive(request):
                 await self._serve(request)
             return await self._switch_stream()
@@ -93,7 +93,7 @@
         return may_read_more
 
     async def _switch_stream(self):
-        """Switch to the next request; return whether the connection allows one."""
+        """Switch to the stream of the next request; return whether there is one."""
         if not self._stream.is_request_complete:
             await self._linger()
             return False
@@ -104,7 +104,7 @@
         return True
 
     async def _linger(self):
-        """Read and drop data so that closing does not reset the connection."""
+        """Read and discard data, so that closing does not reset the connection."""
         async with ignore_after(LINGER_SECONDS):
             await self._stream.linger(LINGER_BYTES)
 
@@ -220,7 +220,7 @@
         self._stream.abort()
 
 
-def _may_overlap(head):
+def _can_serve_concurrently(head):
     """Return whether a request may be served concurrently; it must have no body."""
     if head.method not in _SAFE_METHODS:
         return False
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -8,15 +8,15 @@
 from heathercleat.platform.headers import parse_response_head, target_request_headers
 from heathercleat.request.headers import check_framing, end_to_end
 from heathercleat.steering.request.attempt_result import (
-    DEADLINE,
+    DEADLINE_REASON,
     AttemptOutcome,
     AttemptResult,
     TargetResponse,
 )
 
-#: Limit because responses are buffered, so that truncated ones are not passed on.
+#: Responses are buffered whole, so that truncated ones are not passed on.
 MAX_RESPONSE_BYTES = 64 << 20
-#: Responses to earlier requests that are skipped before the connection is dropped.
+#: Maximum number of responses to read; those to earlier requests are skipped.
 MAX_STALE_RESPONSES = 4
 _FIRST_ERROR_STATUS = 400
 
@@ -59,7 +59,7 @@
             outcome = (
                 AttemptOutcome.TIMED_OUT if self._is_sent else AttemptOutcome.NOT_SENT
             )
-            return AttemptResult(outcome, target=target, reason=DEADLINE)
+            return AttemptResult(outcome, target=target, reason=DEADLINE_REASON)
         except (RequestError, ValueError, *CONNECTION_ERRORS) as error:
             outcome = (
                 AttemptOutcome.UNKNOWN if self._is_sent else AttemptOutcome.NOT_SENT
@@ -113,13 +113,15 @@
     def _evaluate(self):
         """Return the result for a complete response."""
         head, response, target = self._head, self._response, self._entry.id
-        if head.not_run:
-            reason = "replaced" if head.replaced else "shed"
+        if head.reports_not_run:
+            reason = "replaced" if head.is_other_incarnation else "shed"
             return AttemptResult(AttemptOutcome.REFUSED, target=target, reason=reason)
-        if response.status < _FIRST_ERROR_STATUS and (not head.signed or head.encoded):
+        if response.status < _FIRST_ERROR_STATUS and (
+            not head.is_signed or head.is_encoded
+        ):
             reason = f"{response.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
-        if head.implies_not_run:
+        if head.status_implies_not_run:
             # A client would conclude from the status that the request has not run.
             reason = f"{response.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -5,8 +5,8 @@
 from heathercleat.events import Event
 from heathercleat.steering.process.retry_after import compute_retry_at
 from heathercleat.steering.request.attempt_result import (
-    NO_SLOT_IN_TIME,
-    QUARANTINED,
+    NO_SLOT_IN_TIME_REASON,
+    QUARANTINED_REASON,
     AttemptOutcome,
 )
 from heathercleat.steering.request.destinations import LARGE_BODY_BYTES
@@ -18,11 +18,11 @@
 FORWARDED_RECHECK_SECONDS = 0.25
 #: The same for a request with a large body, or one past its latency objective.
 LONG_RECHECK_SECONDS = 1.0
-#: Longest wait in seconds if the owner reported a free slot; reports are delayed by
-#: heartbeats.
+#: Longest wait in seconds at a target with a reported free slot; the report may be out
+#: of date.
 STALE_REPORT_WAIT_SECONDS = 0.03
-#: The same once the request has stopped waiting: a network hop in a region.
-MIN_WAIT_SECONDS = 0.005
+#: The same after the request's ``give_up_at``: a network hop in a region.
+LAST_WAIT_SECONDS = 0.005
 #: Longest wait in seconds for a slot in another region.
 MAX_REMOTE_WAIT_SECONDS = 0.15
 #: Unsent attempts at reported free slots after which a request is refused.
@@ -41,7 +41,7 @@
     :param response_times: the :class:`ResponseTimes`.
     :param loss_rates: the :class:`LossRates`.
     :param shutdown: the :class:`Shutdown` of this VM.
-    :param containment: the :class:`Containment`.
+    :param crash_limits: the :class:`CrashLimits`.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         response_times,
         loss_rates,
         shutdown,
-        containment,
+        crash_limits,
         journal,
         clock,
     ):
@@ -64,7 +64,7 @@
         self._response_times = response_times
         self._loss_rates = loss_rates
         self._shutdown = shutdown
-        self._containment = containment
+        self._crash_limits = crash_limits
         self._wait_policy = WaitPolicy(response_times)
         self._journal = journal
         self._clock = clock
@@ -72,7 +72,7 @@
     async def run(self, call):
         """Return the final :class:`TargetResponse` of a target.
 
-        :raises RequestError: with the refusal to send if no target responded.
+        :raises RequestError: if there is no usable response of a target.
         :raises CallerDisconnectedError: if the client disconnected.
         """
         self._budget(call.service).record_request(self._clock.now())
@@ -104,7 +104,7 @@
             now = clock.now()
             if not self._run_count:
                 self._steering._shutdown.check(call, now)
-                self._check_quarantine()
+                self._raise_if_refused()
             elif self._steering._shutdown.is_too_late(call, now):
                 return self._give_up()
             destination = self._next_destination(now)
@@ -184,24 +184,24 @@
         return spent
 
     def _wait_until(self, destination, now):
-        """Return the instant until which the request may wait for a slot there.
+        """Return the instant until which the request may wait for a slot.
 
-        At its affinity target the request waits even if a slot was reported free, since
-        it would otherwise be forwarded there a second time.
+        A request waits at its affinity target even if a slot was reported free, since
+        it would otherwise be forwarded to that target a second time.
         """
         if destination.target is not None and not self._is_queued(destination, now):
             if destination.is_remote:
                 return self._remote_wait_until(destination, now)
-            min_wait = max(self._call.give_up_at, now + MIN_WAIT_SECONDS)
-            return min(now + STALE_REPORT_WAIT_SECONDS, min_wait)
+            latest = max(self._call.give_up_at, now + LAST_WAIT_SECONDS)
+            return min(now + STALE_REPORT_WAIT_SECONDS, latest)
         round_trip = self._steering._dispatcher.round_trip(destination)
         affinity_until = self._call.affinity_until - round_trip
-        end = (
+        latest = (
             affinity_until
             if now < affinity_until
             else self._call.give_up_at - round_trip
         )
-        return min(end, now + self._recheck_seconds(destination, now))
+        return min(latest, now + self._recheck_seconds(destination, now))
 
     def _is_queued(self, destination, now):
         """Return whether the request queues if there is no free slot."""
@@ -236,14 +236,14 @@
         )
 
     def _process_result(self, destination, result, wait_until):
-        """Record a result; return the final response, or ``None`` to go on."""
+        """Record a result; return the final response, or ``None`` to try again."""
         self._last_reason = result.reason
         self._call.attempt_log.append(self._describe(destination, result))
         if result.target is not None:
             self._avoid.add(result.target)
         if result.outcome is AttemptOutcome.NOT_SENT:
-            if result.reason == QUARANTINED:
-                return self._end_quarantined()
+            if result.reason == QUARANTINED_REASON:
+                return self._end_refused_by_owner()
             self._process_unsent(destination, result, wait_until)
             return None
         self._sent_count += 1
@@ -284,7 +284,7 @@
 
     def _process_unsent(self, destination, result, wait_until):
         now = self._steering._clock.now()
-        has_no_slot_in_time = result.reason == NO_SLOT_IN_TIME
+        has_no_slot_in_time = result.reason == NO_SLOT_IN_TIME_REASON
         if now < wait_until or not (
             destination.target is None or destination.is_affinity_target
         ):
@@ -320,22 +320,25 @@
             or self._run_count >= call.route.max_attempts
         ):
             return False
-        if not self._steering._containment.may_retry(call):
+        if not self._steering._crash_limits.may_retry(call):
             return False
         response_time = self._steering._response_times.mean(call.route.name)
         return self._steering._clock.now() + response_time < call.deadline
 
-    def _check_quarantine(self):
-        """Raise the refusal of a request that crashes targets."""
-        refusal = self._steering._containment.refusal(self._call)
+    def _raise_if_refused(self):
+        """Raise a :class:`RequestError` if the request is refused.
+
+        It is refused because it, or a group that it belongs to, crashed targets.
+        """
+        refusal = self._steering._crash_limits.check_or_start_trial(self._call)
         if refusal is not None:
             raise refusal
 
-    def _end_quarantined(self):
-        """Return the last failed response, or raise the final refusal."""
+    def _end_refused_by_owner(self):
+        """Return the last failed response, or raise the final error."""
         if self._run_count:
             return self._give_up()
-        raise self._steering._containment.owner_refusal(self._call)
+        raise self._steering._crash_limits.error_after_owner_refusal(self._call)
 
     def _unknown_outcome_error(self, result):
         timed_out = result.outcome is AttemptOutcome.TIMED_OUT
@@ -343,7 +346,7 @@
         return RequestError(code, f"{result.target}: {result.reason}")
 
     def _give_up(self):
-        """Return the last failed response, or raise the final refusal."""
+        """Return the last failed response, or raise the final error."""
         if self._failed_response is not None:
             return self._failed_response
         if self._run_count:
@@ -359,5 +362,5 @@
     def _retry_at(self):
         """Return the instant from which the client may retry."""
         expected = self._steering._destinations.expected_wait(self._call) or 0.0
-        mean = max(MIN_RETRY_SECONDS, expected)
-        return compute_retry_at(self._call, mean, self._steering._clock.now())
+        mean_wait = max(MIN_RETRY_SECONDS, expected)
+        return compute_retry_at(self._call, mean_wait, self._steering._clock.now())
