--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -21,9 +21,9 @@
 from heathercleat.process.settings import DEFAULT_PORTS, load_settings
 
 KEY_VARIABLE = "HEATHERCLEAT_KEY"
-CALL_SECONDS = 20.0
+CALL_TIMEOUT_SECONDS = 20.0
 #: Timeout for calls to further VMs that a command makes.
-FOLLOW_UP_SECONDS = 2.0
+FOLLOW_UP_TIMEOUT_SECONDS = 2.0
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
@@ -45,7 +45,7 @@
     :param timeout: timeout of a call, in seconds.
     """
 
-    def __init__(self, host, port, key, timeout=CALL_SECONDS):
+    def __init__(self, host, port, key, timeout=CALL_TIMEOUT_SECONDS):
         self._host = host
         self._port = port
         self._key = key
@@ -54,8 +54,10 @@
 
     def get(self, path, **query):
         """Return the JSON response to a GET call; ``None`` values are left out."""
-        given = {name: value for name, value in query.items() if value is not None}
-        return self._call("GET", f"{path}?{urlencode(given)}" if given else path)
+        parameters = {name: value for name, value in query.items() if value is not None}
+        return self._call(
+            "GET", f"{path}?{urlencode(parameters)}" if parameters else path
+        )
 
     def post(self, path, body):
         """Return the JSON response to a POST call with a JSON body."""
@@ -63,7 +65,7 @@
 
     def with_host(self, host):
         """Return a client of another VM, with the same key and port."""
-        return OperatorClient(host, self._port, self._key, FOLLOW_UP_SECONDS)
+        return OperatorClient(host, self._port, self._key, FOLLOW_UP_TIMEOUT_SECONDS)
 
     def _call(self, method, path, body=b""):
         token = operator_token(self._key, method, path, body, self._clock.wall())
@@ -88,8 +90,8 @@
         deadline = self._clock.now() + self._timeout
         stream = await connect(self._host, self._port, deadline, self._clock)
         try:
-            exchanged = exchange(stream, message, MAX_RESPONSE_BYTES)
-            return await with_deadline(deadline, self._clock, exchanged)
+            exchanging = exchange(stream, message, MAX_RESPONSE_BYTES)
+            return await with_deadline(deadline, self._clock, exchanging)
         finally:
             await stream.close()
 
@@ -120,8 +122,8 @@
         host, port = settings.address, settings.ports.operator
         key = settings.keys[0]
     if args.vm:
-        host, _, given = args.vm.partition(":")
-        port = int(given) if given.isdecimal() else port
+        host, _, port_text = args.vm.partition(":")
+        port = int(port_text) if port_text.isdecimal() else port
     if args.key_file:
         key = _read_key(args.key_file)
     if host is None or not key:
--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -47,7 +47,7 @@
 LINGER_SECONDS = 1.0
 LINGER_BYTES = 16 * 1024 * 1024
 MAX_KEY_LENGTH = 256
-FIRST_SERVER_ERROR = 500
+FIRST_SERVER_ERROR_STATUS = 500
 REQUEST_ID_BYTES = 8
 
 
@@ -62,14 +62,14 @@
         super().__init__(HttpStream(sock, h11.SERVER), LINGER_SECONDS, LINGER_BYTES)
         self._vm = vm
         self._caller = address[0]
-        self._forwarded = forwarded
+        self._is_forwarded = forwarded
 
     async def _serve_next(self):
         """Serve one request; return whether the connection can be reused."""
         head = await self._read_head()
         if head is None:
             return False
-        self._busy = True
+        self._is_busy = True
         try:
             await self._serve(head)
         except RequestError as error:
@@ -108,7 +108,7 @@
         if head.http_version != b"1.1":
             raise RequestError(ResultCode.BAD_REQUEST, "HTTP/1.1 is needed")
         path = head.target.decode("latin-1")
-        if not self._forwarded and urlsplit(path).path == LOOKUP_PATH:
+        if not self._is_forwarded and urlsplit(path).path == LOOKUP_PATH:
             await self._serve_lookup(path)
             return
         call = self._build_call(head, path, headers)
@@ -154,10 +154,10 @@
         if kind is None:
             message = f'"{name}" takes no {method} /{rest[:80]}'
             raise RequestError(ResultCode.UNKNOWN_KIND, message)
-        deadline = self._deadline(headers, kind)
+        deadline = self._read_deadline(headers, kind)
         return Call(
             id=find(headers, REQUEST_ID_HEADER)
-            if self._forwarded
+            if self._is_forwarded
             else token_hex(REQUEST_ID_BYTES),
             service=service,
             kind=kind,
@@ -168,38 +168,38 @@
             wall_deadline=to_wall(vm.clock, deadline),
             stream=self._stream,
             received_at=vm.clock.now(),
-            key=self._key(headers),
-            ticket=self._ticket(headers),
-            lease_id=self._lease(headers),
+            key=self._read_key(headers),
+            ticket=self._read_ticket(headers),
+            lease_id=self._read_lease_id(headers),
             caller=self._caller,
         )
 
-    def _deadline(self, headers, kind):
+    def _read_deadline(self, headers, kind):
         deadline = self._vm.clock.now() + kind.timeout
-        given = find(headers, DEADLINE_HEADER)
-        if given is None:
+        text = find(headers, DEADLINE_HEADER)
+        if text is None:
             return deadline
         try:
-            return min(deadline, from_wall(self._vm.clock, float(given)))
+            return min(deadline, from_wall(self._vm.clock, float(text)))
         except ValueError:
-            message = f'the deadline "{given[:40]}" is not in epoch seconds'
+            message = f'the deadline "{text[:40]}" is not in epoch seconds'
             raise RequestError(ResultCode.BAD_DEADLINE, message) from None
 
-    def _key(self, headers):
+    def _read_key(self, headers):
         key = find(headers, IDEMPOTENCY_KEY_HEADER)
         if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
             message = f"an Idempotency-Key has 1 to {MAX_KEY_LENGTH} characters"
             raise RequestError(ResultCode.BAD_REQUEST, message)
         return key
 
-    def _ticket(self, headers):
+    def _read_ticket(self, headers):
         text = find(headers, TICKET_HEADER)
-        if text is None or self._forwarded:
+        if text is None or self._is_forwarded:
             return None
         return read_ticket(self._vm.settings.keys, text)
 
-    def _lease(self, headers):
-        if not self._forwarded:
+    def _read_lease_id(self, headers):
+        if not self._is_forwarded:
             return None
         token, lease = find(headers, PEER_HEADER), find(headers, LEASE_HEADER)
         if token is None or lease is None or not self._vm.tokens.accepts(token):
@@ -243,8 +243,8 @@
 
     async def _send_outcome(self, call, outcome):
         # After a server error it is unknown whether the target ran the request.
-        failed = outcome.status >= FIRST_SERVER_ERROR
-        run = Run.UNKNOWN if failed else Run.RUN
+        is_error = outcome.status >= FIRST_SERVER_ERROR_STATUS
+        run = Run.UNKNOWN if is_error else Run.RUN
         headers = [
             *outcome.headers,
             (CODE_HEADER, str(ResultCode.OK.number)),
--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -76,9 +76,9 @@
         )
         return call
 
-    async def _wait_for_start(self, until):
+    async def _wait_for_start(self, deadline):
         """Wait until the configuration and the targets are known, or ``until``."""
-        while not self._node.is_started and self._clock.now() < until:
+        while not self._node.is_started and self._clock.now() < deadline:
             await sleep(START_POLL_SECONDS)
 
     def _match(self, head, headers):
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -140,8 +140,8 @@
     """
     try:
         packed = zlib.decompress(body)
-    except zlib.error as fault:
-        raise ValueError(f"not compressed: {fault}") from None
+    except zlib.error as error:
+        raise ValueError(f"not compressed: {error}") from None
     version, last_change_version, rows, remaining_use_seconds, is_whole = (
         msgpack.unpackb(packed)
     )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -56,7 +56,8 @@
     :param give_up_at: when the request stops waiting for a slot.
     :param send_deadline: last instant at which the request may be sent to a target; set
         while the VM shuts down.
-    :param affinity_until: until when only the affinity targets may run the request.
+    :param affinity_until: instant until which only the affinity targets may run the
+        request.
     :param is_client_retry: whether the client retries a refused request.
     :param affinity: affinity key of the requested object, or ``None``.
     :param client_wait: timeout of the client in seconds; ``None`` at the owner.
@@ -65,7 +66,7 @@
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
         they were not needed; see :mod:`heathercleat.steering.request.fingerprint`.
     :param groups: keys of the groups that share the blame for a crash, or ``None``
-        before they are determined; see :class:`Containment`.
+        before they are determined; see :class:`CrashLimits`.
     :param needs_isolation: whether the request may crash its target and should run on
         a target without other requests.
     :param attempt_log: one line of text for each attempt, for the log.
@@ -132,5 +133,6 @@
         self.attempt_started_at = 0.0
         self.stop_estimate = None
         self.is_disconnected = False
-        #: The :class:`Interruptible` to end when the client disconnects, or ``None``.
+        #: The :class:`Interruptible` to interrupt when the client disconnects, or
+        #: ``None``.
         self.on_disconnect = None
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -9,10 +9,10 @@
 #: From this size on, targets in the failure domain of this VM come before affinity
 #: targets, since sending the body costs more than the cache saves.
 LARGE_BODY_BYTES = 16 << 10
-#: An owner is ruled out if its reported wait exceeds the remaining wait by this factor;
-#: below that the owner decides, since its report may be out of date.
+#: An owner is excluded if its reported wait exceeds the remaining wait by this factor.
+#: Below that the owner decides, since its report may be out of date.
 MAX_WAIT_FACTOR = 2.0
-#: Smallest difference in loss between two regions at which requests move.
+#: Minimum difference between the loss rates of two regions for spillover.
 MIN_LOSS_DIFFERENCE = 0.08
 #: Remaining wait in seconds that is assumed for spillover to another region.
 MAX_SPILLOVER_WAIT_SECONDS = 0.1
@@ -64,7 +64,7 @@
     def select_free(self, call, avoid, avoid_vms):
         """Return the best :class:`Destination` with a free slot, or ``None``."""
         eligible = self._eligible_targets(call, avoid, avoid_vms)
-        isolated = self._isolated(eligible) if call.needs_isolation else None
+        isolated = self._find_isolated(eligible) if call.needs_isolation else None
         if isolated is not None:
             return isolated
         affinity_target = self._affinity_target(eligible)
@@ -80,22 +80,22 @@
             return self._best_in_other_regions(eligible, 0.0) or self._best_in_region(
                 eligible
             )
-        found = self._best_in_region(eligible)
-        if found is not None or not self._shift.may_move():
-            return found
+        destination = self._best_in_region(eligible)
+        if destination is not None or not self._shift.may_move():
+            return destination
         return self._best_in_other_regions(eligible, self._region_wait(eligible))
 
-    def _isolated(self, eligible):
+    def _find_isolated(self, eligible):
         """Return the :class:`Destination` for a request that may crash its target.
 
-        It is one of a few targets of this region, with no other request running, and
-        never the last one with free slots. ``None`` if there is no such target.
+        The target is one of a few in this region, runs no other request, and is not
+        the only one with free slots. ``None`` if there is no such target.
         """
         region_targets, now = eligible.own_region_targets, eligible.now
         if region_targets is None:
             return None
         free = region_targets.summary(now).free
-        for each in region_targets.confined:
+        for each in region_targets.isolation_candidates:
             slots = each.entry.slots
             if (
                 each.capacity.free(now) >= slots
@@ -108,8 +108,8 @@
     def select_queue(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` with the queue to wait in, or ``None``.
 
-        It is that of the affinity target unless the wait is too long there, otherwise
-        the shortest one in this region.
+        The queue of the affinity target is preferred, unless its wait is too long. The
+        alternative is the queue with the shortest wait in this region.
         """
         eligible = self._eligible_targets(call, avoid, avoid_vms)
         max_wait = call.give_up_at - eligible.now
@@ -149,9 +149,9 @@
     def select_spillover(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` in a less loaded region, or ``None``.
 
-        The region must be able to respond in time and its own clients must lose less.
-        Requests with large bodies stay, since sending them costs more than a late
-        response; so do requests with an affinity target.
+        The region must be able to respond in time and must have a lower loss rate.
+        Requests with large bodies stay in this region, since sending them costs more
+        than a late response. Requests with an affinity target also stay.
         """
         if len(call.body) >= LARGE_BODY_BYTES or not self._shift.may_move():
             return None
@@ -210,14 +210,14 @@
         now = self._clock.now()
         return EligibleTargets(call, regions, own_region, avoid, avoid_vms, now)
 
-    def _shortest_wait(self, eligible, targets, is_usable, max_wait, is_remote):
+    def _shortest_wait(self, eligible, region_targets, is_usable, max_wait, is_remote):
         """Return the :class:`Destination` with the shortest wait, or ``None``.
 
         :param is_usable: filter for candidates.
         :param max_wait: seconds for which the request may still wait.
         """
-        affinity_targets = eligible.affinity_targets(targets, is_usable)
-        candidates = affinity_targets or filter(is_usable, targets.candidates)
+        affinity_targets = eligible.affinity_targets(region_targets, is_usable)
+        candidates = affinity_targets or filter(is_usable, region_targets.candidates)
         costs = {}
         for owner in {each.owner for each in candidates}:
             cost = self._waiting_cost(eligible.call, owner, max_wait)
@@ -259,7 +259,7 @@
             eligible, region_targets, affinity_targets, eligible.is_usable, False
         )
 
-    def _best(self, eligible, targets, affinity_targets, is_usable, is_remote):
+    def _best(self, eligible, region_targets, affinity_targets, is_usable, is_remote):
         """Return the best :class:`Destination` with a free slot, or ``None``.
 
         Affinity targets come first, then targets of this VM, then the targets with the
@@ -269,19 +269,19 @@
         """
         now, preferred = eligible.now, _ids(affinity_targets)
         for each in affinity_targets:
-            # An owner that does not report to this VM responds without waiting.
+            # Without a report of the owner, the free slots are unknown.
             may_have_free_slot = each.capacity.free(
                 now
             ) > 0 or not each.capacity.is_known(now)
             if may_have_free_slot and is_usable(each):
                 return Destination(each.owner, each.entry.id, preferred, is_remote)
-        summary = targets.summary(now)
+        summary = region_targets.summary(now)
         if not (summary.idle if affinity_targets else summary.free):
             return None
         best = min(
             (
                 each
-                for each in targets.candidates
+                for each in region_targets.candidates
                 if self._is_free(each, preferred, now) and is_usable(each)
             ),
             key=lambda each: self._sort_key(each, now),
@@ -327,22 +327,22 @@
                 candidate.owner,
                 candidate.entry.id in affinity_ids,
             )
-            in_time = self._estimates.is_in_time(
+            is_in_time = self._estimates.is_in_time(
                 eligible.call, owner, is_affinity_target
             )
-            return in_time or self._estimates.round_trip(owner) < region_wait
+            return is_in_time or self._estimates.round_trip(owner) < region_wait
 
         spare_slots = [
             (_spare_slots(each.summary(eligible.now)), each)
             for each in eligible.other_region_targets
         ]
-        for spare, targets in sorted(spare_slots, key=lambda each: -each[0]):
+        for spare, region_targets in sorted(spare_slots, key=lambda each: -each[0]):
             if spare <= 0.0:
                 return None
-            affinity_targets = eligible.affinity_targets(targets)
+            affinity_targets = eligible.affinity_targets(region_targets)
             affinity_ids.update(_ids(affinity_targets))
             destination = self._best(
-                eligible, targets, affinity_targets, is_faster, True
+                eligible, region_targets, affinity_targets, is_faster, True
             )
             if destination is not None:
                 return destination
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -28,27 +28,27 @@
     def wait(self, owner, call):
         """Return how long a request would wait for a slot at an owner.
 
-        ``None`` if the owner has no target in service, 0 if it does not report to this
-        VM.
+        The wait is ``None`` if the owner has no target in service, and 0 if the owner
+        does not report to this VM.
         """
         if owner == self._members.own.vm:
             return self._admission.expected_wait_seconds(call)
         if not self._capacity_reports.is_known(owner):
             return 0.0
-        waits = self._capacity_reports.wait_estimate(owner, call.service)
-        return waits and waits.for_call(
+        estimate = self._capacity_reports.wait_estimate(owner, call.service)
+        return estimate and estimate.for_call(
             call, self._clock.now(), self.response_time(call, True)
         )
 
-    def shortest_wait(self, targets, call):
+    def shortest_wait(self, region_targets, call):
         """Return the shortest reported wait at the owners of a region, or ``None``.
 
-        :param targets: the :class:`RegionTargets`.
+        :param region_targets: the :class:`RegionTargets`.
         """
         own = self._members.own.vm
         waits = [
             self.wait(owner, call)
-            for owner in targets.owners
+            for owner in region_targets.owners
             if owner == own or self._capacity_reports.is_known(owner)
         ]
         return min((each for each in waits if each is not None), default=None)
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -15,12 +15,12 @@
 from heathercleat.steering.process.quarantine.suspects import Suspects
 from heathercleat.steering.process.shutdown import Shutdown
 from heathercleat.steering.request.attempt_result import (
-    NO_SLOT_IN_TIME,
+    NO_SLOT_IN_TIME_REASON,
     AttemptOutcome,
     AttemptResult,
     TargetResponse,
 )
-from heathercleat.steering.request.containment import Containment
+from heathercleat.steering.request.crash_limits import CrashLimits
 from heathercleat.steering.request.destinations import (
     LARGE_BODY_BYTES,
     DestinationSelector,
@@ -108,14 +108,14 @@
             view, members, estimates, region_loss_rates, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
-        self.containment = Containment(self.suspects, clock)
+        self.crash_limits = CrashLimits(self.suspects, clock)
         dispatcher = Dispatcher(
             self.local,
             self.forward,
             members,
             self.reports,
             lambda vm: 0.11,
-            self.containment,
+            self.crash_limits,
         )
         self.steering = Steering(
             places,
@@ -125,7 +125,7 @@
             self.response_times,
             own_loss_rates,
             self.shutdown,
-            self.containment,
+            self.crash_limits,
             self.parts.journal,
             clock,
         )
@@ -216,7 +216,7 @@
 
 def test_request_without_a_slot_in_time_is_refused_at_once():
     no_slot_in_time = AttemptResult(
-        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME, wait=9.0
+        AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME_REASON, wait=9.0
     )
     scene = full_targets_scene([no_slot_in_time] * 50)
     request = scene.call()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -56,7 +56,7 @@
     Mutation(
         "MIXED-signature",
         f"{STEERING}/request/exchange.py",
-        "(not head.signed or head.encoded)",
+        "not head.is_signed or head.is_encoded",
         "False",
         "tests/test_steering_path.py",
         "-k",
@@ -804,7 +804,7 @@
     ),
     Mutation(
         "CONTAINED-groups",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "        keys = call.groups or ()\n",
         "        keys = ()\n",
         "tests/test_containment.py",
@@ -813,7 +813,7 @@
     ),
     Mutation(
         "CONTAINED-known-senders",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "return (sender_group,) if is_known else (sender_group, unknown_senders_group)",
         "return (sender_group, unknown_senders_group)",
         "tests/test_containment.py",
@@ -822,7 +822,7 @@
     ),
     Mutation(
         "CONTAINED-proven-requests",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "if self._suspects.has_response(call.fingerprint):",
         "if False:",
         "tests/test_containment.py",
@@ -841,7 +841,7 @@
     ),
     Mutation(
         "CONTAINED-one-trial",
-        f"{STEERING}/request/containment.py",
+        f"{STEERING}/request/crash_limits.py",
         "            if trial.expires_at > now:\n",
         "            if False:\n",
         "tests/test_containment.py",
@@ -870,7 +870,7 @@
     Mutation(
         "CONTAINED-few-targets",
         f"{STEERING}/request/destinations.py",
-        "isolated = self._isolated(eligible) if call.needs_isolation else None",
+        "isolated = self._find_isolated(eligible) if call.needs_isolation else None",
         "isolated = None",
         "tests/test_containment.py",
         "-k",
