--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -35,7 +35,7 @@
         """Read the body of a request and return its :class:`Call`.
 
         :param request: the :class:`PipelinedRequest`, whose body and memory are set.
-        :raises RequestError: with the refusal to send, if it cannot be served.
+        :raises RequestError: if the request cannot be served.
         """
         head, arrived_at = request.head, request.arrived_at
         headers = list(head.headers)
@@ -64,8 +64,8 @@
         if request.body is None:
             request.body = await self._read_body(request, headers, call.deadline)
         call.body = request.body
-        # The latency objective counts from the first attempt of the client, so that
-        # late requests leave the slots to those in time.
+        # The latency objective counts from the client's first attempt, so that requests
+        # that are already late do not take slots from those that can be in time.
         elapsed = self._node.retry_detector.record_wait(route.name, client.timeout)
         call.soft_deadline = arrived_at + route.latency_objective - elapsed
         call.is_client_retry = elapsed > 0.0
@@ -77,7 +77,7 @@
         return call
 
     async def _wait_for_start(self, deadline):
-        """Wait until the configuration and the targets are known, or ``until``."""
+        """Wait for the configuration and the targets, until ``deadline``."""
         while not self._node.is_started and self._clock.now() < deadline:
             await sleep(START_POLL_SECONDS)
 
@@ -118,7 +118,7 @@
     def _reserve(self, request, size):
         """Reserve memory for a body.
 
-        :raises RequestError: if other bodies have reserved it.
+        :raises RequestError: if too little memory is left.
         """
         if size <= 0:
             return
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -54,7 +54,7 @@
         head = await self._stream.next_event()
         if not isinstance(head, h11.Request):
             return False
-        # Durations in the order start when it was sent, not when its body has arrived.
+        # Durations in the order count from the arrival of its head, not of its body.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH_PREFIX):
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -149,7 +149,7 @@
         return result
 
     async def _record_crash(self, call, entry, result):
-        """Record a crash if the target process itself has ended."""
+        """Record a crash if the target process has terminated."""
         if not await self._crash_detector.has_crashed(entry):
             return
         result.crashed_incarnation = entry.incarnation_id
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -1,7 +1,6 @@
-"""Limits on what requests cost that differ each time.
+"""A sender whose requests all differ must not crash targets without a limit.
 
-Another request each time ended two targets each: its fingerprint was new, so that no
-memory of ends held it.
+Each request has a new fingerprint, so limits per request do not apply.
 """
 
 import random
@@ -60,7 +59,7 @@
 
 
 class View:
-    """What one VM knows."""
+    """The crash limits of one VM, and requests that arrive there."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -69,7 +68,7 @@
         self._requests = iter(range(1_000_000))
 
     def call(self, name=None, path=None):
-        """Return a request of a sender, by default another one each time."""
+        """Return a request, by default with a new path each time."""
         request = call(self.clock)
         path = path or b"/%d-%d" % (id(self), next(self._requests))
         request.headers = [(b"host", b"a")]
@@ -85,7 +84,7 @@
         return self.refusal(self.call(name)) is not None
 
     def record_crash(self, incarnation, request=None, name=None):
-        """Have a target end under a request that was let through."""
+        """Admit a request and record that it crashed a target."""
         request = request or self.call(name)
         assert self.refusal(request) is None
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
@@ -93,7 +92,7 @@
         self.crash_limits.record_result(request, result, False)
 
     def record_response(self, request=None, name=None):
-        """Have a target answer a request that was let through."""
+        """Admit a request, record its response, and return the request."""
         request = request or self.call(name)
         assert self.refusal(request) is None
         self.crash_limits.record_result(
@@ -187,7 +186,7 @@
 
 
 def test_responses_to_unknown_senders_offset_as_many_crashes_at_once_after_them(view):
-    """As where a third of the targets ends at once, beside many new callers."""
+    """This keeps a service available if many of its targets crash at once."""
     for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         view.record_response()
     limit_unknown_senders(view)
@@ -271,7 +270,7 @@
 
 
 def test_cleared_crashes_leave_room_for_others(view):
-    """Answers in between must not use up the memory of ends."""
+    """Cleared crashes must not use up the limited number of stored crashes."""
     for incarnation in INCARNATIONS[:MAX_CRASHES]:
         view.record_crash(incarnation, name=b"k=1")
         view.record_response(name=b"k=1")
@@ -350,7 +349,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Several VMs with attackers and sound senders that tell each other, any order."""
+    """Several VMs with malicious and harmless senders that exchange suspects."""
 
     @initialize()
     def start(self):
@@ -380,7 +379,7 @@
 
     @rule(vm=st.integers(0, 2))
     def popular(self, vm):
-        """What was answered once is never refused, nor is a sender that only is."""
+        """A request that had a response is never refused."""
         view = self.views[vm]
         request = view.call(b"sound", b"/popular")
         if not view.suspects.has_response(request.fingerprint):
@@ -413,10 +412,10 @@
                 assert suspect.refused_until <= suspect.until
 
     def teardown(self):
-        """The cut heals; then everything is forgotten everywhere."""
+        """All VMs converge after an exchange, and all limits expire."""
         if not hasattr(self, "views"):
             return
-        # A heartbeat tells of some suspects only.
+        # A heartbeat carries a limited number of suspects.
         for _ in range(HEARTBEATS_TO_CONVERGE):
             for sender_view in self.views:
                 for receiver in self.views:
@@ -439,13 +438,13 @@
 
 
 def _announced_keys(view):
-    """Return the keys of which a VM tells for some seconds more."""
+    """Return the keys that a VM still announces for some seconds."""
     min_expiry = view.clock.now() + MIN_REMAINING_SECONDS + 3.0
     return {each.fingerprint for each in view.suspects.all() if each.until > min_expiry}
 
 
 def _expiring_keys(view):
-    """Return the keys of which a VM still knows what it does not tell any more."""
+    """Return the keys that a VM knows but no longer announces, or soon will not."""
     min_expiry = view.clock.now() + MIN_REMAINING_SECONDS + 1.0
     return {
         each.fingerprint for each in view.suspects.all() if each.until <= min_expiry
@@ -466,8 +465,8 @@
     assert view.is_refused()
 
 
-#: Ends that the attempts may cost: those up to the limit of strangers, as many while
-#: VMs tell each other, and two for a trial at each VM; without a limit two for each.
+#: The limit of unknown senders, as many again while VMs exchange updates, and two for
+#: a trial at each VM.
 MAX_TOTAL_CRASHES = 2 * UNKNOWN_SENDERS_POLICY.refusal_threshold + 2 * 6
 MIN_SERVED_SHARE = 0.95
 #: Seconds in which the other callers become known to all VMs.
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of simulated VMs: what they cost, and whom look-ups name meanwhile."""
+"""Planned stops of simulated VMs: their cost, and how long lookups list stopped VMs."""
 
 import random
 
@@ -31,17 +31,18 @@
 )
 from tests.platform_samples import SETTINGS
 
-#: A fleet in which all VMs hear each other, and one in which they tell each other news.
+#: Sizes of a fleet in which all VMs exchange heartbeats, and of one that needs gossip.
 SMALL_FLEET, LARGE_FLEET = 9, 30
-#: Heartbeats in which news crosses a fleet of this size, the one of the VM included.
+#: Heartbeats after which all VMs of a fleet have an update, by fleet size.
 HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
+#: Seconds between two checks of the lookups.
 POLL_SECONDS = 0.05
-#: VMs that pick a VM or that it picks.
+#: Most VMs that monitor a VM or that it monitors.
 MAX_PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-#: Heartbeats that tell a piece of news to a partner, and what is told of a stop: that
-#: the VM leaves, that it is gone, that it is back.
+#: Heartbeats that carry an update to a partner, and updates for each stop: the VM is
+#: leaving, is gone, is back.
 HEARTBEATS_PER_UPDATE, UPDATES_PER_STOP = 3, 3
-#: Changes of who owns targets: the VM leaves and is back.
+#: Changes of the owners of targets for each stop: the VM leaves, and is back.
 OWNER_CHANGES_PER_STOP = 2
 
 
@@ -51,7 +52,7 @@
 
 
 def vms_listing(fleet, stopped):
-    """Return the running VMs whose look-ups may name one of the stopped ones."""
+    """Return the running VMs whose lookups may list one of the stopped ones."""
     names = {vm.name for vm in stopped}
     return [
         vm
@@ -61,7 +62,7 @@
 
 
 def seconds_until_unlisted(fleet, stopped, limit=STOP_SECONDS):
-    """Return the seconds until no look-up names the stopped VMs."""
+    """Return the seconds until no lookup lists the stopped VMs."""
     began = fleet.clock.time
     while vms_listing(fleet, stopped) and fleet.clock.time < began + limit:
         fleet.run(POLL_SECONDS)
@@ -113,9 +114,9 @@
 
 
 class StopCosts:
-    """What stops cost beyond an idle fleet, and how many VMs stayed meanwhile.
+    """The cost of stops beyond that of an idle fleet.
 
-    :param act: stops VMs of a fleet.
+    :param act: stops VMs of the fleet.
     """
 
     def __init__(self, fleet, act):
@@ -144,7 +145,7 @@
 
 
 def in_turn(stops):
-    """Return what stops so many VMs in turn."""
+    """Return a function that stops ``stops`` VMs of a fleet, one after another."""
     return lambda fleet: stop_one_by_one(fleet, stops)
 
 
@@ -163,7 +164,7 @@
     assert costs.stops > 0
     assert costs.spent.writes == 2 * costs.stops
     assert costs.spent.reads == costs.stops
-    # A VM that stays sends a round more at most, and each partner what is told.
+    # A remaining VM sends at most one more round, and the updates to each partner.
     assert costs.messages <= costs.stops * size * MAX_PARTNERS
     max_updates = (
         MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -22,7 +22,7 @@
 
 
 class ScriptedStore:
-    """A table whose calls can fail."""
+    """A table in memory whose calls can fail."""
 
     def __init__(self):
         self.rows = {}
@@ -61,7 +61,7 @@
         return Snapshot(self.version, changes, is_whole=False)
 
     async def hang(self, table, after, wait):
-        """Tell once that the history is gone, then wait for a change for long."""
+        """Report a lost history once, then wait for a change for a long time."""
         if self.is_history_lost:
             self.is_history_lost = False
             raise HistoryLostError("gone")
@@ -74,7 +74,7 @@
 
 
 class FollowerHarness:
-    """A follower of a scripted store, and what it applied."""
+    """A follower of a scripted store, and the snapshots that it applied."""
 
     def __init__(self, peer=None, reader=True, is_answered_elsewhere=False):
         self.store = ScriptedStore()
@@ -117,7 +117,7 @@
         return sorted(row.key for row in self.follower.snapshot().rows)
 
     def run_steps(self, *steps):
-        """Follow while each step is done, a few calls apart."""
+        """Run the follower while calling each step, a few store calls apart."""
 
         async def main():
             async with TaskGroup(wait=any) as group:
@@ -324,7 +324,7 @@
 
     harness.follower._fetch_from_peer = count_poll
     harness.run_steps(lambda: None)
-    # 0.8 s: with a look each 0.1 s there are seven and more.
+    # Polling every 0.1 s would exceed this within the 0.8 s of the run.
     assert len(polls) <= 3
 
 
@@ -429,15 +429,9 @@
 
 
 def test_row_added_and_removed_between_two_full_reads_is_sent_as_removed():
-    """A target that had left stayed in use at VMs that had seen it come.
+    """A VM that never had the row must still make others remove it.
 
-    The order of events: a VM reads the table whole; a target comes, and another VM
-    learns of it; the target goes; the first VM reads the table whole again, since the
-    history is gone. It never saw the target, and tells the other one what changed:
-    nothing. That one is as new as the first then, and asks nobody.
-
-    The evidence: the two copies played by hand, and the machine in test_lapses, which
-    found it in one run of four.
+    Otherwise a removed target would stay in use at VMs that had learned of it.
     """
     reader, other = TableCopy(), TableCopy()
     reader.replace_all(Snapshot(2, [], 2))
@@ -476,15 +470,10 @@
 
 @pytest.mark.parametrize(("reads", "keys"), [(False, ["a"]), (True, [])])
 def test_vm_that_probes_a_lost_store_leaves_its_changes_to_readers(reads, keys):
-    """A target whose entry lapsed in an outage was given up too early.
-
-    The order of events: the store is away for all; a target's entry lapses; the store
-    returns. A VM that does not read for others asks each two seconds, and is answered
-    first. Of the return it knows only that it came after its last call, two seconds
-    ago; it counts the lapse from there, gives the target up, and tells the others so.
+    """A target whose entry expired in an outage must not be dropped too early.
 
-    The evidence: two of five VMs gave the target up 0.4 s after the return in place of
-    2.4 s, and readers, which ask each 0.3 s, knew of it from them.
+    A VM that is no reader calls rarely, so its estimate of the end of the outage is
+    earlier than that of readers.
     """
     harness = FollowerHarness(Snapshot(0, []))
     harness.store.put("a", b"1")
