--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -21,7 +21,7 @@
 ISOLATION_SHARE = 0.25
 #: Maximum number of affinity keys cached for each service and region.
 MAX_CACHED_AFFINITY_KEYS = 2048
-#: Affinity key by which targets for confined requests are selected.
+#: Affinity key by which targets for suspected requests are selected.
 _ISOLATION_KEY = "confined"
 
 
