--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -66,7 +66,7 @@
         call.body = request.body
         # The latency objective counts from the client's first attempt, so that requests
         # that are already late do not take slots from those that can be in time.
-        elapsed = self._node.retry_detector.elapsed(route.name, client.timeout)
+        elapsed = self._node.retry_detector.record_wait(route.name, client.timeout)
         call.soft_deadline = arrived_at + route.latency_objective - elapsed
         call.is_client_retry = elapsed > 0.0
         call.affinity = client.affinity
@@ -82,8 +82,8 @@
             await sleep(START_POLL_SECONDS)
 
     def _match(self, head, headers):
-        table = self._node.table
-        if table is None:
+        routing_table = self._node.routing_table
+        if routing_table is None:
             now = self._clock.now()
             raise RequestError(
                 ResultCode.NO_CONFIGURATION,
@@ -92,7 +92,7 @@
             )
         host = next((value for name, value in headers if name == b"host"), b"")
         path = head.target.split(b"?", 1)[0].decode("latin-1")
-        route = table.match(host.decode("latin-1").lower(), path)
+        route = routing_table.match(host.decode("latin-1").lower(), path)
         if route is None:
             message = f'no route for "{host.decode("latin-1")}" and "{path}"'
             raise RequestError(ResultCode.NO_ROUTE, message)
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -27,7 +27,7 @@
 
 
 class ReportedCapacity:
-    """The last report on one target, corrected by the requests sent since.
+    """The last report on one target, adjusted by the requests sent since then.
 
     :param report: the :class:`OwnerReport` of the target's owner.
     """
@@ -63,7 +63,7 @@
         return self._free if now < self._valid_until else 0
 
     def limit(self, now):
-        """Return the most concurrent requests of the target, ``None`` if unknown."""
+        """Return the maximum number of concurrent requests, ``None`` if unknown."""
         return self._limit
 
     def update(self, free, limit, used, valid_until):
@@ -78,11 +78,11 @@
         self._valid_until = 0.0
 
     def reserve(self):
-        """Count a request sent to the target."""
+        """Count a request sent to the target as a slot in use."""
         self._free = max(0, self._free - 1)
 
     def release(self):
-        """Count the end of a request sent to the target."""
+        """Count a completed request of the target as a free slot."""
         if self._limit is not None:
             self._free = min(self._limit, self._free + 1)
 
@@ -98,11 +98,11 @@
         self._clock = clock
         self._reports = {}
 
-    def record_report(self, owner, rooms, waits, losses):
+    def record_report(self, owner, capacities, waits, losses):
         """Replace the report of an owner.
 
-        :param rooms: ``(target id, free slots, limit, slots in use)`` of each target
-            that it owns.
+        :param capacities: ``(target id, free slots, limit, slots in use)`` of each
+            target that it owns.
         :param waits: ``(service, on time, late)``: expected waits in seconds of a new
             request, ``None`` if no slot is in service.
         :param losses: ``(service, loss rate)``.
@@ -113,7 +113,7 @@
         report.reported_at = now
         for capacity in report.capacities.values():
             capacity.expire()
-        for target_id, free, limit, used in rooms:
+        for target_id, free, limit, used in capacities:
             self.capacity(target_id, owner).update(free, limit, used, valid_until)
         report.valid_until = valid_until
         report.wait_estimates = {
@@ -148,7 +148,7 @@
         return self._report(owner).capacities.get(target_id)
 
     def is_known(self, owner):
-        """Return whether an owner reported recently, or refused a request as full."""
+        """Return whether an owner recently reported or had no free slot."""
         return self._clock.now() < self._report(owner).valid_until
 
     def wait_estimate(self, owner, service):
@@ -159,11 +159,11 @@
         """Return the loss rate that an owner reports, or ``None``."""
         return self._report(owner).loss_rates.get(service)
 
-    def record_full(self, target_id, owner, service, wait):
+    def record_no_free_slot(self, target_id, owner, service, wait):
         """Record that an owner had no free slot for a request.
 
         :param target_id: the target that was expected to have one, or ``None``.
-        :param wait: expected wait there in seconds, or ``None``.
+        :param wait: expected wait at the owner in seconds, or ``None``.
         """
         if target_id is not None:
             self.capacity(target_id, owner).mark_no_free_slot()
--- a/src/heathercleat/steering/process/capacity/region_loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/region_loss_rates.py
@@ -1,4 +1,7 @@
-"""Loss rates of each region, from the reports of its VMs."""
+"""Mean loss rate of the client requests of each region, as reported by its VMs.
+
+A refused request counts as a full loss, a late response as a partial one.
+"""
 
 #: Seconds for which the means are cached; shorter than the heartbeat interval.
 CACHE_TTL_SECONDS = 0.05
@@ -18,14 +21,14 @@
         self._own_loss_rates = own_loss_rates
         self._clock = clock
         self._means = {}
-        self._until = 0.0
+        self._means_expire_at = 0.0
 
     def loss_rate(self, region, service):
         """Return the loss rate of a region, 0 to 1; 1 if no VM reports it."""
         now = self._clock.now()
-        if now >= self._until:
+        if now >= self._means_expire_at:
             self._means.clear()
-            self._until = now + CACHE_TTL_SECONDS
+            self._means_expire_at = now + CACHE_TTL_SECONDS
         means = self._means.get(service)
         if means is None:
             means = self._means[service] = self._compute(service)
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -15,34 +15,38 @@
 from heathercleat.steering.process.quarantine.suspect import SuspectUpdate
 
 #: Seconds between two heartbeats; bounds the age of the capacity reports.
-INTERVAL = 0.15
-#: Rounds between two heartbeats to a VM of another region, where traffic is expensive.
+HEARTBEAT_INTERVAL_SECONDS = 0.15
+#: Rounds between two heartbeats to a VM of another region; traffic between regions is
+#: expensive.
 ROUNDS_BETWEEN_REGIONS = 2
 #: Seconds between two heartbeats to or from a VM that handles no requests.
-IDLE_INTERVAL = 0.9
+IDLE_INTERVAL_SECONDS = 0.9
 #: Approximate maximum rate of heartbeats that a VM sends, to bound its CPU use.
 MAX_HEARTBEATS_PER_SECOND = 120
-#: Seconds for which a VM that asked for heartbeats gets them.
+#: Seconds for which a VM gets heartbeats after it asked for them.
 REPLY_SECONDS = 2.0
-#: VMs not known to be live that are probed in each full round, in this region and in
-#: others; the same number of VMs that are live only according to others. Few in other
-#: regions, where traffic is expensive and one contact suffices.
+#: Maximum VMs not known to be live that are probed in each full round, in this region
+#: and in others; in addition, as many VMs that other VMs report as live. The number for
+#: other regions is low, since traffic between regions is expensive and one contact
+#: suffices.
 PROBED_IN_REGION = 6
 PROBED_OUTSIDE_REGION = 2
 #: Seconds after the start during which every round is a full one, so that VMs that
 #: start together discover each other quickly.
 START_SECONDS = 2.0
-#: Seconds between these rounds in a large fleet, with many updates in each heartbeat.
-START_INTERVAL = 0.45
+#: Seconds between rounds during the start in a large fleet, where each heartbeat has
+#: many updates.
+START_INTERVAL_SECONDS = 0.45
 #: Maximum unseen VMs that a starting VM contacts in one round.
 MAX_CONTACTED = 300
 #: Seconds after the stop signal during which every round is a full one, so that a lost
 #: datagram does not keep this VM in the lookups of others.
 LEAVE_SECONDS = 0.4
-MAX_DATAGRAM = 8192
-#: VMs whose updates are sent again at once when the views of partners differ.
+MAX_DATAGRAM_BYTES = 8192
+#: Maximum VMs whose updates are sent again when the views of partners differ.
 MAX_REPAIRED_AT_ONCE = 24
-#: Full rounds with a difference before that, while updates still arrive.
+#: Full rounds with different views until updates are sent again, if the view of this VM
+#: is still changing.
 ROUNDS_BEFORE_REPAIR = 4
 _ROUND_TRIP_WEIGHT = 0.2
 #: Round trip in seconds that is assumed before the first measurement.
@@ -50,13 +54,13 @@
 
 
 class HeartbeatKind(NamedTuple):
-    """What distinguishes heartbeats; receivers of one kind get the same datagram.
+    """The contents of a heartbeat; all receivers of one kind get the same datagram.
 
-    :param includes_reports: whether it has reports.
+    :param includes_reports: whether the heartbeat has capacity reports.
     :param interval: seconds until the next heartbeat.
     :param is_partner: whether the receivers are gossip partners, which get updates.
-    :param includes_suspects: whether the receivers are partners with other suspects;
-        they get all suspects until the digests match.
+    :param includes_suspects: whether the receivers are partners whose suspects differ;
+        they get suspects until the digests match.
     """
 
     includes_reports: bool
@@ -65,7 +69,7 @@
     includes_suspects: bool
 
 
-_KIND_FOR_SEEDS = HeartbeatKind(False, IDLE_INTERVAL, False, False)
+_KIND_FOR_SEEDS = HeartbeatKind(False, IDLE_INTERVAL_SECONDS, False, False)
 
 
 class Gossip:
@@ -73,8 +77,8 @@
 
     :param settings: the :class:`NodeSettings`.
     :param members: the :class:`Members`.
-    :param rooms: the :class:`CapacityReports` for received capacity reports.
-    :param held: the :class:`HeldSlots` for received reports of slots in use.
+    :param capacity_reports: the :class:`CapacityReports` for received capacity reports.
+    :param held_slots: the :class:`HeldSlots` for received reports of slots in use.
     :param new_owners: returns the names of the VMs that own targets with requests from
         this VM.
     :param pop_new_owners: returns the names of the VMs that became owners of this VM's
@@ -88,8 +92,8 @@
         self,
         settings,
         members,
-        rooms,
-        held,
+        capacity_reports,
+        held_slots,
         new_owners,
         pop_new_owners,
         suspects,
@@ -100,8 +104,8 @@
     ):
         self._settings = settings
         self._members = members
-        self._rooms = rooms
-        self._held = held
+        self._capacity_reports = capacity_reports
+        self._held_slots = held_slots
         self._new_owners = new_owners
         self._pop_new_owners = pop_new_owners
         self._suspects = suspects
@@ -137,12 +141,12 @@
         return self._region_round_trips.get(region, INITIAL_ROUND_TRIP_SECONDS)
 
     def reporting_members(self):
-        """Return the active VMs that send their reports here.
+        """Return the strong serving VMs that send their reports to this VM.
 
-        An empty list if this VM itself is not active.
+        An empty list if this VM is not one of them.
         """
-        active = self._members.active()
-        return self._select_regular(active) if self._members.own in active else []
+        serving = self._members.strong_serving()
+        return self._select_regular(serving) if self._members.own in serving else []
 
     async def open(self):
         """Bind the UDP socket."""
@@ -152,7 +156,7 @@
     async def listen(self):
         """Receive heartbeats until cancelled."""
         while True:
-            data, address = await self._sock.recvfrom(MAX_DATAGRAM)
+            data, address = await self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             try:
                 newcomer = self.receive(data)
             except (ValueError, TypeError, UnpackException) as error:
@@ -163,17 +167,19 @@
             await self._on_heartbeat()
 
     def receive(self, data):
-        """Process one datagram; return the :class:`Member` if its process is new here.
+        """Process one datagram; return the :class:`Member` if its process is new.
 
-        A restarted VM is new even if its previous process still counts as live.
+        A restarted VM counts as new even if its previous process is still considered
+        live.
 
-        :raises ValueError: when the datagram is malformed; msgpack errors too.
+        :raises ValueError: when the datagram is malformed. :mod:`msgpack` may raise
+            further errors.
         """
         unpacker = msgpack.Unpacker()
         unpacker.feed(data)
         heartbeat = Heartbeat.from_fields(unpacker.unpack())
-        sent_at, echoed, held, asks_for_replies = unpacker.unpack()
-        before = self._members.live(heartbeat.own.vm)
+        sent_at, echoed_sent_at, echo_delay, asks_for_replies = unpacker.unpack()
+        before = self._members.find_live(heartbeat.own.vm)
         is_new = before is None or before.incarnation != heartbeat.own.incarnation
         member = self._members.record_heartbeat(heartbeat)
         if member is None:
@@ -184,13 +190,13 @@
         if asks_for_replies:
             self._reply_until[heartbeat.own.vm] = now + REPLY_SECONDS
         self._echoes[heartbeat.own.vm] = (sent_at, now)
-        if echoed is not None:
-            self._record_round_trip(member, now - echoed - held)
+        if echoed_sent_at is not None:
+            self._record_round_trip(member, now - echoed_sent_at - echo_delay)
         if heartbeat.has_reports:
-            self._rooms.record_report(
+            self._capacity_reports.record_report(
                 heartbeat.own.vm, heartbeat.rooms, heartbeat.waits, heartbeat.losses
             )
-            self._held.record_report(heartbeat.own.vm, heartbeat.held)
+            self._held_slots.record_report(heartbeat.own.vm, heartbeat.held)
         for fields in heartbeat.suspects:
             self._suspects.merge(SuspectUpdate.of(fields))
         return member if is_new else None
@@ -202,14 +208,14 @@
 
     async def round(self):
         """Send the heartbeats that are due; return the seconds until the next round."""
-        self._members.check()
+        self._members.update_live()
         now = self._clock.now()
         to_all = (
             now >= self._next_full_round_at or self._is_starting() or self._is_leaving()
         )
         self._round += 1
         if to_all:
-            self._next_full_round_at = now + IDLE_INTERVAL
+            self._next_full_round_at = now + IDLE_INTERVAL_SECONDS
             self._repair()
         await self.send(to_all)
         return self._interval()
@@ -222,7 +228,7 @@
     async def send(self, to_all=True):
         """Send one heartbeat to the VMs that handle requests.
 
-        :param to_all: also send it to other known VMs and to unknown seeds.
+        :param to_all: whether to send it to other known VMs and unknown seeds too.
         """
         await self._send_all(self._receivers(to_all))
         for seed in self._unknown_seeds() if to_all else ():
@@ -231,9 +237,9 @@
     async def notify(self):
         """Send heartbeats that cannot wait for the next round.
 
-        When this VM's stage changes, the VMs of its failure domain recompute the target
-        owners and should do so at the same time. New owners of this VM's targets need
-        the number of slots still in use.
+        After a change of its stage, this VM notifies the VMs of its failure domain, so
+        that all recompute the target owners at the same time. New owners of its former
+        targets need the number of slots that are still in use.
         """
         live = self._members.live_others()
         notified = self._pop_new_owners()
@@ -249,33 +255,38 @@
     async def _send_all(self, members):
         """Send a heartbeat to some members, encoded once per :class:`HeartbeatKind`.
 
-        It has reports if both VMs handle requests, or the receiver is about to. Only
-        partners get updates, to limit the traffic of weaker VMs; partners pass them on.
+        It has reports if both VMs handle requests, or if the receiver is starting. Only
+        partners get updates, to limit the traffic of weaker VMs; partners pass the
+        updates on.
         """
-        request_handlers, usual_interval = (
-            self._members.request_handlers(),
+        request_handling_vms, usual_interval = (
+            self._members.request_handling_vms(),
             self._interval(),
         )
         packed = {}
         for member in members:
-            kind = self._kind(member, request_handlers, usual_interval)
+            kind = self._kind(member, request_handling_vms, usual_interval)
             if kind not in packed:
                 packed[kind] = self._pack(kind)
             await self._send_to(member.ip, packed[kind], member.vm)
 
-    def _kind(self, member, request_handlers, usual_interval):
+    def _kind(self, member, request_handling_vms, usual_interval):
         """Return the :class:`HeartbeatKind` of the heartbeat to a VM.
 
         :param usual_interval: seconds between heartbeats to VMs that handle requests.
         """
-        handles_requests = member in request_handlers or member.stage == Stage.STARTING
-        includes_reports = self._members.own in request_handlers and handles_requests
+        handles_requests = (
+            member in request_handling_vms or member.stage == Stage.STARTING
+        )
+        includes_reports = (
+            self._members.own in request_handling_vms and handles_requests
+        )
         is_partner = self._is_partner(member)
         differs = member.suspects_digest != self._suspects.digest
         interval = (
             usual_interval
             if includes_reports or self._is_starting_or_leaving(member)
-            else IDLE_INTERVAL
+            else IDLE_INTERVAL_SECONDS
         )
         if includes_reports and self._is_in_other_region(member):
             interval = ROUNDS_BETWEEN_REGIONS * usual_interval
@@ -297,8 +308,8 @@
     def _is_in_other_region(self, member):
         """Return whether a VM gets fewer heartbeats because of its region.
 
-        Not in a large fleet, where few heartbeats cross regions and a lost region would
-        be detected too late.
+        ``False`` in a large fleet, where few heartbeats cross regions and the loss of a
+        region would be detected too late.
         """
         if not self._members.topology.is_mesh:
             return False
@@ -315,8 +326,8 @@
     def _repair(self):
         """Send updates of some VMs again if the views of partners differ.
 
-        Datagrams may be lost. While updates are still spreading, views differ
-        anyway, so the repair is delayed for a few rounds.
+        Updates may be missing because datagrams were lost. While updates are still
+        spreading, views differ anyway, so the repair is delayed for a few rounds.
         """
         members = self._members
         if members.topology.is_mesh:
@@ -339,23 +350,26 @@
 
     def _interval(self):
         """Return the seconds between two heartbeats to VMs that handle requests."""
-        request_handlers = self._members.request_handlers()
+        request_handling_vms = self._members.request_handling_vms()
         if self._is_starting():
             unseen = sum(
                 each.last_heartbeat_at is None for each in self._members.others()
             )
             min_interval = (
-                INTERVAL if self._members.topology.is_mesh else START_INTERVAL
+                HEARTBEAT_INTERVAL_SECONDS
+                if self._members.topology.is_mesh
+                else START_INTERVAL_SECONDS
             )
-            # Other VMs consider this one dead after a longer silence.
+            # After a longer interval, other VMs would consider this VM dead.
             return max(
-                min_interval, min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL)
+                min_interval,
+                min(unseen / MAX_HEARTBEATS_PER_SECOND, IDLE_INTERVAL_SECONDS),
             )
-        if self._members.own not in request_handlers and not self._is_leaving():
-            return IDLE_INTERVAL
+        if self._members.own not in request_handling_vms and not self._is_leaving():
+            return IDLE_INTERVAL_SECONDS
         return max(
-            INTERVAL,
-            len(self._select_regular(request_handlers)) / MAX_HEARTBEATS_PER_SECOND,
+            HEARTBEAT_INTERVAL_SECONDS,
+            len(self._select_regular(request_handling_vms)) / MAX_HEARTBEATS_PER_SECOND,
         )
 
     def _is_starting(self):
@@ -375,7 +389,7 @@
     def _is_partner(self, member):
         """Return whether a VM is a gossip partner.
 
-        It is one if this VM monitors it, or if it recently asked for heartbeats.
+        A partner is monitored by this VM, or recently asked it for heartbeats.
         """
         if member.vm in self._members.topology.monitored:
             return True
@@ -384,8 +398,8 @@
     def _is_starting_or_leaving(self, member):
         """Return whether a VM is starting or leaving and gets every heartbeat.
 
-        It answers lookups too, and has to learn of VMs that leave at the same time. In
-        a small fleet those VMs notify it directly.
+        A starting or leaving VM answers lookups too, and has to learn of VMs that leave
+        at the same time. In a small fleet those VMs notify it directly.
         """
         if member.is_serving or self._members.topology.is_mesh:
             return False
@@ -394,11 +408,15 @@
     def _asks_for_replies(self, vm):
         """Return whether a heartbeat asks its receiver to send heartbeats back."""
         members, topology = self._members, self._members.topology
-        return topology.is_mesh or vm in topology.monitored or members.live(vm) is None
+        return (
+            topology.is_mesh
+            or vm in topology.monitored
+            or members.find_live(vm) is None
+        )
 
     def _receivers(self, to_all):
         """Return the receivers of a round, without duplicates."""
-        receivers = self._select_regular(self._members.request_handlers())
+        receivers = self._select_regular(self._members.request_handling_vms())
         if to_all:
             receivers = [*receivers, *self._select_occasional(receivers)]
         elif self._round % ROUNDS_BETWEEN_REGIONS:
@@ -418,7 +436,7 @@
 
     def _live_new_owners(self):
         """Return the live owners of targets with requests from this VM."""
-        live = map(self._members.live, self._new_owners())
+        live = map(self._members.find_live, self._new_owners())
         return [each for each in live if each is not None]
 
     def _unknown_seeds(self):
@@ -432,7 +450,7 @@
         members, own = self._members, self._members.own
         rest = [each for each in members.others() if each not in regular]
         if members.topology.is_mesh:
-            has_requests = own in members.request_handlers() or self._is_leaving()
+            has_requests = own in members.request_handling_vms() or self._is_leaving()
             seen = [
                 each
                 for each in rest
@@ -441,7 +459,7 @@
             ]
             return [*seen, *_sample_unseen(rest)]
         partners = [each for each in rest if self._is_partner(each)]
-        silent = [each for each in rest if members.live(each.vm) is None]
+        silent = [each for each in rest if members.find_live(each.vm) is None]
         if self._is_starting():
             # It may have received many heartbeats before it could send the first.
             return [*partners, *_sample_unseen(silent)]
@@ -453,16 +471,16 @@
         ]
 
     def _sample(self, members):
-        """Return a small random sample of members."""
+        """Yield a small random sample of members, fewer from other regions."""
         in_region = [each for each in members if each.region == self._settings.region]
         outside = [each for each in members if each.region != self._settings.region]
         yield from sample(in_region, min(PROBED_IN_REGION, len(in_region)))
         yield from sample(outside, min(PROBED_OUTSIDE_REGION, len(outside)))
 
     def _echo(self, vm):
-        """Return the send time of a VM's last heartbeat and the seconds since then.
+        """Return the send time of a VM's last heartbeat and the seconds since arrival.
 
-        The peer derives the round trip from both; ``None`` for an unknown VM.
+        The VM derives the round trip from both. Both are ``None`` for an unknown VM.
         """
         sent_at, arrived_at = self._echoes.get(vm, (None, None))
         if sent_at is None:
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -1,8 +1,8 @@
 """Selection of the VMs that monitor each other by heartbeats.
 
 In a small fleet, VMs that handle requests form a full mesh. In a large one, each VM
-monitors a fixed number of others by heartbeats, and learns of the rest
-through updates, so that the cost per VM does not grow with the fleet.
+monitors a fixed number of others by heartbeats, and learns of the rest through updates,
+so that the cost per VM does not grow with the fleet.
 """
 
 from heapq import nlargest
@@ -14,8 +14,8 @@
 MAX_MESH_SIZE = 18
 #: Maximum live VMs in a full mesh, including those that handle no requests.
 MAX_MESH_LIVE = 120
-#: VMs that a VM with requests monitors in its own region and in other regions. On
-#: average as many others monitor it.
+#: Number of VMs that a VM with requests monitors in its own region and in other
+#: regions. On average the same number of VMs monitor it.
 MONITORED_IN_REGION = 6
 MONITORED_OUTSIDE_REGION = 3
 #: The same for a VM that handles no requests, which only has to learn of changes.
@@ -24,7 +24,7 @@
 #: Additional VMs of a failure domain that are monitored after one of its VMs became
 #: silent, to detect quickly that a whole domain or region is lost.
 EXTRA_MONITORED_IN_DOMAIN = 30
-#: Seconds for which they stay monitored.
+#: Seconds for which these additional VMs are monitored.
 SUSPECT_SECONDS = 4.0
 #: Seconds for which VMs still exchange updates after the fleet became small enough for
 #: a full mesh.
@@ -54,8 +54,8 @@
     def sends_updates(self):
         """Return whether VMs exchange member updates.
 
-        They continue for a while after the fleet became small, since some lost VMs may
-        not be detected yet.
+        Updates are still exchanged for :data:`UPDATES_SECONDS` after the fleet became
+        small, since some lost VMs may not be detected yet.
         """
         return (
             not self._is_mesh or self._clock.now() < self._mesh_since + UPDATES_SECONDS
@@ -63,7 +63,7 @@
 
     @property
     def monitored(self):
-        """Return the names of the monitored VMs, which have to send heartbeats back."""
+        """Return the names of the monitored VMs; they are asked to send heartbeats."""
         return self._monitored_since.keys()
 
     def monitored_since(self, vm):
@@ -80,13 +80,13 @@
         now = self._clock.now()
         return any(until <= now for until in self._suspected_until.values())
 
-    def update(self, live, active):
+    def update(self, live, request_handling_vms):
         """Select the monitored VMs after a membership change.
 
         :param live: every live :class:`Member` except this VM.
-        :param active: the VMs that handle requests; may include this VM.
+        :param request_handling_vms: the VMs that handle requests; may include this VM.
         """
-        others = [each for each in active if each is not self._own]
+        others = [each for each in request_handling_vms if each is not self._own]
         self._set_mesh(len(others) < MAX_MESH_SIZE and len(live) < MAX_MESH_LIVE)
         now = self._clock.now()
         self._suspected_until = {
@@ -94,7 +94,7 @@
             for domain, until in self._suspected_until.items()
             if until > now
         }
-        handles_requests = self._own in active
+        handles_requests = self._own in request_handling_vms
         selected = live if self._is_mesh else self._select(others, handles_requests)
         self._monitored_since = {
             each.vm: self._monitored_since.get(each.vm, now) for each in selected
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -7,7 +7,8 @@
 from heathercleat.steering.process.quarantine.suspects import QUARANTINE_SECONDS
 
 QUARANTINE_TABLE = "heathercleat-quarantines"
-#: Seconds after its end for which a row is kept; exceeds the clock skew of the VMs.
+#: Seconds for which a row is kept after its quarantine ended; longer than the clock
+#: skew between VMs.
 ROW_RETENTION_SECONDS = 3600.0
 
 
@@ -66,7 +67,7 @@
 def encode_quarantine(suspect, clock, vm=None):
     """Return the stored value of a quarantined :class:`Suspect`.
 
-    :param vm: name of this VM.
+    :param vm: name of this VM, for operators.
     """
     row = QuarantineRow(
         to_wall(clock, suspect.until),
@@ -79,17 +80,17 @@
     return row.pack()
 
 
-def decode_quarantine(row, clock):
+def decode_quarantine(store_row, clock):
     """Return the :class:`SuspectUpdate` of a row, or ``None`` if it may be deleted.
 
     :raises ValueError: if the row is not a valid quarantine.
     """
-    quarantine = QuarantineRow.unpack(row.value)
+    quarantine = QuarantineRow.unpack(store_row.value)
     remaining = from_wall(clock, quarantine.until) - clock.now()
     if remaining < -ROW_RETENTION_SECONDS:
         return None
     remaining = min(max(0.0, remaining), QUARANTINE_SECONDS)
-    return SuspectUpdate.of([row.key, remaining, quarantine.ends, []])
+    return SuspectUpdate.of([store_row.key, remaining, quarantine.ends, []])
 
 
 def _is_instant(value):
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -10,36 +10,37 @@
 from heathercleat.steering.process.store.protocol import HistoryLostError
 from heathercleat.steering.process.store.table_copy import TableCopy
 
-#: Mean seconds between two calls of a reader while the store does not answer.
-RETRY_INTERVAL = 0.3
-#: Seconds between two calls of other VMs in that case; a reader tells them earlier.
-IDLE_RETRY_INTERVAL = 2.0
-#: Seconds after its first read until a VM knows the other VMs, and thus whether it is
-#: a reader.
+#: Mean seconds between two calls of a reader while the store does not respond.
+RETRY_INTERVAL_SECONDS = 0.3
+#: The same for VMs that are not readers; they usually learn of the store's return from
+#: a reader first.
+IDLE_RETRY_INTERVAL_SECONDS = 2.0
+#: Seconds from a VM's first read until it knows the other VMs. Only then does it know
+#: whether it is a reader.
 SETTLE_SECONDS = 1.0
-#: Seconds for which a response shows that the store answers this VM; more than the
-#: longest time between two responses to a reader.
+#: Seconds after a response for which the store counts as available to this VM; longer
+#: than the longest time between two responses to a reader.
 RESPONSE_TTL_SECONDS = 2.5
-#: Seconds between two requests to other VMs while one of them has a newer change.
-PEER_INTERVAL = 0.1
+#: Seconds between two fetches from other VMs while one of them has a newer change.
+PEER_INTERVAL_SECONDS = 0.1
 #: Maximum seconds between two checks for newer changes at other VMs.
-IDLE_PEER_INTERVAL = 0.5
+IDLE_PEER_INTERVAL_SECONDS = 0.5
 
 
 class Outage:
-    """A period in which the store does not answer this VM.
+    """A period in which the store does not respond to this VM.
 
-    :param began_at: instant at which it was detected.
-    :param tried_at: start of the last failed call.
-    :param is_total: whether no other VM reported responses of the store at that time.
-        Only then may missing entries be due to targets that could not report.
+    :param began_at: instant at which the outage was detected.
+    :param last_attempt_at: start of the last failed call.
+    :param is_total: whether the store responded to no other VM either. Only then may
+        entries be missing because targets could not report.
     """
 
-    __slots__ = ("began_at", "tried_at", "is_total")
+    __slots__ = ("began_at", "last_attempt_at", "is_total")
 
     def __init__(self, began_at):
         self.began_at = began_at
-        self.tried_at = began_at
+        self.last_attempt_at = began_at
         self.is_total = False
 
 
@@ -47,7 +48,7 @@
     """Keeps a copy of one table up to date.
 
     Some VMs, the readers, poll the store. The others fetch the table from a VM whose
-    heartbeat announces a newer change, which saves calls to the store.
+    heartbeat announces a newer change, to limit the number of calls to the store.
 
     :param table: name of the table.
     :param store: a :class:`Store` that only this follower uses.
@@ -55,15 +56,18 @@
     :param pause: mean seconds between two calls.
     :param apply: called with a :class:`Snapshot`; returns the keys of the rows with
         significant changes.
-    :param relay: a coroutine function that fetches a newer :class:`Snapshot` from
-        another VM, or returns ``None``. Its arguments are the last change known here
-        and the instant since which another VM has a newer one.
-    :param newest: returns the newest change that another VM announced.
+    :param fetch_newer: a coroutine function that fetches a newer :class:`Snapshot` from
+        another VM, or returns ``None``. Its arguments are the version of the last
+        change known to this VM and the instant since which another VM has a newer one.
+    :param newest_announced_version: returns the version of the newest change that
+        another VM announced.
     :param is_reader: returns whether this VM is a reader.
-    :param is_answered_elsewhere: returns whether the store answers another VM.
-    :param lapsing: returns the seconds for which removed rows are still used, by key.
-    :param on_return: called at the end of an outage for all VMs, with the earliest
-        instant at which it can have ended.
+    :param is_store_answering_elsewhere: returns whether the store responds to another
+        VM.
+    :param remaining_use_seconds: returns the seconds for which removed rows are still
+        used, by key.
+    :param on_store_return: called at the end of an outage for all VMs, with the
+        earliest instant at which the outage can have ended.
     """
 
     def __init__(
@@ -73,12 +77,12 @@
         wait,
         pause,
         apply,
-        relay,
-        newest,
+        fetch_newer,
+        newest_announced_version,
         is_reader,
-        is_answered_elsewhere,
-        lapsing,
-        on_return,
+        is_store_answering_elsewhere,
+        remaining_use_seconds,
+        on_store_return,
         journal,
         clock,
     ):
@@ -87,42 +91,45 @@
         self._wait = wait
         self._pause = pause
         self._apply = apply
-        self._relay = relay
-        self._newest = newest
+        self._fetch_newer = fetch_newer
+        self._newest_announced_version = newest_announced_version
         self._is_reader = is_reader
-        self._is_answered_elsewhere = is_answered_elsewhere
-        self._lapsing = lapsing
-        self._on_return = on_return
+        self._is_store_answering_elsewhere = is_store_answering_elsewhere
+        self._remaining_use_seconds = remaining_use_seconds
+        self._on_store_return = on_store_return
         self._journal = journal
         self._clock = clock
         self._copy = TableCopy()
         self._newer_announced = Signal()
         self._behind_since = None
-        self._announced_change = 0
+        self._announced_change_version = 0
         self._first_read_at = None
         self._is_loaded = False
         self._outage = None
         self._read_at = None
         self._retry_at = 0.0
-        # Instant until which this VM leaves reading to VMs that called more often.
+        # Instant until which this VM does not act as a reader.
         self._yields_until = 0.0
 
     @property
-    def last_change(self):
+    def last_change_version(self):
         """Return the store version of the last significant change."""
-        return self._copy.last_change
+        return self._copy.last_change_version
 
     @property
-    def announced_change(self):
-        """Return the last change that this VM announces to others.
+    def announced_change_version(self):
+        """Return the version of the last change, as announced to other VMs.
 
-        The version of the first read at the start is not announced, since it is higher
-        without being a change, and every VM would fetch the table. Readers announce it
-        after :data:`SETTLE_SECONDS`, in case nobody else can.
+        The version of the first read is not announced at once. It may be higher
+        although nothing changed, and every VM would fetch the table. Readers announce
+        it after :data:`SETTLE_SECONDS`, in case no other VM can.
         """
-        if self._announced_change < self.last_change and self._announces_first_read():
-            self._announced_change = self.last_change
-        return self._announced_change
+        if (
+            self._announced_change_version < self.last_change_version
+            and self._announces_first_read()
+        ):
+            self._announced_change_version = self.last_change_version
+        return self._announced_change_version
 
     @property
     def is_store_lost(self):
@@ -130,8 +137,8 @@
         return self._outage is not None
 
     @property
-    def is_answered(self):
-        """Return whether the store recently answered a call of this VM."""
+    def has_recent_response(self):
+        """Return whether the store recently responded to this VM."""
         if self.is_store_lost or self._read_at is None:
             return False
         return self._clock.now() <= self._read_at + RESPONSE_TTL_SECONDS
@@ -143,11 +150,11 @@
 
     def snapshot(self, after=0):
         """Return a :class:`Snapshot` of the changes since a version; 0 for all rows."""
-        return self._copy.changes_since(after, self._lapsing())
+        return self._copy.changes_since(after, self._remaining_use_seconds())
 
-    async def wake_if_behind(self):
+    async def fetch_if_behind(self):
         """Fetch the table from another VM now, if one announced a newer change."""
-        if self._is_behind() and not self._newer_announced.is_set():
+        if self._update_behind_since() and not self._newer_announced.is_set():
             await self._newer_announced.set()
 
     async def run(self):
@@ -163,13 +170,14 @@
     async def _wait_for_peers(self):
         """Wait until the next check for newer changes at other VMs.
 
-        The wait is longer while none is known, to save wake-ups of an idle process.
+        The wait is longer while no newer change is known, so that an idle process wakes
+        up rarely.
         """
-        if self.is_store_lost or self._is_behind():
-            await sleep(PEER_INTERVAL)
+        if self.is_store_lost or self._update_behind_since():
+            await sleep(PEER_INTERVAL_SECONDS)
             return
         self._newer_announced.clear()
-        async with ignore_after(IDLE_PEER_INTERVAL):
+        async with ignore_after(IDLE_PEER_INTERVAL_SECONDS):
             await self._newer_announced.wait()
 
     def _can_read(self):
@@ -182,8 +190,8 @@
     async def _read_and_watch_peers(self):
         """Make one call and return the seconds until the next one.
 
-        Also accept changes from other VMs meanwhile, since a call whose response is
-        lost takes until its timeout.
+        Changes from other VMs are fetched during the call, since a call whose response
+        is lost blocks until its timeout.
         """
         watch = await spawn(self._watch_peers)
         try:
@@ -191,9 +199,9 @@
         finally:
             await watch.cancel()
 
-    def _is_behind(self):
-        """Return whether another VM announced a newer change; record since when."""
-        if self._newest() <= self.last_change:
+    def _update_behind_since(self):
+        """Record since when another VM has a newer change; return whether one does."""
+        if self._newest_announced_version() <= self.last_change_version:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = self._clock.now()
@@ -207,7 +215,7 @@
     async def _read_store(self):
         """Make one call and return the seconds until the next one."""
         began_at = self._clock.now()
-        is_total = not self._is_answered_elsewhere()
+        is_total = not self._is_store_answering_elsewhere()
         try:
             await self._call_store()
         except HistoryLostError:
@@ -216,8 +224,8 @@
         except PlatformError as error:
             self._record_failure(error, began_at, is_total)
             await self._fetch_from_peer()
-            self._retry_at = self._clock.now() + IDLE_RETRY_INTERVAL
-            return uniform(0.5, 1.5) * RETRY_INTERVAL
+            self._retry_at = self._clock.now() + IDLE_RETRY_INTERVAL_SECONDS
+            return uniform(0.5, 1.5) * RETRY_INTERVAL_SECONDS
         return uniform(0.8, 1.2) * self._pause
 
     async def _call_store(self):
@@ -226,34 +234,41 @@
             self._record_response()
             self._apply_whole(snapshot)
             return
-        # During an outage, a call that waits for changes would detect its end late.
+        # A call that waits for changes would detect the end of an outage late.
         wait = 0.0 if self.is_store_lost else self._wait
         is_probe = self.is_store_lost and not self._is_reader()
         changes = await self._store.follow(self._table, self._copy.version, wait)
         self._record_response()
         if is_probe:
-            # This VM calls rarely, so it cannot tell when the outage ended and for how
-            # long removed rows may still be used.
+            # This VM calls rarely and does not know when the outage ended. Readers call
+            # more often and know for how long removed rows may still be used.
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
         self._apply_changes(changes)
-        self._announced_change = self.last_change
+        self._announced_change_version = self.last_change_version
 
     async def _fetch_from_peer(self):
-        if not self._is_behind():
+        if not self._update_behind_since():
             return
         try:
-            snapshot = await self._relay(self.last_change, self._behind_since)
+            snapshot = await self._fetch_newer(
+                self.last_change_version, self._behind_since
+            )
         except PeerError as error:
             self._journal.write(
                 Event.STATE_NOT_FETCHED, table=self._table, reason=str(error)
             )
             return
-        if snapshot is not None and snapshot.last_change > self.last_change:
+        if (
+            snapshot is not None
+            and snapshot.last_change_version > self.last_change_version
+        ):
             self._journal.write(
-                Event.STATE_FROM_PEER, table=self._table, version=snapshot.last_change
+                Event.STATE_FROM_PEER,
+                table=self._table,
+                version=snapshot.last_change_version,
             )
-            self._apply_relayed(snapshot)
+            self._apply_from_peer(snapshot)
 
     def _announces_first_read(self):
         if self._first_read_at is None:
@@ -264,8 +279,8 @@
     def _apply_whole(self, snapshot):
         """Apply all rows of the table, as read from the store.
 
-        After a lost history the rows may include a change that no later response
-        contains, so the version is announced at once.
+        If the table was read again because the history was lost, the rows may include
+        a change that no later response contains, so the version is announced at once.
         """
         is_first, self._is_loaded = not self._copy.version, True
         if not self._copy.replace_all(snapshot):
@@ -276,7 +291,7 @@
         if is_first:
             self._first_read_at = self._clock.now()
         else:
-            self._announced_change = self.last_change
+            self._announced_change_version = self.last_change_version
 
     def _apply_changes(self, snapshot):
         """Apply changed rows from the store."""
@@ -284,7 +299,7 @@
         if keys:
             self._copy.record_changes(keys, self._copy.version)
 
-    def _apply_relayed(self, snapshot):
+    def _apply_from_peer(self, snapshot):
         """Apply all or changed rows from another VM."""
         if not snapshot.is_whole:
             self._apply(self._copy.merge_changes(snapshot))
@@ -292,8 +307,8 @@
             self._apply(snapshot)
         self._is_loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.record_changes(keys, snapshot.last_change)
-        self._announced_change = self.last_change
+        self._copy.record_changes(keys, snapshot.last_change_version)
+        self._announced_change_version = self.last_change_version
 
     def _record_failure(self, error, began_at, is_total):
         if self._outage is None:
@@ -304,16 +319,16 @@
                 version=self._copy.version,
                 reason=str(error),
             )
-        self._outage.tried_at = began_at
+        self._outage.last_attempt_at = began_at
         self._outage.is_total = is_total
 
     def _update_outage(self):
-        """Mark the outage as total if the store answers no VM any more.
+        """Mark the outage as total if the store no longer responds to any VM.
 
-        Checked between calls too, because other VMs still report responses for
-        :data:`RESPONSE_TTL_SECONDS` after an outage began.
+        This is also checked between calls, since other VMs still report that the store
+        responds for :data:`RESPONSE_TTL_SECONDS` after the start of an outage.
         """
-        if self.is_store_lost and not self._is_answered_elsewhere():
+        if self.is_store_lost and not self._is_store_answering_elsewhere():
             self._outage.is_total = True
 
     def _record_response(self):
@@ -328,4 +343,4 @@
             for_all=outage.is_total,
         )
         if outage.is_total:
-            self._on_return(outage.tried_at)
+            self._on_store_return(outage.last_attempt_at)
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -11,7 +11,7 @@
 class Gap:
     """A range of versions skipped by reading the whole table again.
 
-    Rows that were added and removed within it are not known here.
+    Rows that were added and removed within the range are unknown.
 
     :param since: the version before the read.
     :param until: the version that was read.
@@ -31,15 +31,15 @@
 class TableCopy:
     """The rows of a table as of one version of the store.
 
-    It contains only what the store returned. VMs pass their copies on, so a removed row
-    that one of them kept would reappear permanently at others that already processed
-    its removal.
+    The copy contains only rows that the store returned. VMs fetch copies from each
+    other, so a removed row that one VM kept would reappear at VMs that already applied
+    its removal, and stay there.
     """
 
     __slots__ = (
         "_rows",
         "_version",
-        "_last_change",
+        "_last_change_version",
         "_change_versions",
         "_removals",
         "_removals_since",
@@ -49,7 +49,7 @@
     def __init__(self):
         self._rows = {}
         self._version = 0
-        self._last_change = 0
+        self._last_change_version = 0
         # By key: version of the last significant change, and of the removal.
         self._change_versions = {}
         self._removals = {}
@@ -63,9 +63,9 @@
         return self._version
 
     @property
-    def last_change(self):
+    def last_change_version(self):
         """Return the store version of the last significant change."""
-        return self._last_change
+        return self._last_change_version
 
     @property
     def rows(self):
@@ -75,10 +75,12 @@
     def replace_all(self, snapshot):
         """Replace all rows, unless the snapshot is older; return whether it was used.
 
-        It may be older if a newer one arrived from another VM during the call.
+        A snapshot is older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
-            self._last_change = max(self._last_change, snapshot.last_change)
+            self._last_change_version = max(
+                self._last_change_version, snapshot.last_change_version
+            )
             return False
         if self._version:
             self._add_gap(Gap(self._version, snapshot.version))
@@ -95,16 +97,16 @@
     def merge_changes(self, snapshot):
         """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
-        Rows may be newer than the version of the table, which is read in pages, and
-        must not be overwritten by older changes.
+        The table is read in pages, so known rows may be newer than its version. Older
+        changes must not overwrite them.
         """
         new_rows = [each for each in snapshot.rows if self._merge_row(each)]
         self._version = max(self._version, snapshot.version)
         return Snapshot(
             self._version,
             new_rows,
-            snapshot.last_change,
-            snapshot.lapsing,
+            snapshot.last_change_version,
+            snapshot.remaining_use_seconds,
             is_whole=False,
         )
 
@@ -113,21 +115,27 @@
 
         :param version: the version of the table's last significant change.
         """
-        self._last_change = max(self._last_change, version)
+        self._last_change_version = max(self._last_change_version, version)
         for key in keys:
             row = self._rows.get(key)
             if row is not None:
-                self._change_versions[key] = min(row.version, self._last_change)
+                self._change_versions[key] = min(row.version, self._last_change_version)
 
-    def changes_since(self, version, lapsing):
+    def changes_since(self, version, remaining_use_seconds):
         """Return a :class:`Snapshot` of the significant changes since a version.
 
-        It is whole if the version is 0 or removals since then may be unknown here.
+        The snapshot is whole if the version is 0, or if removals since then may be
+        unknown.
 
-        :param lapsing: see :class:`Snapshot`.
+        :param remaining_use_seconds: see :class:`Snapshot`.
         """
         if version < self._removals_since or not version or self._is_in_gap(version):
-            return Snapshot(self._version, self.rows, self._last_change, lapsing)
+            return Snapshot(
+                self._version,
+                self.rows,
+                self._last_change_version,
+                remaining_use_seconds,
+            )
         rows = [
             row
             for key, row in self._rows.items()
@@ -138,7 +146,13 @@
             for key, removed in self._removals.items()
             if removed > version
         )
-        return Snapshot(self._version, rows, self._last_change, lapsing, is_whole=False)
+        return Snapshot(
+            self._version,
+            rows,
+            self._last_change_version,
+            remaining_use_seconds,
+            is_whole=False,
+        )
 
     def _is_in_gap(self, version):
         return any(gap.contains(version) for gap in self._gaps)
@@ -162,7 +176,7 @@
         return True
 
     def _removed_at(self, key):
-        """Return the latest version at which a missing row is known to be missing."""
+        """Return the latest version at which the table is known not to have a row."""
         return max(self._removals_since, self._removals.get(key, 0))
 
     def _record_removal(self, key, version):
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -111,12 +111,12 @@
 def limit_sender(view, name=b"k=1"):
     view.record_response(name=name)
     view.clock.time += EXEMPTION_SECONDS + 0.1
-    for incarnation in INCARNATIONS[: SENDER_POLICY.crashes_to_refuse]:
+    for incarnation in INCARNATIONS[: SENDER_POLICY.refusal_threshold]:
         view.record_crash(incarnation, name=name)
 
 
 def limit_unknown_senders(view):
-    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]:
+    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold]:
         view.record_crash(incarnation)
 
 
@@ -167,7 +167,7 @@
     view.record_response(name=b"known")
     view.clock.time += EXEMPTION_SECONDS + 0.1
     for number, incarnation in enumerate(
-        INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse]
+        INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold]
     ):
         view.record_crash(incarnation, name=b"new-%d" % number)
     assert view.is_refused(b"another new one")
@@ -176,7 +176,7 @@
 
 
 def test_response_to_an_unknown_sender_offsets_one_crash(view):
-    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.crashes_to_refuse - 1]:
+    for incarnation in INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold - 1]:
         view.record_crash(incarnation)
     view.record_response()
     view.record_crash(INCARNATIONS[-1])
@@ -187,12 +187,12 @@
 
 def test_responses_to_unknown_senders_offset_as_many_crashes_at_once_after_them(view):
     """This keeps a service available if many of its targets crash at once."""
-    for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         view.record_response()
     limit_unknown_senders(view)
     assert not view.is_refused()
-    for incarnation in INCARNATIONS[UNKNOWN_SENDERS_POLICY.crashes_to_refuse :][
-        : UNKNOWN_SENDERS_POLICY.crashes_to_refuse
+    for incarnation in INCARNATIONS[UNKNOWN_SENDERS_POLICY.refusal_threshold :][
+        : UNKNOWN_SENDERS_POLICY.refusal_threshold
     ]:
         view.record_crash(incarnation)
     assert view.is_refused()
@@ -260,7 +260,7 @@
 def test_responses_at_one_vm_clear_unknown_senders_at_another():
     clock = ManualClock()
     here, there = View(clock), View(clock)
-    for _ in range(UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         there.record_response()
     limit_unknown_senders(here)
     tell(here.suspects, there.suspects)
@@ -460,14 +460,14 @@
 def test_credits_of_responses_are_bounded(view):
     for _ in range(3 * MAX_CREDITS):
         view.record_response()
-    for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.crashes_to_refuse):
+    for number in range(MAX_CREDITS + UNKNOWN_SENDERS_POLICY.refusal_threshold):
         view.record_crash(f"i-{number}")
     assert view.is_refused()
 
 
 #: The limit of unknown senders, as many again while VMs exchange updates, and two for
 #: a trial at each VM.
-MAX_TOTAL_CRASHES = 2 * UNKNOWN_SENDERS_POLICY.crashes_to_refuse + 2 * 6
+MAX_TOTAL_CRASHES = 2 * UNKNOWN_SENDERS_POLICY.refusal_threshold + 2 * 6
 MIN_SERVED_SHARE = 0.95
 #: Seconds in which the other callers become known to all VMs.
 WARM_UP_SECONDS = 3.0
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -8,7 +8,7 @@
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.capacity.registry import TargetRegistry
 from heathercleat.steering.process.membership.gossip import (
-    INTERVAL,
+    HEARTBEAT_INTERVAL_SECONDS,
     LEAVE_SECONDS,
     MAX_REPAIRED_AT_ONCE,
 )
@@ -16,7 +16,7 @@
     MONITORED_IN_REGION,
     MONITORED_OUTSIDE_REGION,
 )
-from heathercleat.steering.process.store.tables import READERS, Tables
+from heathercleat.steering.process.store.tables import READER_COUNT, Tables
 from standins.stop_simulation import (
     RESTART_SECONDS,
     SERVICES,
@@ -57,7 +57,7 @@
     return [
         vm
         for vm in fleet.vms.values()
-        if vm.running and any(each.vm in names for each in vm.members.active())
+        if vm.running and any(each.vm in names for each in vm.members.strong_serving())
     ]
 
 
@@ -75,7 +75,8 @@
     fleet = converged_fleet(size)
     stopped = stop(fleet)
     assert (
-        seconds_until_unlisted(fleet, stopped) <= HOPS[size] * INTERVAL + POLL_SECONDS
+        seconds_until_unlisted(fleet, stopped)
+        <= HOPS[size] * HEARTBEAT_INTERVAL_SECONDS + POLL_SECONDS
     )
 
 
@@ -85,7 +86,7 @@
     for vm in fleet.serving()[:4]:
         fleet.stop(vm)
         seconds = seconds_until_unlisted(fleet, [vm])
-        assert seconds <= HOPS[size] * INTERVAL + POLL_SECONDS
+        assert seconds <= HOPS[size] * HEARTBEAT_INTERVAL_SECONDS + POLL_SECONDS
         fleet.run(STOP_INTERVAL_SECONDS - seconds)
 
 
@@ -95,7 +96,7 @@
 def test_lost_datagram_does_not_keep_a_vm_that_leaves_listed(size, stop, seed):
     fleet = converged_fleet(size, 0.1, seed)
     stopped = stop(fleet)
-    bound = LEAVE_SECONDS + HOPS[size] * INTERVAL
+    bound = LEAVE_SECONDS + HOPS[size] * HEARTBEAT_INTERVAL_SECONDS
     assert seconds_until_unlisted(fleet, stopped) <= bound
 
 
@@ -104,10 +105,12 @@
     fleet = converged_fleet(size)
     stopped = fleet.serving()[0]
     fleet.stop(stopped)
-    fleet.run(STOP_SECONDS + RESTART_SECONDS + INTERVAL + POLL_SECONDS)
+    fleet.run(
+        STOP_SECONDS + RESTART_SECONDS + HEARTBEAT_INTERVAL_SECONDS + POLL_SECONDS
+    )
     restarted = fleet.vms[stopped.ip]
     assert restarted is not stopped
-    assert len(restarted.members.active()) == size
+    assert len(restarted.members.strong_serving()) == size
 
 
 class StopCosts:
@@ -172,7 +175,7 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READERS)]
+    ("size", "readers"), [(SMALL_FLEET, SMALL_FLEET), (LARGE_FLEET, READER_COUNT)]
 )
 def test_rows_that_a_stop_changes_are_not_read_by_every_vm(size, readers):
     fleet = converged_fleet(size)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -5,8 +5,8 @@
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.logs import Journal
 from heathercleat.steering.process.store.follower import (
-    IDLE_PEER_INTERVAL,
-    RETRY_INTERVAL,
+    IDLE_PEER_INTERVAL_SECONDS,
+    RETRY_INTERVAL_SECONDS,
     TableFollower,
 )
 from heathercleat.steering.process.store.protocol import (
@@ -93,7 +93,7 @@
             PAUSE_SECONDS,
             self._apply,
             self._relay,
-            lambda: self.peer.last_change if self.peer else 1 << 62,
+            lambda: self.peer.last_change_version if self.peer else 1 << 62,
             lambda: self.reader,
             lambda: self.is_answered_elsewhere,
             lambda: self.lapsing,
@@ -110,7 +110,7 @@
     async def _relay(self, version, since):
         if self.peer is None:
             raise PeerError("nobody answers")
-        return self.peer if self.peer.last_change > version else None
+        return self.peer if self.peer.last_change_version > version else None
 
     @property
     def keys(self):
@@ -138,7 +138,7 @@
         lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None)
     )
     assert harness.keys == ["b"]
-    assert harness.follower.last_change == harness.store.version
+    assert harness.follower.last_change_version == harness.store.version
 
 
 def test_table_is_read_again_when_the_history_is_lost():
@@ -166,7 +166,7 @@
 
     harness.run_steps(make_silent, change_elsewhere)
     assert harness.keys == ["b"]
-    assert harness.follower.last_change == 9
+    assert harness.follower.last_change_version == 9
 
 
 def test_end_of_an_outage_is_reported():
@@ -191,7 +191,7 @@
 
     harness.run_steps(lambda: setattr(harness.store, "down", True), recover)
     (since,) = harness.outage_ends
-    assert recovered_at[0] - 1.5 * RETRY_INTERVAL <= since <= recovered_at[0]
+    assert recovered_at[0] - 1.5 * RETRY_INTERVAL_SECONDS <= since <= recovered_at[0]
 
 
 def test_store_that_answered_other_vms_had_no_outage():
@@ -201,7 +201,7 @@
         lambda: setattr(harness.store, "down", False),
     )
     assert harness.outage_ends == []
-    assert harness.follower.is_answered
+    assert harness.follower.has_recent_response
 
 
 def test_outage_counts_if_the_store_answers_others_first_at_its_end():
@@ -220,7 +220,7 @@
     harness.run_steps(lambda: setattr(harness.store, "down", True))
     assert harness.store.waits[0] == WAIT_SECONDS
     assert harness.store.waits[-1] == 0.0
-    assert not harness.follower.is_answered
+    assert not harness.follower.has_recent_response
 
 
 def test_change_comes_from_a_peer_while_the_store_is_unavailable():
@@ -229,7 +229,7 @@
     harness.store.down = True
     harness.run_steps()
     assert harness.keys == ["p"]
-    assert harness.follower.last_change == 9
+    assert harness.follower.last_change_version == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
@@ -240,7 +240,7 @@
 
 def test_vm_that_is_no_reader_takes_the_table_of_a_peer():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
-    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change=7)
+    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change_version=7)
     harness.run_steps(lambda: setattr(harness, "peer", newer))
     assert harness.keys == ["p"]
     assert harness.store.calls == 1
@@ -261,7 +261,7 @@
         lambda: setattr(harness, "is_significant", False),
         lambda: harness.store.put("a", b"2"),
     )
-    assert harness.follower.last_change == 1
+    assert harness.follower.last_change_version == 1
     assert harness.follower.snapshot().version == 2
 
 
@@ -272,7 +272,7 @@
     harness.lapsing = lapsing
     harness.run_steps(lambda: harness.store.put("a", None))
     assert harness.keys == []
-    assert harness.follower.snapshot().lapsing == lapsing
+    assert harness.follower.snapshot().remaining_use_seconds == lapsing
 
 
 def test_row_that_was_added_again_is_sent_to_others():
@@ -303,14 +303,14 @@
             await sleep(0.2)
             harness.peer = Snapshot(9, [StoreRow("b", b"2", 9)], 9)
             announced_at = harness.clock.now()
-            await harness.follower.wake_if_behind()
+            await harness.follower.fetch_if_behind()
             while harness.keys != ["b"]:
                 await sleep(0.001)
             fetched_after.append(harness.clock.now() - announced_at)
             await group.cancel_remaining()
 
     run(main)
-    assert fetched_after[0] < IDLE_PEER_INTERVAL / 4
+    assert fetched_after[0] < IDLE_PEER_INTERVAL_SECONDS / 4
 
 
 def test_peers_are_polled_rarely_while_none_has_a_newer_table():
@@ -341,7 +341,7 @@
     harness.run_steps(
         lambda: None,
         lose_history,
-        lambda: announced.append(harness.follower.announced_change),
+        lambda: announced.append(harness.follower.announced_change_version),
     )
     assert harness.store.reads == 2
     assert announced == [2]
@@ -353,9 +353,9 @@
     harness.store.follow = harness.store.hang
     announced = []
     harness.run_steps(
-        lambda: announced.append(harness.follower.announced_change),
+        lambda: announced.append(harness.follower.announced_change_version),
         *[lambda: None] * 10,
-        lambda: announced.append(harness.follower.announced_change),
+        lambda: announced.append(harness.follower.announced_change_version),
     )
     assert announced == [0, 1]
 
@@ -364,7 +364,10 @@
     harness = FollowerHarness(Snapshot(0, []), reader=False)
     harness.store.put("a", b"1")
     harness.run_steps()
-    assert (harness.follower.last_change, harness.follower.announced_change) == (1, 0)
+    assert (
+        harness.follower.last_change_version,
+        harness.follower.announced_change_version,
+    ) == (1, 0)
 
 
 @pytest.mark.parametrize("reader", [True, False])
@@ -376,7 +379,7 @@
         harness.peer = Snapshot(1, [StoreRow("a", b"1", 1)], is_whole=False)
 
     harness.run_steps(change)
-    assert harness.follower.announced_change == 1
+    assert harness.follower.announced_change_version == 1
 
 
 def test_only_what_changed_is_passed_on():
@@ -389,7 +392,9 @@
         harness.store.put("old-7", None)
 
     versions = []
-    harness.run_steps(lambda: versions.append(harness.follower.last_change), change)
+    harness.run_steps(
+        lambda: versions.append(harness.follower.last_change_version), change
+    )
     delta = harness.follower.snapshot(versions[0])
     assert not delta.is_whole
     assert [(row.key, row.value) for row in delta.rows] == [
@@ -434,7 +439,7 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    delta = reader.changes_since(other.last_change, {})
+    delta = reader.changes_since(other.last_change_version, {})
     assert delta.is_whole
     other.replace_all(delta)
     assert other.rows == []
