--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -77,8 +77,8 @@
 
 
 def test_drain_begins_after_its_ramp():
-    assert scheduled(at=0.0, now=50.0).at == 50.0 + RAMP_SECONDS
-    assert scheduled(at=500.0, now=50.0).at == 500.0
+    assert scheduled(at=0.0, now=50.0).starts_at == 50.0 + RAMP_SECONDS
+    assert scheduled(at=500.0, now=50.0).starts_at == 500.0
 
 
 @pytest.mark.parametrize(
