--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -208,7 +208,7 @@
         return int(lease)
 
     async def _serve_call(self, call):
-        with self._vm.observer.observing(call) as observed:
+        with self._vm.observer.track(call) as record:
             if call.kind.semantics is not DeliverySemantics.UPLOAD:
                 call.body = await self._read_body(call)
             else:
@@ -220,7 +220,7 @@
                 await self._send_outcome(call, await run_at_most_once(self._vm, call))
             else:
                 await proxy_request(self._vm, call, self._close_header())
-            observed.done()
+            record.set_succeeded()
 
     def _check_length(self, call):
         length = find(call.headers, "content-length")
--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -3,7 +3,8 @@
 Options are tried in this order:
 
 1. a free slot of a target whose home is this VM;
-2. a slot under a lease, if its round trip is shorter than the expected local wait;
+2. a slot under a lease, if its round trip is not longer than the expected local wait
+   or, for a queued request, than the time that it has already waited;
 3. a short queue, ordered by earliest deadline;
 4. a free slot of a slow target.
 
@@ -22,7 +23,8 @@
 from heathercleat.events import Event
 from heathercleat.process.capacity.queue import ServiceQueue, Waiter
 
-#: Expected wait in seconds while there is no local slot; a lease may still provide one.
+#: Expected wait in seconds while there is no usable local slot; the request may still
+#: get a slot under a lease.
 UNBOUNDED_WAIT_SECONDS = float("inf")
 QUEUE_INTERVAL_SECONDS = 0.02
 #: Minimum of the mean delay after which a refused caller may retry, in seconds.
@@ -69,19 +71,19 @@
         self._clock = clock
         self._queues = {}
         self._waiter_queued = Signal()
-        self._on_handed_over = None
+        self._on_released_after_handover = None
         holder.on_lease_gained(self.admit_queued)
 
-    def on_handed_over(self, callback):
-        """Call ``await callback(vm, use)`` when a request ends after a handover.
+    def on_released_after_handover(self, callback):
+        """Call ``await callback(vm, use)`` for a request that ends after a handover.
 
         ``vm`` is the name of the new home of the target.
         """
-        self._on_handed_over = callback
+        self._on_released_after_handover = callback
 
-    def waiting_count(self, service):
+    def waiting_count(self, service_name):
         """Return the number of requests queued for a service."""
-        return len(self._queue(service).waiters)
+        return len(self._queue(service_name).waiters)
 
     async def acquire(self, request, avoid=frozenset()):
         """Return a permit for ``request``, waiting in the queue if necessary.
@@ -125,14 +127,18 @@
             self._queue(request.service.name).record_hold(hold_seconds)
             receiver = self._ledger.release(permit.use, is_finished)
             if receiver is not None:
-                await spawn(self._on_handed_over, receiver, permit.use, daemon=True)
+                await spawn(
+                    self._on_released_after_handover, receiver, permit.use, daemon=True
+                )
         await self.admit_queued(request.service.name)
 
-    async def admit_queued(self, service):
+    async def admit_queued(self, service_name):
         """Assign free slots to the queued requests of a service, in order."""
-        queue = self._queue(service)
+        queue = self._queue(service_name)
         now = self._clock.now()
         for waiter in list(queue.waiters):
+            # A request that has already waited longer than the expected wait may use a
+            # more distant lease.
             max_round_trip = max(
                 now - waiter.queued_at, self.expected_wait(waiter.request.service)
             )
@@ -151,8 +157,8 @@
         """
         while True:
             busy_queues = [each for each in self._queues.items() if each[1].waiters]
-            for service, queue in busy_queues:
-                await self.admit_queued(service)
+            for service_name, queue in busy_queues:
+                await self.admit_queued(service_name)
                 await self._request_leases(queue, queue.waiters and queue.waiters[0])
             if not busy_queues:
                 self._waiter_queued.clear()
@@ -160,22 +166,26 @@
             await sleep(QUEUE_INTERVAL_SECONDS)
 
     def expected_wait(self, service):
-        """Return the seconds that a request arriving now would wait for a local slot.
+        """Return the estimated wait in seconds if all local slots are in use.
 
-        It is infinite while there is no such slot.
+        It is for a request added at the end of the queue, and infinite while there is
+        no usable local slot.
         """
         return self._estimate_wait(service, self._local_slots(service))
 
     def _wait_with_leases(self, service):
-        """Return the expected wait of a new last waiter, in seconds, with leases."""
+        """Return the estimated wait in seconds if all slots, with leases, are in use.
+
+        It is for a request added at the end of the queue.
+        """
         slots = self._local_slots(service) + self._leased_slots(service)
         return self._estimate_wait(service, slots)
 
     def _would_time_out(self, queue, service, max_wait):
-        """Return whether a new last waiter would time out in the queue.
+        """Return whether a request added at the end of the queue would time out in it.
 
-        It is false while more leases may be granted: no search for leases has fallen
-        short since the queue was last empty.
+        ``False`` if every search for leases since the queue was last empty found
+        enough slots, as more may then be granted.
         """
         if self._holder.last_shortfall_at(service.name) < queue.last_empty_at:
             return False
@@ -366,12 +376,12 @@
         return RequestError(ResultCode.NO_ROOM, message, retry_at)
 
     def _log_permit(self, request, permit, waited):
-        service = request.service.name
+        service_name = request.service.name
         common = {
             "request": request.id,
-            "service": service,
+            "service": service_name,
             "waited": self._round_wait(waited),
-            "queue": self.waiting_count(service),
+            "queue": self.waiting_count(service_name),
         }
         if isinstance(permit, LeasedPermit):
             lease = permit.lease
@@ -395,10 +405,10 @@
             **common,
         )
 
-    def _queue(self, service):
-        queue = self._queues.get(service)
+    def _queue(self, service_name):
+        queue = self._queues.get(service_name)
         if queue is None:
-            queue = self._queues[service] = ServiceQueue()
+            queue = self._queues[service_name] = ServiceQueue()
         return queue
 
     @staticmethod
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -55,7 +55,8 @@
     :param membership: the :class:`Membership` of the failure domain.
     :param ledger: the slots of the homed targets.
     :param links: the :class:`PeerLinks` to other VMs.
-    :param records: the occupancy bounds that other homes announced to this VM.
+    :param records: the latest instants until which requests of other homes may occupy
+        targets, as these homes announced.
     :param publisher: announces the occupancy bounds of this VM.
     """
 
@@ -65,7 +66,7 @@
         self._publisher = publisher
         self._membership = membership
         self._ledger = ledger
-        self._links = links
+        self._peer_links = links
         self._clock = clock
         self._acquiring = set()
         self._contested = set()
@@ -97,8 +98,8 @@
         """Return the :class:`Handover` that answers an :class:`AcquireTargets`.
 
         :param receiver: name of the VM that acquires the targets.
-        :raises PeerError: if this VM is acquiring one of them too and takes precedence,
-            which the VM with the lower name does.
+        :raises PeerError: if this VM is acquiring one of them too and takes precedence.
+            The VM whose name sorts first takes precedence.
         """
         for name in names:
             if name in self._acquiring:
@@ -148,7 +149,7 @@
         if member is None:
             return True
         try:
-            await self._links.call(member.host, SlotReleased(use.target, use.id))
+            await self._peer_links.call(member.host, SlotReleased(use.target, use.id))
         except PeerError:
             return False
         return True
@@ -168,14 +169,15 @@
         While a new version spreads, the smaller of the old and new limits apply.
         """
         text, now = self._vm.text, self._clock.now()
-        has_expired = self._transition.expire_superseded(now)
-        if text is self._transition.text and not has_expired:
+        has_expired_versions = self._transition.expire_superseded(now)
+        if text is self._transition.text and not has_expired_versions:
             return
         if text is not self._transition.text:
             self._transition.adopt(text, now)
         for name in list(self._ledger.targets):
             target = text.find_target(name)
             if target is None:
+                # The target was removed from the configuration and has no new home.
                 self._ledger.hand_over(name, None)
             else:
                 self._ledger.update(
@@ -245,7 +247,7 @@
 
     async def _request_handover(self, host, request):
         try:
-            return await self._links.call(host, request)
+            return await self._peer_links.call(host, request)
         except PeerError:
             return None
 
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -192,18 +192,18 @@
         """Call ``await callback(service_name)`` whenever a lease is granted."""
         self._on_lease_gained = callback
 
-    def leases_for(self, service):
+    def leases_for(self, service_name):
         """Return the leases held for a service."""
-        return self._leases.get(service, [])
+        return self._leases.get(service_name, [])
 
-    def last_shortfall_at(self, service):
+    def last_shortfall_at(self, service_name):
         """Return the instant at which a search last ended with too few slots.
 
         It is negative infinity if that has never happened.
         """
-        return self._last_shortfall_at.get(service, DISTANT_PAST)
+        return self._last_shortfall_at.get(service_name, DISTANT_PAST)
 
-    def claim(self, service, avoid, max_round_trip):
+    def claim(self, service_name, avoid, max_round_trip):
         """Claim a slot of the nearest lease that has a free one.
 
         :param avoid: names of targets not to use.
@@ -213,7 +213,7 @@
         now = self._clock.now()
         usable = [
             lease
-            for lease in self.leases_for(service)
+            for lease in self.leases_for(service_name)
             if lease.has_free_slot(now)
             and lease.target not in avoid
             and 2 * lease.latency <= max_round_trip
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -17,16 +17,16 @@
         self._vm = vm
 
     @contextmanager
-    def observing(self, call):
+    def track(self, call):
         """Log and count the result of a call.
 
-        :return: a context manager; call ``done()`` of its value when the complete
-            response has been sent.
+        :return: a context manager; call ``set_succeeded()`` of its value when the
+            complete response has been sent.
         """
-        observed = _Observed()
+        record = _CallRecord()
         code, event = ResultCode.ANSWER_LOST, Event.REQUEST_CUT
         try:
-            yield observed
+            yield record
         except RequestError as error:
             code, event = error.code, Event.REQUEST_REFUSED
             if not call.stream.can_respond:
@@ -35,7 +35,7 @@
                 self._vm.configuration.record_claim_failure()
             raise
         finally:
-            if observed.is_done:
+            if record.has_succeeded:
                 code, event = ResultCode.OK, Event.REQUEST_DONE
             self._finish(call, code, event)
 
@@ -60,17 +60,17 @@
             self._vm.metrics.count_request(call, result, run, seconds, late)
 
 
-class _Observed:
+class _CallRecord:
     """Whether the complete response of a call has been sent."""
 
     def __init__(self):
-        self._is_done = False
+        self._has_succeeded = False
 
     @property
-    def is_done(self):
+    def has_succeeded(self):
         """Return whether the complete response has been sent."""
-        return self._is_done
+        return self._has_succeeded
 
-    def done(self):
+    def set_succeeded(self):
         """Record that the complete response has been sent."""
-        self._is_done = True
+        self._has_succeeded = True
--- a/src/heathercleat/process/signals.py
+++ b/src/heathercleat/process/signals.py
@@ -10,7 +10,6 @@
 class SignalWatch:
     """Queues signals for a task, which needs no polling to receive them.
 
-    :param clock: the clock.
     :param numbers: the signals to handle.
     """
 
--- a/src/heathercleat/process/stalls.py
+++ b/src/heathercleat/process/stalls.py
@@ -7,15 +7,12 @@
 from curio import sleep
 
 TICK_SECONDS = 0.05
-#: Maximum seconds between two ticks that don't count as a stall.
+#: Seconds between two ticks above which the rest of the gap counts as a stall.
 MAX_TICK_GAP_SECONDS = 2 * TICK_SECONDS
 
 
 class Stalls:
-    """Measures the stalls of this process.
-
-    :param clock: the clock.
-    """
+    """Measures the stalls of this process, in seconds."""
 
     def __init__(self, clock):
         self._clock = clock
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -47,7 +47,7 @@
 
 
 class EntryVM:
-    """One entry VM.
+    """The process that accepts callers' requests and sends them to targets.
 
     :param settings: its :class:`Settings`.
     :param platform: a platform client, or ``None`` to create one from the settings.
@@ -66,11 +66,12 @@
         self._client_blocks = build_client_blocks({}, [])
         self._retry_budgets = {}
         self._peer_bytes = 0
-        self._leave_requested = False
-        self._left_at = self._clock.now()
+        self._is_shutdown_requested = False
+        self._shutdown_began_at = self._clock.now()
         self._fence = Fence(settings.fenced)
         self._platform = platform or self._connect_platform()
-        # Claims use a separate connection, so that other calls don't delay them.
+        # Claims and edits use a separate connection, so that other calls don't delay
+        # them.
         self._claims_platform = platform or self._connect_platform()
         self._build()
 
@@ -141,7 +142,7 @@
         self._listeners = Listeners(self)
         self.membership.on_new_incarnation(self.homes.drop_all)
         self.membership.on_pause(self.occupancy_records.clear)
-        self.admission.on_handed_over(self.homes.report_released)
+        self.admission.on_released_after_handover(self.homes.report_released)
 
     @property
     def settings(self):
@@ -165,7 +166,7 @@
 
     @property
     def instance_id(self):
-        """Return the id of this process, as in its tickets."""
+        """Return the id of this process, which its tickets contain."""
         return self._instance_id
 
     @property
@@ -195,7 +196,7 @@
 
     @property
     def fence(self):
-        """Return the current :class:`Fence`."""
+        """Return the networks to treat as unreachable, as a :class:`Fence`."""
         return self._fence
 
     @property
@@ -222,6 +223,11 @@
         return self._log_writer.dropped if self._log_writer else 0
 
     def _get_fence(self):
+        """Return the current :class:`Fence`, which a reload of the settings replaces.
+
+        It contains the addresses that this VM must not call, to simulate a network
+        partition.
+        """
         return self._fence
 
     def renew_incarnation(self):
@@ -233,12 +239,9 @@
         """Fetch the configuration and VM list of a peer if its versions are newer."""
         await self.configuration.fetch_if_newer(host, version, vm_serial)
 
-    def retry_budget(self, service):
-        """Return the :class:`RetryBudget` of a service, created on first use.
-
-        :param service: name of the service.
-        """
-        return self._retry_budgets.setdefault(service, RetryBudget())
+    def retry_budget(self, service_name):
+        """Return the :class:`RetryBudget` of a service, created on first use."""
+        return self._retry_budgets.setdefault(service_name, RetryBudget())
 
     def apply_configuration(self, text):
         """Apply a new version of the configuration."""
@@ -283,7 +286,7 @@
 
     def request_shutdown(self):
         """Begin a graceful shutdown."""
-        self._leave_requested = True
+        self._is_shutdown_requested = True
 
     async def serve(self):
         """Run the daemon until a graceful shutdown has finished."""
@@ -303,7 +306,7 @@
                 )
         await self.links.close()
         await self.pool.close()
-        seconds = round(self._clock.now() - self._left_at, 3)
+        seconds = round(self._clock.now() - self._shutdown_began_at, 3)
         self._journal.write(Event.VM_STOPPED, seconds=seconds)
 
     def _loops(self):
@@ -338,10 +341,10 @@
 
     async def _shut_down(self):
         """Wait for a shutdown request, then finish the requests in progress."""
-        while not self._leave_requested:
+        while not self._is_shutdown_requested:
             await self._apply_own_drain()
             await sleep(CHECK_INTERVAL_SECONDS)
-        self._left_at = self._clock.now()
+        self._shutdown_began_at = self._clock.now()
         self._journal.write(
             Event.VM_LEAVING,
             connections=self._listeners.connections,
@@ -367,7 +370,7 @@
             await self.membership.rejoin()
 
     def _available_vms(self, domain):
-        """Return the VMs of a failure domain that are not known to leave or be dead."""
+        """Return the VMs of a domain that are neither known to leave nor to be dead."""
         if domain != self._settings.failure_domain:
             return self.directory.available_in(domain)
         return [
