--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -154,7 +154,7 @@
             memory / 1e6,
         )
         tracemalloc.stop()
-        fields = vm.directory.to_fields()
+        fields = vm.vm_directory.to_fields()
         fits.add(
             "VM list: message", "KB", vms, len(encode(VmListResponse(1, fields))) / 1e3
         )
@@ -167,12 +167,12 @@
             answer_lookup(vm, query, "10.0.0.1")
 
         def rebuild(vm=vm, service=service):
-            vm.candidates._candidates.clear()
-            vm.candidates.find(service, "fd-0")
+            vm.lookup_candidates._candidates.clear()
+            vm.lookup_candidates.find(service, "fd-0")
 
         run_lookup()
         fits.add("look-up: candidates", "ms", vms, mean_cpu_seconds(rebuild, 20) * 1e3)
-        vm.candidates.find(service, "fd-0")
+        vm.lookup_candidates.find(service, "fd-0")
         fits.add("look-up: answer", "us", vms, mean_cpu_seconds(run_lookup, 500) * 1e6)
 
 
--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -27,7 +27,7 @@
         self._max_header_bytes = max_header_bytes
         self._conn = self._new_connection()
         self._bytes_sent = 0
-        self._body_started = False
+        self._has_body_started = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @property
@@ -43,7 +43,7 @@
     @property
     def has_body_started(self):
         """Return whether reading the body of the current message has begun."""
-        return self._body_started
+        return self._has_body_started
 
     @property
     def has_partial_head(self):
@@ -73,7 +73,7 @@
                 raise EOFError("no further message on this connection")
             if event is not h11.NEED_DATA:
                 if isinstance(event, h11.Data | h11.EndOfMessage):
-                    self._body_started = True
+                    self._has_body_started = True
                 return event
             if self._conn.they_are_waiting_for_100_continue:
                 await self.send(h11.InformationalResponse(status_code=100, headers=[]))
@@ -144,7 +144,7 @@
         """Prepare for the next message; return whether the connection is reusable."""
         if self._conn.our_state is h11.DONE and self._conn.their_state is h11.DONE:
             self._conn.start_next_cycle()
-            self._body_started = False
+            self._has_body_started = False
             return True
         return False
 
--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -64,7 +64,7 @@
         return removed
 
     def _is_sweeper(self):
-        names = [entry.name for entry in self._vm.directory.entries]
+        names = [entry.name for entry in self._vm.vm_directory.entries]
         return rank_by_weight("sweeper", names)[:1] == [self._vm.name]
 
     async def _sweep_batch(self):
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -82,7 +82,10 @@
             if self._vm.text is not None:
                 self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
-                if self._vm.directory.is_known and self._membership.may_act_as_home():
+                if (
+                    self._vm.vm_directory.is_known
+                    and self._membership.may_act_as_home()
+                ):
                     await self._acquire_missing()
                     await self._publisher.update(dict(self._hold_ends()))
             await sleep(CHECK_INTERVAL_SECONDS)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -136,7 +136,7 @@
         async with TaskGroup() as group:
             for name, host in hosts.items():
                 await group.spawn(self._poll, name, host)
-        if self._vm.directory.is_known:
+        if self._vm.vm_directory.is_known:
             await self._polled.set()
 
     async def _poll(self, name, host):
@@ -157,7 +157,7 @@
             return
         for domain in self._near_domains():
             for name in set(self._homes(domain).values()):
-                yield name, self._vm.directory.find(name).host
+                yield name, self._vm.vm_directory.find(name).host
 
     def _near_domains(self):
         """Return the nearest other failure domains."""
@@ -172,7 +172,7 @@
         if domain == self._local_domain:
             names = self._membership.live_names()
         else:
-            entries = self._vm.directory.available_in(domain)
+            entries = self._vm.vm_directory.available_in(domain)
             names = [entry.name for entry in entries]
         return self._vm.text.placement.homes(domain, names)
 
--- a/src/heathercleat/process/membership/peer_service.py
+++ b/src/heathercleat/process/membership/peer_service.py
@@ -172,7 +172,7 @@
         return Configuration(manager.version, manager.data)
 
     async def _fetch_vms(self, message, hello):
-        directory = self._vm.directory
+        directory = self._vm.vm_directory
         return VmListResponse(directory.serial, directory.to_fields())
 
     async def _fetch_readiness(self, message, hello):
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -22,7 +22,7 @@
         ],
         "vms": [
             {"vm": entry.name, "host": entry.host, "domain": entry.failure_domain}
-            for entry in vm.directory.entries
+            for entry in vm.vm_directory.entries
         ],
         "targets": [_target(vm, entry) for entry in vm.ledger.targets.values()],
         "services": [_service(vm, service) for service in _services(vm)],
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -87,14 +87,14 @@
     def _build(self):
         clock = self._clock
         self.links = PeerLinks(self, clock)
-        self.directory = Directory()
+        self.vm_directory = Directory()
         self.ledger = SlotLedger(clock)
         self.deduplication = DeduplicationTable(clock)
         self.pool = ConnectionPool(clock, self._settings.address, self._get_fence)
         self.membership = Membership(self, self.links, clock)
         self.heartbeats = Heartbeats(self, self.membership, self.links, clock)
         self.configuration = ConfigurationManager(
-            self, self._platform, self.links, self.membership, self.directory, clock
+            self, self._platform, self.links, self.membership, self.vm_directory, clock
         )
         self.health = HealthTracker(self, self.ledger, clock)
         self.occupancy_records = OccupancyRecords(self.membership, clock)
@@ -110,7 +110,7 @@
             self.occupancy_publisher,
             clock,
         )
-        self.lease_holder = LeaseHolder(self, self.links, self.directory, clock)
+        self.lease_holder = LeaseHolder(self, self.links, self.vm_directory, clock)
         self.stalls = Stalls(clock)
         self.admission = Admission(
             self,
@@ -132,10 +132,10 @@
             self.health,
             clock,
         )
-        self.claims = ClaimTable(self._claims_platform, self._instance_id)
+        self.claim_table = ClaimTable(self._claims_platform, self._instance_id)
         self.sweeper = ClaimSweeper(self, self._platform, clock)
         self.editor = Editor(self._claims_platform, clock)
-        self.candidates = CandidateCache(self, clock)
+        self.lookup_candidates = CandidateCache(self, clock)
         self.metrics = Metrics(self)
         self.observer = CallObserver(self)
         self.tokens = PeerTokens(self.name, lambda: self._settings.keys, clock)
@@ -182,7 +182,7 @@
     @property
     def vm_serial(self):
         """Return the serial number of the VM list, or -1 if there is none."""
-        return self.directory.serial
+        return self.vm_directory.serial
 
     @property
     def text(self):
@@ -272,7 +272,7 @@
         entries = {entry.name: entry for entry in self._available_vms(domain)}
         homes = {
             entry.name: entry
-            for entry in self.directory.assigned_homes(
+            for entry in self.vm_directory.assigned_homes(
                 domain, self.text.placement, service
             )
         }
@@ -282,7 +282,7 @@
 
     async def record_outcome(self, ticket, key, outcome):
         """Store an outcome in the table in the background."""
-        await spawn(self.claims.record, ticket, key, outcome, daemon=True)
+        await spawn(self.claim_table.record, ticket, key, outcome, daemon=True)
 
     def request_shutdown(self):
         """Begin a graceful shutdown."""
@@ -319,7 +319,7 @@
             self.lease_holder.run,
             self.admission.run,
             self.health.run,
-            self.claims.run,
+            self.claim_table.run,
             self.sweeper.run,
         )
 
@@ -372,7 +372,7 @@
     def _available_vms(self, domain):
         """Return the VMs of a domain that are neither known to leave nor to be dead."""
         if domain != self._settings.failure_domain:
-            return self.directory.available_in(domain)
+            return self.vm_directory.available_in(domain)
         return [
             VmEntry(member.vm, member.host, domain, False)
             for member in self.membership.members.values()
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -71,7 +71,7 @@
     if not call.ticket.requires_claims or entry.is_claimed:
         return
     try:
-        claim = vm.claims.claim(call.ticket, call.key)
+        claim = vm.claim_table.claim(call.ticket, call.key)
         row = await with_deadline(call.deadline, vm.clock, claim)
     except (PlatformError, TimeoutError) as error:
         vm.journal.write(Event.CLAIM_FAILED, request=call.id, reason=str(error))
@@ -146,7 +146,7 @@
     if state is not EntryState.GONE or not call.ticket.requires_claims:
         return state, outcome
     try:
-        row = await vm.claims.close_out(call.ticket, call.key)
+        row = await vm.claim_table.close_out(call.ticket, call.key)
     except PlatformError:
         return EntryState.UNKNOWN, None
     if row.state is RowState.CLOSED:
@@ -157,7 +157,7 @@
 
 
 async def _query_owner(vm, ticket, key):
-    entry = vm.directory.find(ticket.vm)
+    entry = vm.vm_directory.find(ticket.vm)
     if entry is None or entry.name == vm.name:
         return EntryState.GONE, None
     try:
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -39,7 +39,7 @@
     client = _parse_client(query, caller)
     domain = vm.client_blocks.find(client) or vm.settings.failure_domain
     avoided = _avoided_domains(vm, service, client)
-    candidates = vm.candidates.find(service, domain, avoided)
+    candidates = vm.lookup_candidates.find(service, domain, avoided)
     nearest = candidates[0].domain if candidates else vm.settings.failure_domain
     selected = _select_vms(candidates, avoided)
     now = vm.clock.wall()
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -46,12 +46,12 @@
         self.vm = vm = FakeVm()
         vm.text = make_service_text()
         vm.version = 1
-        vm.directory = Directory()
+        vm.vm_directory = Directory()
         entries = (
             VmEntry(vm.name, "127.0.0.1", "north-a", False),
             VmEntry("north-b-1", NEIGHBOR, "north-b", False),
         )
-        vm.directory.adopt(VmList(1, entries))
+        vm.vm_directory.adopt(VmList(1, entries))
         self.ledger = SlotLedger(self.clock)
         self.membership = Membership(vm, self.links, self.clock)
         self.clock.time += SETTLE_SECONDS
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -36,7 +36,7 @@
 @pytest.fixture
 def sweeper(platform, clock):
     vm = FakeVm()
-    vm.directory = FakeDirectory(vm.name)
+    vm.vm_directory = FakeDirectory(vm.name)
     return ClaimSweeper(vm, platform, clock)
 
 
