--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -18,17 +18,23 @@
     """Open connections by address; reuses those whose last exchange was complete.
 
     :param source_ip: the local IP address to connect from.
-    :param fence: function that returns the :class:`Fence` in force.
+    :param get_fence: function that returns the current :class:`Fence`, the networks to
+        which connections are blocked.
     :param on_open: function that is called with each new socket, or ``None``.
     :param idle_seconds: the longest time that a connection stays idle.
     """
 
     def __init__(
-        self, clock, source_ip, fence, on_open=None, idle_seconds=IDLE_TIMEOUT_SECONDS
+        self,
+        clock,
+        source_ip,
+        get_fence,
+        on_open=None,
+        idle_seconds=IDLE_TIMEOUT_SECONDS,
     ):
         self._clock = clock
         self._source_ip = source_ip
-        self._fence = fence
+        self._get_fence = get_fence
         self._on_open = on_open
         self._idle_seconds = idle_seconds
         self._idle = {}
@@ -47,7 +53,7 @@
             ``None`` for any time.
         :raises OSError: when the connection fails or the limit is reached.
         """
-        await self._fence().wait_if_fenced(host)
+        await self._get_fence().wait_if_fenced(host)
         address = (host, port)
         idle = self._idle.setdefault(address, deque())
         await self._close_expired(address, idle)
--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -27,7 +27,6 @@
 
     :param vm: the process: name, VM list, journal.
     :param platform: the platform client.
-    :param clock: the clock.
     """
 
     def __init__(self, vm, platform, clock):
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -223,8 +223,8 @@
             return "ejected"
         if health.probe_state != "ready":
             return health.probe_state
-        recent = now - health.last_response_at < PROBE_INTERVAL_SECONDS
-        if health.failed_probes >= MAX_FAILED_PROBES and not recent:
+        has_responded_recently = now - health.last_response_at < PROBE_INTERVAL_SECONDS
+        if health.failed_probes >= MAX_FAILED_PROBES and not has_responded_recently:
             return "unreachable"
         return None
 
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -176,10 +176,7 @@
 
 
 class SlotLedger:
-    """The slots of every target whose home is this VM.
-
-    :param clock: the clock.
-    """
+    """The slots of every target whose home is this VM, by target and by service."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -193,9 +190,9 @@
         """Return ``{target name: TargetSlots}`` of the homed targets."""
         return self._targets
 
-    def of_service(self, service):
+    def of_service(self, service_name):
         """Return the homed :class:`TargetSlots` of a service."""
-        return self._by_service.get(service, ())
+        return self._by_service.get(service_name, ())
 
     def adopt(self, target, holds, link_limits=None, levels=()):
         """Become the home of ``target`` and return its :class:`TargetSlots`.
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -120,8 +120,8 @@
 
     async def fetch_if_newer(self, host, version, vm_serial):
         """Start to fetch the configuration and VM list of a peer if one is newer."""
-        newer = version > self._version or vm_serial > self._directory.serial
-        if newer and host not in self._fetching:
+        is_newer = version > self._version or vm_serial > self._directory.serial
+        if is_newer and host not in self._fetching:
             self._fetching.add(host)
             await spawn(self._fetch, host, daemon=True)
 
--- a/src/heathercleat/process/configuration/platform.py
+++ b/src/heathercleat/process/configuration/platform.py
@@ -116,15 +116,15 @@
 
     :param host: IP address of the platform.
     :param timeout: timeout of each call, in seconds.
-    :param fence: a callable that returns the current :class:`Fence`.
+    :param get_fence: function that returns the current :class:`Fence`.
     """
 
-    def __init__(self, host, port, clock, timeout, fence):
+    def __init__(self, host, port, clock, timeout, get_fence):
         self._host = host
         self._port = port
         self._clock = clock
         self._timeout = timeout
-        self._fence = fence
+        self._get_fence = get_fence
         self._connection = PersistentConnection(self._connect, MAX_RESPONSE_BYTES)
 
     async def transact(self, conditions, writes):
@@ -186,7 +186,7 @@
         return response
 
     async def _exchange(self, message):
-        await self._fence().wait_if_fenced(self._host)
+        await self._get_fence().wait_if_fenced(self._host)
         return await self._connection.exchange(message)
 
     async def _connect(self):
--- a/src/heathercleat/process/listeners.py
+++ b/src/heathercleat/process/listeners.py
@@ -24,7 +24,7 @@
         self._vm = vm
         self._connections = set()
         self._handlers = {}
-        self._closed = False
+        self._is_closed = False
 
     @property
     def connections(self):
@@ -60,7 +60,7 @@
 
         Requests in progress continue until their deadline at the latest.
         """
-        self._closed = True
+        self._is_closed = True
         for sock, handle in self._handlers.items():
             if handle in (self._serve_caller, self._serve_forwarded):
                 await sock.shutdown(SHUT_RDWR)
@@ -80,7 +80,7 @@
             try:
                 client, address = await sock.accept()
             except OSError:
-                if not self._closed:
+                if not self._is_closed:
                     raise
                 return
             await group.spawn(self._run, handle, client, address)
--- a/src/heathercleat/process/logs.py
+++ b/src/heathercleat/process/logs.py
@@ -107,7 +107,7 @@
         self._logger.propagate = False
         self._logger.handlers = [self._handler]
         self._capture_curio_logs()
-        self._stopping = False
+        self._is_stopping = False
         self._thread = Thread(target=self._run, daemon=True)
 
     @property
@@ -121,7 +121,7 @@
 
     def stop(self):
         """Write the buffered lines, waiting for at most ``FLUSH_SECONDS``."""
-        self._stopping = True
+        self._is_stopping = True
         self._handler.interrupt()
         self._thread.join(FLUSH_SECONDS)
 
@@ -137,7 +137,7 @@
         curio_logger.handlers = [self._handler]
 
     def _run(self):
-        while not self._stopping:
+        while not self._is_stopping:
             self._handler.wait()
             sleep(WRITE_INTERVAL_SECONDS)
             self._write()
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -77,14 +77,14 @@
     async def _call(self, message):
         await self._vm.fence.wait_if_fenced(self._host)
         async with self._lock:
-            done = False
+            is_done = False
             try:
                 if self._stream is None:
                     self._stream = await self._open()
                 response = await self._stream.call(message)
-                done = True
+                is_done = True
             finally:
-                if not done:
+                if not is_done:
                     await self.close()
             self._is_refused = False
             return response
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -86,12 +86,9 @@
         if late:
             self._late.labels(service, kind).inc()
 
-    def count_lookup(self, service):
-        """Count one answered look-up.
-
-        :param service: name of the service.
-        """
-        self._lookups.labels(service).inc()
+    def count_lookup(self, service_name):
+        """Count one answered look-up."""
+        self._lookups.labels(service_name).inc()
 
     def render(self):
         """Read the gauges and return the exposition format as bytes."""
--- a/src/heathercleat/process/stalls.py
+++ b/src/heathercleat/process/stalls.py
@@ -7,7 +7,7 @@
 from curio import sleep
 
 TICK_SECONDS = 0.05
-#: Seconds between two ticks above which the rest of the gap counts as a stall.
+#: Seconds between two ticks; if they are further apart, the excess counts as a stall.
 MAX_TICK_GAP_SECONDS = 2 * TICK_SECONDS
 
 
