--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -174,7 +174,7 @@
         return self._estimate_wait(service, self._local_slots(service))
 
     def _wait_with_leases(self, service):
-        """Return the estimated wait in seconds if local and leased slots are all in use.
+        """Return the estimated wait in seconds if local and leased slots are in use.
 
         It is for a request added at the end of the queue.
         """
