--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -27,7 +27,6 @@
 
     :param vm: the process: name, VM list, journal.
     :param platform: the platform client.
-    :param clock: the clock.
     """
 
     def __init__(self, vm, platform, clock):
@@ -64,7 +63,7 @@
         return removed
 
     def _is_sweeper(self):
-        names = [entry.name for entry in self._vm.directory.entries]
+        names = [entry.name for entry in self._vm.vm_directory.entries]
         return rank_by_weight("sweeper", names)[:1] == [self._vm.name]
 
     async def _sweep_batch(self):
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -47,7 +47,7 @@
 
 
 class EntryVM:
-    """One entry VM.
+    """The process that accepts callers' requests and sends them to targets.
 
     :param settings: its :class:`Settings`.
     :param platform: a platform client, or ``None`` to create one from the settings.
@@ -66,11 +66,12 @@
         self._client_blocks = build_client_blocks({}, [])
         self._retry_budgets = {}
         self._peer_bytes = 0
-        self._leave_requested = False
-        self._left_at = self._clock.now()
+        self._is_shutdown_requested = False
+        self._shutdown_began_at = self._clock.now()
         self._fence = Fence(settings.fenced)
         self._platform = platform or self._connect_platform()
-        # Claims use a separate connection, so that other calls don't delay them.
+        # Claims and edits use a separate connection, so that other calls don't delay
+        # them.
         self._claims_platform = platform or self._connect_platform()
         self._build()
 
@@ -86,14 +87,14 @@
     def _build(self):
         clock = self._clock
         self.links = PeerLinks(self, clock)
-        self.directory = Directory()
+        self.vm_directory = Directory()
         self.ledger = SlotLedger(clock)
         self.deduplication = DeduplicationTable(clock)
         self.pool = ConnectionPool(clock, self._settings.address, self._get_fence)
         self.membership = Membership(self, self.links, clock)
         self.heartbeats = Heartbeats(self, self.membership, self.links, clock)
         self.configuration = ConfigurationManager(
-            self, self._platform, self.links, self.membership, self.directory, clock
+            self, self._platform, self.links, self.membership, self.vm_directory, clock
         )
         self.health = HealthTracker(self, self.ledger, clock)
         self.occupancy_records = OccupancyRecords(self.membership, clock)
@@ -109,7 +110,7 @@
             self.occupancy_publisher,
             clock,
         )
-        self.lease_holder = LeaseHolder(self, self.links, self.directory, clock)
+        self.lease_holder = LeaseHolder(self, self.links, self.vm_directory, clock)
         self.stalls = Stalls(clock)
         self.admission = Admission(
             self,
@@ -131,17 +132,17 @@
             self.health,
             clock,
         )
-        self.claims = ClaimTable(self._claims_platform, self._instance_id)
+        self.claim_table = ClaimTable(self._claims_platform, self._instance_id)
         self.sweeper = ClaimSweeper(self, self._platform, clock)
         self.editor = Editor(self._claims_platform, clock)
-        self.candidates = CandidateCache(self, clock)
+        self.lookup_candidates = CandidateCache(self, clock)
         self.metrics = Metrics(self)
         self.observer = CallObserver(self)
         self.tokens = PeerTokens(self.name, lambda: self._settings.keys, clock)
         self._listeners = Listeners(self)
         self.membership.on_new_incarnation(self.homes.drop_all)
         self.membership.on_pause(self.occupancy_records.clear)
-        self.admission.on_handed_over(self.homes.report_released)
+        self.admission.on_released_after_handover(self.homes.report_released)
 
     @property
     def settings(self):
@@ -165,7 +166,7 @@
 
     @property
     def instance_id(self):
-        """Return the id of this process, as in its tickets."""
+        """Return the id of this process, which its tickets contain."""
         return self._instance_id
 
     @property
@@ -181,7 +182,7 @@
     @property
     def vm_serial(self):
         """Return the serial number of the VM list, or -1 if there is none."""
-        return self.directory.serial
+        return self.vm_directory.serial
 
     @property
     def text(self):
@@ -195,7 +196,7 @@
 
     @property
     def fence(self):
-        """Return the current :class:`Fence`."""
+        """Return the networks to treat as unreachable, as a :class:`Fence`."""
         return self._fence
 
     @property
@@ -222,6 +223,11 @@
         return self._log_writer.dropped if self._log_writer else 0
 
     def _get_fence(self):
+        """Return the current :class:`Fence`, which a reload of the settings replaces.
+
+        It contains the addresses that this VM must not call, to simulate a network
+        partition.
+        """
         return self._fence
 
     def renew_incarnation(self):
@@ -233,12 +239,9 @@
         """Fetch the configuration and VM list of a peer if its versions are newer."""
         await self.configuration.fetch_if_newer(host, version, vm_serial)
 
-    def retry_budget(self, service):
-        """Return the :class:`RetryBudget` of a service, created on first use.
-
-        :param service: name of the service.
-        """
-        return self._retry_budgets.setdefault(service, RetryBudget())
+    def retry_budget(self, service_name):
+        """Return the :class:`RetryBudget` of a service, created on first use."""
+        return self._retry_budgets.setdefault(service_name, RetryBudget())
 
     def apply_configuration(self, text):
         """Apply a new version of the configuration."""
@@ -269,7 +272,7 @@
         entries = {entry.name: entry for entry in self._available_vms(domain)}
         homes = {
             entry.name: entry
-            for entry in self.directory.assigned_homes(
+            for entry in self.vm_directory.assigned_homes(
                 domain, self.text.placement, service
             )
         }
@@ -279,11 +282,11 @@
 
     async def record_outcome(self, ticket, key, outcome):
         """Store an outcome in the table in the background."""
-        await spawn(self.claims.record, ticket, key, outcome, daemon=True)
+        await spawn(self.claim_table.record, ticket, key, outcome, daemon=True)
 
     def request_shutdown(self):
         """Begin a graceful shutdown."""
-        self._leave_requested = True
+        self._is_shutdown_requested = True
 
     async def serve(self):
         """Run the daemon until a graceful shutdown has finished."""
@@ -303,7 +306,7 @@
                 )
         await self.links.close()
         await self.pool.close()
-        seconds = round(self._clock.now() - self._left_at, 3)
+        seconds = round(self._clock.now() - self._shutdown_began_at, 3)
         self._journal.write(Event.VM_STOPPED, seconds=seconds)
 
     def _loops(self):
@@ -316,7 +319,7 @@
             self.lease_holder.run,
             self.admission.run,
             self.health.run,
-            self.claims.run,
+            self.claim_table.run,
             self.sweeper.run,
         )
 
@@ -338,10 +341,10 @@
 
     async def _shut_down(self):
         """Wait for a shutdown request, then finish the requests in progress."""
-        while not self._leave_requested:
+        while not self._is_shutdown_requested:
             await self._apply_own_drain()
             await sleep(CHECK_INTERVAL_SECONDS)
-        self._left_at = self._clock.now()
+        self._shutdown_began_at = self._clock.now()
         self._journal.write(
             Event.VM_LEAVING,
             connections=self._listeners.connections,
@@ -367,9 +370,9 @@
             await self.membership.rejoin()
 
     def _available_vms(self, domain):
-        """Return the VMs of a failure domain that are not known to leave or be dead."""
+        """Return the VMs of a domain that are not known to be leaving or dead."""
         if domain != self._settings.failure_domain:
-            return self.directory.available_in(domain)
+            return self.vm_directory.available_in(domain)
         return [
             VmEntry(member.vm, member.host, domain, False)
             for member in self.membership.members.values()
