--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -93,7 +93,10 @@
         return may_read_more
 
     async def _switch_stream(self):
-        """Switch to the stream of the next request; return whether there is one."""
+        """Prepare to read the next request.
+
+        Return ``False`` if the connection has to be closed.
+        """
         if not self._stream.is_request_complete:
             await self._linger()
             return False
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -125,7 +125,7 @@
     rows = [[row.key, row.value, row.version] for row in snapshot.rows]
     fields = [
         snapshot.version,
-        snapshot.last_change_version,
+        snapshot.last_significant_version,
         rows,
         snapshot.remaining_use_seconds,
         snapshot.is_whole,
@@ -142,8 +142,10 @@
         packed = zlib.decompress(body)
     except zlib.error as error:
         raise ValueError(f"not compressed: {error}") from None
-    version, last_change_version, rows, remaining_use_seconds, is_whole = (
+    version, last_significant_version, rows, remaining_use_seconds, is_whole = (
         msgpack.unpackb(packed)
     )
     rows = [StoreRow(*fields) for fields in rows]
-    return Snapshot(version, rows, last_change_version, remaining_use_seconds, is_whole)
+    return Snapshot(
+        version, rows, last_significant_version, remaining_use_seconds, is_whole
+    )
--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -44,7 +44,7 @@
     def wait_estimate(self, service, call=None):
         """Return the :class:`WaitEstimate` at the targets of a service.
 
-        ``None`` if no target of the service has a slot in service.
+        ``None`` if no target of the service has a usable slot.
 
         :param call: the request to be queued; ``None`` for any new request.
         """
@@ -60,7 +60,7 @@
         )
 
     def expected_wait_seconds(self, call):
-        """Return the expected wait, or ``None`` if no slot is in service."""
+        """Return the expected wait, or ``None`` if no slot is usable."""
         estimate = self.wait_estimate(call.service, call)
         hold_seconds = self._queue(call.service).mean_hold_seconds
         return estimate and estimate.for_call(call, self._clock.now(), hold_seconds)
@@ -124,7 +124,7 @@
     def is_wait_too_long(self, call):
         """Return whether the request would get a slot too late.
 
-        Too late is after it stops waiting, or never because no slot is in service.
+        Too late is after it stops waiting. Also ``True`` if no slot is usable.
         """
         wait = self.expected_wait_seconds(call)
         return (
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -65,7 +65,7 @@
 
     def _rebuild(self):
         self._is_stale = False
-        owners = self._members.owners()
+        owners = self._members.owner_candidates()
         previous, self._assignments = self._assignments, {}
         self._previous_owners, self._owners_by_target = self._owners_by_target, {}
         for failure_domain, services in self._group_targets().items():
--- a/src/heathercleat/steering/process/capacity/region_shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -2,8 +2,8 @@
 
 #: Length of a window in seconds.
 WINDOW_SECONDS = 1.0
-#: Change allowed per window, as a share of the change allowed within two seconds; low,
-#: since the windows of the VMs of a region are not aligned.
+#: Fraction of the two-second limit that one window may use; windows are not aligned, so
+#: several can overlap a period of two seconds.
 STEP_SHARE = 0.35
 #: Minimum number of requests in a window from which a share is computed.
 MIN_REQUESTS = 10
@@ -29,7 +29,10 @@
 
     @property
     def share(self):
-        """Return the share of requests to other regions in the last full window."""
+        """Return the share of requests to other regions.
+
+        This is the share in the last window with enough requests; 0 before it.
+        """
         return self._last_share or 0.0
 
     def record(self, moved):
@@ -50,7 +53,10 @@
         return self._moved + 1 <= limit * max(self._total + 1, MIN_REQUESTS)
 
     def must_move(self):
-        """Return whether requests should go to other regions, to shift back slowly."""
+        """Return whether the next request has to go to another region.
+
+        Otherwise the share would fall too fast.
+        """
         self._roll_window()
         if self._last_share is None:
             return False
--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -6,34 +6,39 @@
 
 #: Weight of the newest response in the moving averages.
 WEIGHT = 0.05
-#: Maximum number of responses of affinity targets to remember for each route, and the
-#: number of new responses after which the time for a known object is computed again.
+#: Maximum number of responses of affinity targets to remember for each route.
 MAX_SAMPLES = 100
-RECOMPUTE_INTERVAL = 20
+#: Number of new responses after which the time for a known object is computed again.
+RECOMPUTE_AFTER_RESPONSES = 20
 #: Quantile of the remembered response times that is used as the time for a known
-#: object; low, since most of the first requests are for new objects, which take longer.
+#: object; low, since after a start most requests are for new objects, which take
+#: longer.
 KNOWN_OBJECT_QUANTILE = 0.1
 
 
 class ResponseTimes:
     """Mean seconds from sending a request to its complete response, by route.
 
-    Requests take less time at their affinity targets, which know the object.
+    Requests take less time at their affinity targets, which cache the object of the
+    request.
     """
 
     def __init__(self):
         self._means = {}
         self._affinity_means = {}
         self._other_means = {}
-        self._known_times = {}
+        self._known_object_times = {}
 
     def record(self, route, seconds, is_affinity_target):
         """Record the time of one response.
 
-        :param is_affinity_target: whether it is an affinity target of the request.
+        :param is_affinity_target: whether the target that responded is an affinity
+            target of the request.
         """
         if is_affinity_target:
-            self._known_times.setdefault(route, _KnownObjectTime()).record(seconds)
+            self._known_object_times.setdefault(route, _KnownObjectTime()).record(
+                seconds
+            )
         means = self._affinity_means if is_affinity_target else self._other_means
         update_moving_average(self._means, route, seconds, WEIGHT)
         update_moving_average(means, route, seconds, WEIGHT)
@@ -51,7 +56,7 @@
 
         ``None`` until enough responses are recorded.
         """
-        known = self._known_times.get(route)
+        known = self._known_object_times.get(route)
         return known.seconds if known else None
 
     def at_other_target(self, route):
@@ -73,7 +78,10 @@
         """Record the time of one response of an affinity target."""
         self._latest.append(seconds)
         self._new_count += 1
-        if len(self._latest) == MAX_SAMPLES and self._new_count >= RECOMPUTE_INTERVAL:
+        if (
+            len(self._latest) == MAX_SAMPLES
+            and self._new_count >= RECOMPUTE_AFTER_RESPONSES
+        ):
             self._new_count = 0
             self.seconds = sorted(self._latest)[
                 int(KNOWN_OBJECT_QUANTILE * MAX_SAMPLES)
--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -57,7 +57,7 @@
         clients treat an empty result as a failed lookup.
         """
         serving = self._members.strong_serving()
-        candidates = serving or self._members.leaving()
+        candidates = serving or self._members.strong_leaving()
         in_region = [each for each in candidates if each.region == region]
         in_domain = [
             each for each in in_region if each.failure_domain == failure_domain
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -67,7 +67,7 @@
         """Return whether another leaving VM of the region should own the targets."""
         own = self._members.own
         in_region = [
-            each for each in self._members.leaving() if each.region == own.region
+            each for each in self._members.strong_leaving() if each.region == own.region
         ]
         if self._is_time_short(now) and any(map(self._stops_later, in_region)):
             return True
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -11,14 +11,16 @@
 
 #: Listen backlog, large enough for all clients of a failed VM reconnecting at once.
 BACKLOG = 1024
-MAX_ENDPOINT_REQUEST_BYTES = 1 << 16
+#: Maximum size of readiness checks, lookups and metrics scrapes.
+MAX_PLATFORM_REQUEST_BYTES = 1 << 16
 
 
 class Listeners:
     """Accepts clients, other VMs, readiness checks, lookups and metrics scrapes.
 
     :param node: the :class:`SteeringNode` that client connections use.
-    :param local: the :class:`LocalDispatcher` for requests forwarded by other VMs.
+    :param local_dispatcher: the :class:`LocalDispatcher` for requests that other VMs
+        forward.
     :param snapshot: returns the :class:`Snapshot` of a followed table.
     :param directory: the :class:`Directory` for lookups.
     :param metrics: the :class:`SteeringMetrics`.
@@ -29,7 +31,7 @@
         self,
         node,
         settings,
-        local,
+        local_dispatcher,
         snapshot,
         directory,
         metrics,
@@ -39,7 +41,7 @@
     ):
         self._node = node
         self._settings = settings
-        self._local = local
+        self._local_dispatcher = local_dispatcher
         self._snapshot = snapshot
         self._directory = directory
         self._metrics = metrics
@@ -55,9 +57,10 @@
         return any(connection.is_busy for connection in self._clients)
 
     async def cancel_requests_before_ready_responses(self):
-        """Cancel the unfinished requests that precede ready responses of a connection.
+        """On each connection, cancel pipelined requests that block ready responses.
 
-        The ready responses can then be sent before the process exits.
+        These requests are unfinished while the response to a later one is ready. That
+        response can then be sent before the process exits.
         """
         for connection in list(self._clients):
             await connection.cancel_requests_before_ready_responses()
@@ -84,9 +87,9 @@
         """Yield each listening address and its connection handler."""
         settings = self._settings
         yield settings.front, self._serve_client
-        yield settings.ready, self._serve_endpoint
+        yield settings.ready, self._serve_platform
         if str(settings.directory) != str(settings.ready):
-            yield settings.directory, self._serve_endpoint
+            yield settings.directory, self._serve_platform
         yield settings.internal_address(settings.forward_port), self._serve_forwarded
         if self._metrics_port is not None:
             yield settings.internal_address(self._metrics_port), self._serve_metrics
@@ -103,7 +106,11 @@
 
     async def _serve_forwarded(self, sock, address):
         connection = ForwardedConnection(
-            sock, self._local, self._node.active_requests, self._snapshot, self._clock
+            sock,
+            self._local_dispatcher,
+            self._node.active_requests,
+            self._snapshot,
+            self._clock,
         )
         await self._serve_logging_errors(connection)
 
@@ -116,14 +123,14 @@
                 Event.TASK_FAILED, task=type(connection).__name__, reason=repr(error)
             )
 
-    async def _serve_endpoint(self, sock, address):
+    async def _serve_platform(self, sock, address):
         async def handle(message):
             return handle_platform_request(
                 message, lambda: self._node.is_ready, self._directory.lookup
             )
 
         await serve_requests(
-            HttpStream(sock, h11.SERVER), handle, MAX_ENDPOINT_REQUEST_BYTES
+            HttpStream(sock, h11.SERVER), handle, MAX_PLATFORM_REQUEST_BYTES
         )
 
     async def _serve_metrics(self, sock, address):
@@ -131,7 +138,7 @@
             return Message(body=self._metrics.render())
 
         await serve_requests(
-            HttpStream(sock, h11.SERVER), handle, MAX_ENDPOINT_REQUEST_BYTES
+            HttpStream(sock, h11.SERVER), handle, MAX_PLATFORM_REQUEST_BYTES
         )
 
 
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -12,10 +12,12 @@
 class Stage(IntEnum):
     """Lifecycle stage of a VM; the numbers are part of the wire format.
 
+    A VM that shuts down is first leaving, then finishing; both count as stopping.
+
     :cvar STARTING: has not loaded its tables and accepts no clients.
     :cvar SERVING: accepts clients, and owns targets if it is strong enough.
-    :cvar LEAVING: is shutting down and serves its remaining clients; owns targets only
-        if no VM is serving.
+    :cvar LEAVING: is shutting down and serves its remaining clients; may own targets
+        only if no VM is serving.
     :cvar FINISHING: is shutting down and owns no targets.
     """
 
@@ -29,7 +31,8 @@
     """The state of one VM, as known to this VM.
 
     :param incarnation: identifies the process; a restarted VM has a higher one.
-    :param stamp: version of the updates of the VM; the highest one wins.
+    :param stamp: version of the VM's state, increased by each update; the highest one
+        wins.
     :param reported_alive: whether the update with that stamp reports the VM as live.
     :param dead_at: instant from which a reported death is accepted, or ``None``.
     :param stage: its :class:`Stage`.
@@ -100,7 +103,7 @@
 
     @property
     def is_stopping(self):
-        """Return whether the VM is shutting down."""
+        """Return whether the VM is shutting down: leaving or finishing."""
         return self.stage >= Stage.LEAVING
 
     @property
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -6,8 +6,8 @@
 from heathercleat.steering.process.membership.topology import Topology
 from heathercleat.version.hashing import rendezvous_weight
 
-#: Seconds between two checks from which this process counts as having been paused;
-#: longer than the longest interval between two rounds of heartbeats.
+#: If two checks are this many seconds apart or more, the process was paused. Longer
+#: than the longest interval between two rounds of heartbeats.
 PAUSE_SECONDS = 1.5
 #: Seconds within which a VM can refute a report of its death.
 REFUTE_SECONDS = 0.5
@@ -28,8 +28,13 @@
     """All known VMs, including this one.
 
     A VM monitored by this one is live while its heartbeats arrive. For other VMs the
-    update with the highest stamp decides. A VM refutes its own death with a higher
-    stamp, as in the SWIM protocol.
+    update with the highest stamp decides; the stamp is the version of a VM's state,
+    increased by each update. A VM refutes its own death with a higher stamp, as in the
+    SWIM protocol.
+
+    The strength of a VM is its capacity in cores, limited by its CPU and its link. Of
+    the VMs of a region, those with at least :data:`STRONG_SHARE` of the highest
+    strength are strong. If these have too little strength together, all are strong.
 
     :param settings: the :class:`NodeSettings` of this VM.
     :param incarnation: see :class:`Member`; also the first stamp of this VM.
@@ -48,9 +53,9 @@
         self._members = {settings.vm: self._own}
         self._live = {}
         self._strong_serving = None
-        self._leaving = None
+        self._strong_leaving = None
         self._request_handling_vms = None
-        self._owners = []
+        self._owner_candidates = []
         self._is_topology_stale = False
         self._digest = None
         self._checked_at = clock.now()
@@ -97,7 +102,7 @@
         return [member for member in self._live.values() if member.is_serving]
 
     def serving_or_stopping(self):
-        """Return the live VMs that may have clients: serving or shutting down."""
+        """Return the live VMs that may have clients: serving, leaving or finishing."""
         return [
             each for each in self._live.values() if each.is_serving or each.is_stopping
         ]
@@ -111,24 +116,24 @@
             self._strong_serving = list(_find_strong(self.serving()))
         return self._strong_serving
 
-    def leaving(self):
-        """Return the strong VMs among the leaving ones.
+    def strong_leaving(self):
+        """Return the strong VMs in the leaving stage.
 
         They own targets if no VM is serving.
         """
-        if self._leaving is None:
+        if self._strong_leaving is None:
             live = self._live.values()
             leaving = [each for each in live if each.stage == Stage.LEAVING]
-            self._leaving = list(_find_strong(leaving))
-        return self._leaving
+            self._strong_leaving = list(_find_strong(leaving))
+        return self._strong_leaving
 
-    def owners(self):
-        """Return the VMs that own targets.
+    def owner_candidates(self):
+        """Return the VMs that may own targets.
 
         These are the strong serving VMs or, if there are none, the strong leaving ones,
         so that requests can still be handled.
         """
-        return self.strong_serving() or self.leaving()
+        return self.strong_serving() or self.strong_leaving()
 
     def request_handling_vms(self):
         """Return the VMs that handle requests.
@@ -175,7 +180,7 @@
         """Set whether this VM's calls to the store fail."""
         if self._own.store_lost != store_lost:
             self._own.store_lost = store_lost
-            self._queue_own_update()
+            self._queue_newer_own_update()
 
     def updates_to_send(self, interval):
         """Return the fields of each :class:`MemberUpdate` to pass on.
@@ -242,8 +247,9 @@
         self._queue_update(member)
         now = self._clock.now()
         member.dead_at = None if update.live else now + REFUTE_SECONDS
-        # Recent heartbeats override reports of a death. Reports that the VM is live
-        # originate from itself, and are newer than its heartbeats here.
+        # Recent heartbeats override reports of a death. A report with a higher stamp
+        # that a VM is live comes from the VM itself, and was sent after the heartbeats
+        # received here.
         if not update.live and member.has_recent_heartbeat(now):
             return
         changed = self._changes_membership(member, update)
@@ -294,11 +300,11 @@
             return
         self._own.set_stage(stage, self._clock.now())
         self.update_live()
-        self._queue_own_update()
+        self._queue_newer_own_update()
         self._membership_changed()
 
     def _find_request_handling_vms(self):
-        """Return the strong serving VMs and the strong ones that are shutting down."""
+        """Return the strong serving VMs and the strong leaving or finishing ones."""
         strong = _find_strong(self.serving_or_stopping())
         stopping = (each for each in strong if each.is_stopping)
         return [*self.strong_serving(), *stopping]
@@ -346,16 +352,17 @@
             self.pending_updates.add(member.vm)
 
     def _refute(self, update):
-        """Refute a wrong update of this VM, with a higher stamp."""
+        """Refute a wrong update about this VM by sending one with a higher stamp."""
         if update.stamp < self._own.stamp:
             return
-        own = make_update(self._own)
-        own.stamp = update.stamp
-        if own.fields() != update.fields():
+        own_update = make_update(self._own)
+        own_update.stamp = update.stamp
+        if own_update.fields() != update.fields():
             self._own.stamp = update.stamp
-            self._queue_own_update()
+            self._queue_newer_own_update()
 
-    def _queue_own_update(self):
+    def _queue_newer_own_update(self):
+        """Increment the stamp of this VM and queue an update with it."""
         self._own.stamp += 1
         self._queue_update(self._own)
 
@@ -395,7 +402,7 @@
             member.unreachable_until = now + UNREACHABLE_SECONDS
             # The exit of a stopping VM does not indicate a failure of the domain.
             if not member.is_stopping:
-                self.topology.suspect(member.failure_domain)
+                self.topology.extend_monitoring(member.failure_domain)
             member.reported_alive = False
             member.stamp += 1
             self._queue_update(member)
@@ -423,12 +430,12 @@
 
     def _membership_changed(self):
         """Invalidate what depends on the live VMs; run callbacks for new owners."""
-        self._strong_serving = self._leaving = self._request_handling_vms = None
+        self._strong_serving = self._strong_leaving = self._request_handling_vms = None
         self._is_topology_stale = True
-        owners = [(each.vm, each.ip) for each in self.owners()]
-        if owners == self._owners:
+        owner_candidates = [(each.vm, each.ip) for each in self.owner_candidates()]
+        if owner_candidates == self._owner_candidates:
             return
-        self._owners = owners
+        self._owner_candidates = owner_candidates
         for callback in self._on_change:
             callback()
 
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -24,8 +24,8 @@
 #: Additional VMs of a failure domain that are monitored after one of its VMs became
 #: silent, to detect quickly that a whole domain or region is lost.
 EXTRA_MONITORED_IN_DOMAIN = 30
-#: Seconds for which these additional VMs are monitored.
-SUSPECT_SECONDS = 4.0
+#: Seconds for which these additional VMs are monitored after the last such failure.
+EXTRA_MONITORING_SECONDS = 4.0
 #: Seconds for which VMs still exchange updates after the fleet became small enough for
 #: a full mesh.
 UPDATES_SECONDS = 3.0
@@ -41,7 +41,7 @@
         self._own = own
         self._clock = clock
         self._monitored_since = {}
-        self._suspected_until = {}
+        self._extra_monitoring_until = {}
         self._is_mesh = True
         self._mesh_since = DISTANT_PAST
 
@@ -70,15 +70,15 @@
         """Return the instant since which a VM is monitored, or ``None``."""
         return self._monitored_since.get(vm)
 
-    def suspect(self, failure_domain):
-        """Monitor more VMs of a failure domain from the next update."""
-        until = self._clock.now() + SUSPECT_SECONDS
-        self._suspected_until[failure_domain] = until
+    def extend_monitoring(self, failure_domain):
+        """Monitor additional VMs of a failure domain, from the next update."""
+        until = self._clock.now() + EXTRA_MONITORING_SECONDS
+        self._extra_monitoring_until[failure_domain] = until
 
     def is_outdated(self):
-        """Return whether a suspicion expired since the last update."""
+        """Return whether additional monitoring ended since the last update."""
         now = self._clock.now()
-        return any(until <= now for until in self._suspected_until.values())
+        return any(until <= now for until in self._extra_monitoring_until.values())
 
     def update(self, live, request_handling_vms):
         """Select the monitored VMs after a membership change.
@@ -89,9 +89,9 @@
         others = [each for each in request_handling_vms if each is not self._own]
         self._set_mesh(len(others) < MAX_MESH_SIZE and len(live) < MAX_MESH_LIVE)
         now = self._clock.now()
-        self._suspected_until = {
+        self._extra_monitoring_until = {
             domain: until
-            for domain, until in self._suspected_until.items()
+            for domain, until in self._extra_monitoring_until.items()
             if until > now
         }
         handles_requests = self._own in request_handling_vms
@@ -119,9 +119,9 @@
         )
         yield from nlargest(count_in_region, in_region, key=self._weight)
         yield from nlargest(count_outside, outside, key=self._weight)
-        for domain in self._suspected_until:
-            suspects = [each for each in others if each.failure_domain == domain]
-            yield from nlargest(EXTRA_MONITORED_IN_DOMAIN, suspects, key=self._weight)
+        for domain in self._extra_monitoring_until:
+            in_domain = [each for each in others if each.failure_domain == domain]
+            yield from nlargest(EXTRA_MONITORED_IN_DOMAIN, in_domain, key=self._weight)
 
     def _weight(self, member):
         """Return a hash weight that is the same for both VMs of a pair."""
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -450,7 +450,7 @@
             before=self._routing_table.version if self._routing_table else None,
         )
         self._routing_table = routing_table
-        self.shutdown.runs.retain({route.name for route in routing_table.routes})
+        self.shutdown.run_times.retain({route.name for route in routing_table.routes})
         self._splitters = {}
         self._update_serving()
 
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -16,11 +16,13 @@
     """The fields of a stored quarantine; instants are epoch seconds.
 
     :param until: end of the quarantine.
-    :param ends: the crashed targets; see :attr:`TargetEntry.incarnation_id`.
+    :param ends: ids of the crashed incarnations of targets; see
+        :attr:`TargetEntry.incarnation_id`.
     :param route: name of the request's route, or ``None``.
     :param service: name of the service that ran the request, or ``None``.
     :param vm: name of the VM that wrote the row, or ``None``.
-    :param since: instant at which that VM learned of the last crash, or ``None``.
+    :param since: instant at which that VM learned of the last crash, not the start of
+        the quarantine; or ``None``.
     """
 
     __slots__ = ("until", "ends", "route", "service", "vm", "since")
@@ -90,6 +92,7 @@
     if remaining < -ROW_RETENTION_SECONDS:
         return None
     remaining = min(max(0.0, remaining), QUARANTINE_SECONDS)
+    # `ends` are the crashed incarnations of targets.
     return SuspectUpdate.of([store_row.key, remaining, quarantine.ends, []])
 
 
--- a/src/heathercleat/steering/process/quarantine/table.py
+++ b/src/heathercleat/steering/process/quarantine/table.py
@@ -1,8 +1,8 @@
-"""Quarantines in the platform's store.
+"""Stored quarantines of requests that crash targets.
 
-VMs learn of suspects by heartbeats. The table keeps quarantines when all VMs restart,
-and reaches VMs that get no heartbeats. A few reader VMs follow the table and gossip its
-contents.
+VMs learn of such requests by heartbeats. The table, in the platform's store, keeps
+quarantines when all VMs restart, and reaches VMs that get no heartbeats. A few reader
+VMs follow the table and gossip its contents.
 """
 
 from collections import deque
@@ -23,15 +23,16 @@
 LONG_POLL_SECONDS = 25.0
 #: Seconds between checks whether this VM is a reader, and before the first one.
 READER_CHECK_SECONDS = 1.0
-#: Delay of a retry after a failed call, and interval between two writes, in seconds.
+#: Seconds until a failed call is retried.
 RETRY_SECONDS = 2.0
-WRITE_SECONDS = 1.0
+#: Seconds between two writes.
+WRITE_INTERVAL_SECONDS = 1.0
 #: Maximum number of quarantines queued for writing; the oldest is dropped.
 MAX_PENDING_WRITES = 256
 
 
 class QuarantineTable:
-    """Writes the quarantines that this VM detected, and reads all of them.
+    """Writes the quarantines that this VM detected, and reads those of all VMs.
 
     :param suspects: the :class:`Suspects`.
     :param read_store: a :class:`Store` for reading, one call at a time.
@@ -69,7 +70,7 @@
     async def write(self):
         """Write queued quarantines until cancelled."""
         while True:
-            await sleep(WRITE_SECONDS)
+            await sleep(WRITE_INTERVAL_SECONDS)
             if self._pending and not await self._write_next():
                 await sleep(RETRY_SECONDS)
 
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -136,11 +136,11 @@
 
 
 def _stop_fields(estimate):
-    """Return the log fields of a :class:`StopEstimate`, or of ``None``."""
+    """Return the log fields of a :class:`CompletionEstimate`, or of ``None``."""
     if estimate is None:
         return {}
     return {
-        "taken_after": round(estimate.after, 3),
+        "taken_after": round(estimate.seconds_since_stop, 3),
         "taken_needing": round(estimate.needed, 3),
-        "taken_knowing": estimate.runs,
+        "taken_knowing": estimate.sample_count,
     }
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -6,7 +6,7 @@
 
 #: A deadline that never passes.
 NO_DEADLINE = float("inf")
-#: Seconds before the platform kills the process at which the process exits.
+#: The process exits this many seconds before the platform kills it.
 KILL_MARGIN_SECONDS = 0.35
 #: Seconds before the exit from which ready responses are sent without waiting for
 #: earlier requests of their connection; long enough for a round trip.
@@ -22,35 +22,36 @@
 LEAVING_REASON = "the VM is leaving"
 
 
-class StopEstimate:
-    """Estimate for a request that arrived during a shutdown.
+class CompletionEstimate:
+    """How long a request may still take during a shutdown.
 
-    :param after: seconds since the stop signal.
+    :param seconds_since_stop: seconds from the stop signal to the estimate.
     :param needed: upper bound of the seconds that the request needs.
-    :param runs: number of past runs from which that bound was computed.
+    :param sample_count: number of past runs from which that bound was computed.
     """
 
-    __slots__ = ("after", "needed", "runs")
+    __slots__ = ("seconds_since_stop", "needed", "sample_count")
 
-    def __init__(self, after, needed, runs):
-        self.after = after
+    def __init__(self, seconds_since_stop, needed, sample_count):
+        self.seconds_since_stop = seconds_since_stop
         self.needed = needed
-        self.runs = runs
+        self.sample_count = sample_count
 
 
 class Shutdown:
     """The deadlines of this process after a stop signal.
 
-    A request is sent to a target only if it will complete before the process exits:
-    because its deadline is earlier, or, if it arrived while connections were kept open,
-    because of the bound on the run time of its route.
+    A request is sent to a target only if it will complete before the process exits.
+    This is known if its deadline is before the exit. For a request that arrived while
+    connections were kept open, it is also known if the bound on its route's run time
+    ends before the exit.
 
-    :param runs: the :class:`RunTimes`.
+    :param run_times: the :class:`RunTimes`.
     :param others_serve: returns whether another VM serves clients.
     """
 
-    def __init__(self, runs, others_serve):
-        self._runs = runs
+    def __init__(self, run_times, others_serve):
+        self._run_times = run_times
         self._others_serve = others_serve
         self._began_at = None
         self._keep_alive_until = NO_DEADLINE
@@ -58,9 +59,9 @@
         self._ends_at = NO_DEADLINE
 
     @property
-    def runs(self):
+    def run_times(self):
         """Return the :class:`RunTimes`."""
-        return self._runs
+        return self._run_times
 
     @property
     def keep_alive_until(self):
@@ -90,9 +91,9 @@
         :param grace: seconds from now until the platform kills the process.
         """
         self._began_at = now
-        most = MARGIN_SHARE * grace
-        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, most)
-        self._flush_at = self._ends_at - min(FLUSH_SECONDS, most)
+        max_margin = MARGIN_SHARE * grace
+        self._ends_at = now + grace - min(KILL_MARGIN_SECONDS, max_margin)
+        self._flush_at = self._ends_at - min(FLUSH_SECONDS, max_margin)
         self._keep_alive_until = min(now + KEEP_ALIVE_SECONDS, self.flush_at)
 
     def elapsed(self, now):
@@ -123,7 +124,7 @@
             return NO_DEADLINE
         if call.arrived_at >= self._keep_alive_until:
             return -NO_DEADLINE
-        return self.flush_at - self._runs.bound(call)
+        return self.flush_at - self._run_times.bound(call)
 
     def is_time_short(self, route, now):
         """Return whether the time left no longer suffices for requests of a route.
@@ -132,13 +133,18 @@
 
         :param route: a :class:`Route`.
         """
-        needed = min(route.timeout, self._runs.longest_bound(route.name))
+        needed = min(route.timeout, self._run_times.longest_bound(route.name))
         whole = self.flush_at - self._began_at
         return needed <= whole and now + needed > self.flush_at
 
     def estimate(self, call, now):
-        """Return the :class:`StopEstimate` of a request; ``None`` before the stop."""
+        """Return the :class:`CompletionEstimate` of a request.
+
+        ``None`` before the stop signal.
+        """
         if self._began_at is None:
             return None
-        needed = min(call.deadline - now, self._runs.bound(call))
-        return StopEstimate(self.elapsed(now), needed, self._runs.sample_count(call))
+        needed = min(call.deadline - now, self._run_times.bound(call))
+        return CompletionEstimate(
+            self.elapsed(now), needed, self._run_times.sample_count(call)
+        )
--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -112,9 +112,9 @@
         self._yields_until = 0.0
 
     @property
-    def last_change_version(self):
+    def last_significant_version(self):
         """Return the store version of the last significant change."""
-        return self._copy.last_change_version
+        return self._copy.last_significant_version
 
     @property
     def announced_change_version(self):
@@ -125,10 +125,10 @@
         it after :data:`SETTLE_SECONDS`, in case no other VM can.
         """
         if (
-            self._announced_change_version < self.last_change_version
+            self._announced_change_version < self.last_significant_version
             and self._announces_first_read()
         ):
-            self._announced_change_version = self.last_change_version
+            self._announced_change_version = self.last_significant_version
         return self._announced_change_version
 
     @property
@@ -201,7 +201,7 @@
 
     def _update_behind_since(self):
         """Record since when another VM has a newer change; return whether one does."""
-        if self._newest_announced_version() <= self.last_change_version:
+        if self._newest_announced_version() <= self.last_significant_version:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = self._clock.now()
@@ -245,14 +245,14 @@
             self._yields_until = self._clock.now() + SETTLE_SECONDS
             return
         self._apply_changes(changes)
-        self._announced_change_version = self.last_change_version
+        self._announced_change_version = self.last_significant_version
 
     async def _fetch_from_peer(self):
         if not self._update_behind_since():
             return
         try:
             snapshot = await self._fetch_newer(
-                self.last_change_version, self._behind_since
+                self.last_significant_version, self._behind_since
             )
         except PeerError as error:
             self._journal.write(
@@ -261,12 +261,12 @@
             return
         if (
             snapshot is not None
-            and snapshot.last_change_version > self.last_change_version
+            and snapshot.last_significant_version > self.last_significant_version
         ):
             self._journal.write(
                 Event.STATE_FROM_PEER,
                 table=self._table,
-                version=snapshot.last_change_version,
+                version=snapshot.last_significant_version,
             )
             self._apply_from_peer(snapshot)
 
@@ -291,7 +291,7 @@
         if is_first:
             self._first_read_at = self._clock.now()
         else:
-            self._announced_change_version = self.last_change_version
+            self._announced_change_version = self.last_significant_version
 
     def _apply_changes(self, snapshot):
         """Apply changed rows from the store."""
@@ -307,8 +307,8 @@
             self._apply(snapshot)
         self._is_loaded = True
         keys = [row.key for row in snapshot.rows]
-        self._copy.record_changes(keys, snapshot.last_change_version)
-        self._announced_change_version = self.last_change_version
+        self._copy.record_changes(keys, snapshot.last_significant_version)
+        self._announced_change_version = self.last_significant_version
 
     def _record_failure(self, error, began_at, is_total):
         if self._outage is None:
--- a/src/heathercleat/steering/process/store/protocol.py
+++ b/src/heathercleat/steering/process/store/protocol.py
@@ -22,7 +22,7 @@
     """All rows of a table, or the rows that changed since some version.
 
     :param version: the version of the table that the snapshot reflects.
-    :param last_change_version: the version of the last significant change.
+    :param last_significant_version: the version of the last significant change.
     :param remaining_use_seconds: seconds for which the sending VM still uses removed
         rows, by key; ``None`` if the snapshot is from the store.
     :param is_whole: whether it has all rows of the table.
@@ -31,7 +31,7 @@
     __slots__ = (
         "version",
         "rows",
-        "last_change_version",
+        "last_significant_version",
         "remaining_use_seconds",
         "is_whole",
     )
@@ -40,14 +40,14 @@
         self,
         version,
         rows,
-        last_change_version=None,
+        last_significant_version=None,
         remaining_use_seconds=None,
         is_whole=True,
     ):
         self.version = version
         self.rows = rows
-        self.last_change_version = (
-            version if last_change_version is None else last_change_version
+        self.last_significant_version = (
+            version if last_significant_version is None else last_significant_version
         )
         self.remaining_use_seconds = remaining_use_seconds
         self.is_whole = is_whole
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -31,15 +31,17 @@
 class TableCopy:
     """The rows of a table as of one version of the store.
 
-    The copy contains only rows that the store returned. VMs fetch copies from each
-    other, so a removed row that one VM kept would reappear at VMs that already applied
-    its removal, and stay there.
+    Removed rows are dropped at once. If one VM kept such a row, VMs that fetch its copy
+    would add the row again and keep it.
+
+    A change to a row is significant if it affects steering, as decided by the code that
+    applies the rows. VMs announce only significant changes to each other.
     """
 
     __slots__ = (
         "_rows",
         "_version",
-        "_last_change_version",
+        "_last_significant_version",
         "_change_versions",
         "_removals",
         "_removals_since",
@@ -49,9 +51,10 @@
     def __init__(self):
         self._rows = {}
         self._version = 0
-        self._last_change_version = 0
-        # By key: version of the last significant change, and of the removal.
+        self._last_significant_version = 0
+        # By key: version of the last significant change of the row.
         self._change_versions = {}
+        # By key: version of the removal of the row.
         self._removals = {}
         # Version since which all removals are remembered.
         self._removals_since = 0
@@ -63,9 +66,9 @@
         return self._version
 
     @property
-    def last_change_version(self):
+    def last_significant_version(self):
         """Return the store version of the last significant change."""
-        return self._last_change_version
+        return self._last_significant_version
 
     @property
     def rows(self):
@@ -78,8 +81,8 @@
         A snapshot is older if a newer one arrived from another VM during the call.
         """
         if snapshot.version < self._version:
-            self._last_change_version = max(
-                self._last_change_version, snapshot.last_change_version
+            self._last_significant_version = max(
+                self._last_significant_version, snapshot.last_significant_version
             )
             return False
         if self._version:
@@ -97,29 +100,31 @@
     def merge_changes(self, snapshot):
         """Merge changed rows; return a :class:`Snapshot` of those that were new.
 
-        The table is read in pages, so known rows may be newer than its version. Older
-        changes must not overwrite them.
+        A whole table is read in pages, so known rows may be newer than the version of
+        its snapshot. Older changes must not overwrite them.
         """
         new_rows = [each for each in snapshot.rows if self._merge_row(each)]
         self._version = max(self._version, snapshot.version)
         return Snapshot(
             self._version,
             new_rows,
-            snapshot.last_change_version,
+            snapshot.last_significant_version,
             snapshot.remaining_use_seconds,
             is_whole=False,
         )
 
     def record_changes(self, keys, version):
-        """Record significant changes to the rows with some keys.
+        """Record that the rows with these keys changed significantly.
 
         :param version: the version of the table's last significant change.
         """
-        self._last_change_version = max(self._last_change_version, version)
+        self._last_significant_version = max(self._last_significant_version, version)
         for key in keys:
             row = self._rows.get(key)
             if row is not None:
-                self._change_versions[key] = min(row.version, self._last_change_version)
+                self._change_versions[key] = min(
+                    row.version, self._last_significant_version
+                )
 
     def changes_since(self, version, remaining_use_seconds):
         """Return a :class:`Snapshot` of the significant changes since a version.
@@ -133,7 +138,7 @@
             return Snapshot(
                 self._version,
                 self.rows,
-                self._last_change_version,
+                self._last_significant_version,
                 remaining_use_seconds,
             )
         rows = [
@@ -149,7 +154,7 @@
         return Snapshot(
             self._version,
             rows,
-            self._last_change_version,
+            self._last_significant_version,
             remaining_use_seconds,
             is_whole=False,
         )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -72,8 +72,8 @@
     :param attempt_log: one line of text for each attempt, for the log.
     :param destination: the :class:`Destination` of the current attempt, or ``None``.
     :param attempt_started_at: when the current attempt began.
-    :param stop_estimate: the :class:`StopEstimate` made when a leaving VM accepted the
-        request, or ``None``.
+    :param stop_estimate: the :class:`CompletionEstimate` made when a leaving VM
+        accepted the request, or ``None``.
     """
 
     __slots__ = (
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -14,7 +14,7 @@
 from heathercleat.steering.request.exchange import MAX_RESPONSE_BYTES
 from heathercleat.steering.version.routing import RequestKind
 
-#: Headers with the order and the result of a forwarded request, packed as hexadecimal.
+#: Headers with the metadata and the result of a forwarded request, in hexadecimal.
 ORDER_HEADER = b"heathercleat-order"
 RESULT_HEADER = b"heathercleat-result"
 #: Seconds to connect to a VM of the same region.
@@ -26,7 +26,25 @@
 class ForwardOrder:
     """Metadata that a forwarded request carries to the owner; durations in seconds.
 
-    The order of the slots is the wire format.
+    The fields are sent in the sequence of ``__slots__``.
+
+    :param id: request id.
+    :param fingerprint: see :attr:`Call.fingerprint`.
+    :param service: name of the service that runs the request.
+    :param route: name of the route.
+    :param kind: value of the route's :class:`RequestKind`.
+    :param priority: see :attr:`Route.priority`.
+    :param regions: see :attr:`Route.regions`.
+    :param affinity: affinity key of the requested object, or ``None``.
+    :param returned: whether the request is a client's retry.
+    :param preferred: ids of the affinity targets, best first.
+    :param avoid: ids of targets to exclude.
+    :param remaining: seconds until the deadline.
+    :param aim_in: seconds until the soft deadline.
+    :param wait_for: seconds for which this attempt may wait for a slot.
+    :param patience: seconds until ``give_up_at``.
+    :param home_for: seconds for which only the affinity targets may run the request.
+    :param send_for: seconds until ``send_deadline``.
     """
 
     __slots__ = (
@@ -55,11 +73,11 @@
 
     @classmethod
     def from_call(cls, call, preferred, avoid, wait_until, round_trip, now):
-        """Return the order for a call.
+        """Return the metadata of a request that is forwarded now.
 
-        :param wait_until: when to stop waiting for a slot.
+        :param wait_until: when this attempt stops waiting for a slot.
         :param round_trip: the round-trip time to the owner in seconds, which is
-            subtracted from the latency objective and the send deadline.
+            subtracted from the times until the soft deadline and the send deadline.
         """
         return cls(
             call.id,
@@ -163,7 +181,7 @@
 
         :param preferred: ids of the affinity targets, best first.
         :param avoid: ids of targets to exclude.
-        :param wait_until: when to stop waiting for a slot.
+        :param wait_until: when this attempt stops waiting for a slot.
         :param round_trip: the mean round-trip time to the VM in seconds.
         """
         now = self._clock.now()
--- a/src/heathercleat/steering/request/local.py
+++ b/src/heathercleat/steering/request/local.py
@@ -132,7 +132,7 @@
             StreamInterrupter(stream) if call.route.kind.is_idempotent else None
         )
         try:
-            with self._shutdown.runs.track(call) as run:
+            with self._shutdown.run_times.track(call) as run:
                 result = await exchange.run()
                 run.record(result)
         except BaseException:
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -131,7 +131,7 @@
         attempt = steering._dispatcher.run(call, destination, self._avoid, wait_until)
         if steering._dispatcher.is_local(destination):
             return await attempt
-        with steering._shutdown.runs.track(call) as run:
+        with steering._shutdown.run_times.track(call) as run:
             result = await attempt
             run.record(result)
             return result
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -117,7 +117,7 @@
 def test_request_of_a_route_with_few_runs_is_not_accepted_by_estimate(runs):
     stop = PlannedStop()
     for _ in range(runs):
-        record_run(stop.shutdown.runs, stop.clock, call(stop.clock), 0.001)
+        record_run(stop.shutdown.run_times, stop.clock, call(stop.clock), 0.001)
     assert stop.is_too_late(0.0, deadline=LAST_RESPONSE_SECONDS + 0.1)
 
 
@@ -136,7 +136,7 @@
 
 def test_runs_in_progress_count_before_they_end():
     stop = PlannedStop(0.3)
-    with stop.shutdown.runs.track(call(stop.clock)):
+    with stop.shutdown.run_times.track(call(stop.clock)):
         stop.clock.time += 3.3
         stop.shutdown.begin(stop.clock.now(), GRACE_SECONDS)
         assert stop.is_too_late(1.4)
@@ -153,7 +153,7 @@
 )
 def test_long_runs_without_a_response_count_and_waits_do_not(outcome, too_late):
     stop = PlannedStop(0.3)
-    with stop.shutdown.runs.track(call(stop.clock)) as active_run:
+    with stop.shutdown.run_times.track(call(stop.clock)) as active_run:
         stop.clock.time += 5.0
         active_run.record(ended(outcome))
     stop.shutdown.begin(stop.clock.now(), GRACE_SECONDS)
@@ -163,7 +163,7 @@
 def test_quick_failures_do_not_displace_long_runs():
     stop = PlannedStop(4.2)
     for _ in range(MAX_SAMPLES):
-        record_run(stop.shutdown.runs, stop.clock, call(stop.clock), 0.005, 500)
+        record_run(stop.shutdown.run_times, stop.clock, call(stop.clock), 0.005, 500)
     stop.shutdown.begin(stop.clock.now(), GRACE_SECONDS)
     assert stop.is_too_late(0.5)
 
@@ -212,12 +212,12 @@
 def test_waiting_request_is_refused_when_it_can_no_longer_be_finished():
     scene = Scene([no_slot(), answered()])
     for _ in range(MIN_RUNS):
-        record_run(scene.shutdown.runs, scene.parts.clock, scene.call(), 0.2)
+        record_run(scene.shutdown.run_times, scene.parts.clock, scene.call(), 0.2)
     request = scene.call()
     now = scene.parts.clock.now()
     request.deadline = now + DISTANT_SECONDS
     request.is_client_retry = True
-    needed = scene.shutdown.runs.bound(request)
+    needed = scene.shutdown.run_times.bound(request)
     scene.shutdown.begin(now, grace_for(needed + 0.02))
     with pytest.raises(RequestError) as caught:
         scene.run(request)
@@ -229,11 +229,11 @@
 def test_request_is_not_retried_when_it_can_no_longer_be_finished(first):
     scene = Scene([first, answered()])
     for _ in range(MIN_RUNS):
-        record_run(scene.shutdown.runs, scene.parts.clock, scene.call(), 0.2)
+        record_run(scene.shutdown.run_times, scene.parts.clock, scene.call(), 0.2)
     request = scene.call()
     now = scene.parts.clock.now()
     request.deadline = now + DISTANT_SECONDS
-    needed = scene.shutdown.runs.bound(request)
+    needed = scene.shutdown.run_times.bound(request)
     scene.shutdown.begin(now, grace_for(needed + 0.005))
     if first.response:
         assert scene.run(request).status == 500
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -93,7 +93,7 @@
             PAUSE_SECONDS,
             self._apply,
             self._relay,
-            lambda: self.peer.last_change_version if self.peer else 1 << 62,
+            lambda: self.peer.last_significant_version if self.peer else 1 << 62,
             lambda: self.reader,
             lambda: self.is_answered_elsewhere,
             lambda: self.lapsing,
@@ -110,7 +110,7 @@
     async def _relay(self, version, since):
         if self.peer is None:
             raise PeerError("nobody answers")
-        return self.peer if self.peer.last_change_version > version else None
+        return self.peer if self.peer.last_significant_version > version else None
 
     @property
     def keys(self):
@@ -138,7 +138,7 @@
         lambda: harness.store.put("b", b"2"), lambda: harness.store.put("a", None)
     )
     assert harness.keys == ["b"]
-    assert harness.follower.last_change_version == harness.store.version
+    assert harness.follower.last_significant_version == harness.store.version
 
 
 def test_table_is_read_again_when_the_history_is_lost():
@@ -166,7 +166,7 @@
 
     harness.run_steps(make_silent, change_elsewhere)
     assert harness.keys == ["b"]
-    assert harness.follower.last_change_version == 9
+    assert harness.follower.last_significant_version == 9
 
 
 def test_end_of_an_outage_is_reported():
@@ -229,7 +229,7 @@
     harness.store.down = True
     harness.run_steps()
     assert harness.keys == ["p"]
-    assert harness.follower.last_change_version == 9
+    assert harness.follower.last_significant_version == 9
 
 
 def test_vm_that_is_no_reader_makes_no_calls_after_the_first():
@@ -240,7 +240,7 @@
 
 def test_vm_that_is_no_reader_takes_the_table_of_a_peer():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
-    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_change_version=7)
+    newer = Snapshot(12, [StoreRow("p", b"1", 7)], last_significant_version=7)
     harness.run_steps(lambda: setattr(harness, "peer", newer))
     assert harness.keys == ["p"]
     assert harness.store.calls == 1
@@ -261,7 +261,7 @@
         lambda: setattr(harness, "is_significant", False),
         lambda: harness.store.put("a", b"2"),
     )
-    assert harness.follower.last_change_version == 1
+    assert harness.follower.last_significant_version == 1
     assert harness.follower.snapshot().version == 2
 
 
@@ -365,7 +365,7 @@
     harness.store.put("a", b"1")
     harness.run_steps()
     assert (
-        harness.follower.last_change_version,
+        harness.follower.last_significant_version,
         harness.follower.announced_change_version,
     ) == (1, 0)
 
@@ -393,7 +393,7 @@
 
     versions = []
     harness.run_steps(
-        lambda: versions.append(harness.follower.last_change_version), change
+        lambda: versions.append(harness.follower.last_significant_version), change
     )
     delta = harness.follower.snapshot(versions[0])
     assert not delta.is_whole
@@ -439,7 +439,7 @@
     other.record_changes(["t1"], 3)
     reader.replace_all(Snapshot(4, [], 4))
     reader.record_changes(["t1"], 4)
-    delta = reader.changes_since(other.last_change_version, {})
+    delta = reader.changes_since(other.last_significant_version, {})
     assert delta.is_whole
     other.replace_all(delta)
     assert other.rows == []
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -38,7 +38,7 @@
             changed = self.registry.replace(
                 _entries(snapshot.rows), snapshot.remaining_use_seconds
             )
-            self.copy.record_changes(changed, snapshot.last_change_version)
+            self.copy.record_changes(changed, snapshot.last_significant_version)
 
     def merge_changes(self, snapshot):
         changed = self._update(self.copy.merge_changes(snapshot))
@@ -51,7 +51,7 @@
         else:
             self._update(self.copy.merge_changes(snapshot))
         keys = [row.key for row in snapshot.rows]
-        self.copy.record_changes(keys, snapshot.last_change_version)
+        self.copy.record_changes(keys, snapshot.last_significant_version)
 
     def _update(self, snapshot):
         removed = [row.key for row in snapshot.rows if row.value is None]
@@ -120,8 +120,11 @@
     )
     def relay(self, source, receiver, whole):
         source, receiver = self.vms[source], self.vms[receiver]
-        if source.copy.last_change_version > receiver.copy.last_change_version:
-            after = 0 if whole else receiver.copy.last_change_version
+        if (
+            source.copy.last_significant_version
+            > receiver.copy.last_significant_version
+        ):
+            after = 0 if whole else receiver.copy.last_significant_version
             receiver.apply_relayed(source.snapshot(after))
 
     @rule()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -12,7 +12,7 @@
 def test_table_survives_a_round_trip_between_vms():
     rows = [StoreRow("a", '{"slots": 3}', 4), StoreRow("b", None, 7)]
     state = unpack_state(pack_state(Snapshot(9, rows, 7, {"c": 1.5})))
-    assert (state.version, state.last_change_version) == (9, 7)
+    assert (state.version, state.last_significant_version) == (9, 7)
     assert state.remaining_use_seconds == {"c": 1.5}
     assert [(row.key, row.value, row.version) for row in state.rows] == [
         ("a", '{"slots": 3}', 4),
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -383,14 +383,14 @@
     Mutation(
         "MEMBERS-refutation",
         f"{STEERING}/process/membership/members.py",
-        "        if own.fields() != update.fields():",
+        "        if own_update.fields() != update.fields():",
         "        if False:",
         "tests/test_membership.py",
     ),
     Mutation(
         "MEMBERS-suspicion",
         f"{STEERING}/process/membership/members.py",
-        "            self.topology.suspect(member.failure_domain)",
+        "            self.topology.extend_monitoring(member.failure_domain)",
         "            pass",
         "tests/test_membership.py",
         "-k",
@@ -503,7 +503,7 @@
     Mutation(
         "SIZE-owners-recomputed",
         f"{STEERING}/process/membership/members.py",
-        "        if owners == self._owners:\n",
+        "        if owner_candidates == self._owner_candidates:\n",
         "        if False:\n",
         "tests/test_membership.py",
         "-k",
@@ -512,7 +512,7 @@
     Mutation(
         "HANDOVER-last-owners",
         f"{STEERING}/process/membership/members.py",
-        "        return self.strong_serving() or self.leaving()\n",
+        "        return self.strong_serving() or self.strong_leaving()\n",
         "        return self.strong_serving()\n",
         "tests/test_handing_over.py",
         "-k",
@@ -521,7 +521,7 @@
     Mutation(
         "HANDOVER-lookups",
         f"{STEERING}/process/directory.py",
-        "        candidates = serving or self._members.leaving()\n",
+        "        candidates = serving or self._members.strong_leaving()\n",
         "        candidates = serving\n",
         "tests/test_handing_over.py",
         "-k",
@@ -672,7 +672,7 @@
         "SIZE-first-read-announced",
         f"{STEERING}/process/store/follower.py",
         "        return self._announced_change_version\n",
-        "        return self.last_change_version\n",
+        "        return self.last_significant_version\n",
         "tests/test_follower.py",
         "-k",
         "not_announced",
