--- a/src/heathercleat/steering/request/__init__.py
+++ b/src/heathercleat/steering/request/__init__.py
@@ -1,1 +1,1 @@
-"""Objects with the lifetime of one request."""
+"""Handling of single requests: destinations, attempts, retries and crash limits."""
--- a/src/heathercleat/steering/request/affinity.py
+++ b/src/heathercleat/steering/request/affinity.py
@@ -1,8 +1,8 @@
 """Selects the affinity target for an object by rendezvous hashing over all regions.
 
 A target responds faster to requests for objects in its cache. Hashing over all regions
-gives each target its share of the objects, wherever the callers are, and objects are
-not cached in every region.
+gives each target its share of the objects, wherever the clients are, and avoids caching
+each object in every region.
 """
 
 from heathercleat.steering.request.wait_policy import RESPONSE_TIME_FACTOR
--- a/src/heathercleat/steering/request/attempt_result.py
+++ b/src/heathercleat/steering/request/attempt_result.py
@@ -6,14 +6,16 @@
 class TargetResponseHead:
     """Parsed headers of a target's response.
 
-    :param signed: whether the target itself has signed the response.
+    :param request_id: id of the request that the response is for, or ``None``.
+    :param is_signed: whether the target itself has signed the response.
     :param reports_not_run: whether the target reports that it has not run the request.
-    :param replaced: whether another incarnation responded at the target's address.
+    :param is_other_incarnation: whether another incarnation responded at the target's
+        address.
     :param status_implies_not_run: whether the status implies that the request has not
         run.
-    :param encoded: whether a content encoding was applied to the body.
-    :param running: number of requests running at the target, or ``None``.
-    :param waiting: number of requests queued at the target, or ``None``.
+    :param is_encoded: whether a content encoding was applied to the body.
+    :param running_count: number of requests running at the target, or ``None``.
+    :param waiting_count: number of requests queued at the target, or ``None``.
     :param keep_alive_seconds: keep-alive timeout of the connection, or ``None``.
     """
 
@@ -56,13 +58,12 @@
 NO_SLOT_IN_TIME_REASON = "no slot in time"
 #: Reason of an unsent attempt: the client disconnected.
 CLIENT_LEFT_REASON = "client left"
-#: Reason of an attempt during or before which the deadline passed.
+#: Reason of an attempt that was not sent or not completed before the deadline.
 DEADLINE_REASON = "deadline"
 #: Reason of an unsent attempt: the request crashed targets; see :class:`Suspects`.
 QUARANTINED_REASON = "quarantined"
 
-
-_SERVER_ERROR = 500
+_FIRST_SERVER_ERROR_STATUS = 500
 
 
 class AttemptOutcome(Enum):
@@ -130,5 +131,5 @@
         """Return whether a target responded without a server error."""
         return (
             self.outcome is AttemptOutcome.ANSWERED
-            and self.response.status < _SERVER_ERROR
+            and self.response.status < _FIRST_SERVER_ERROR_STATUS
         )
--- a/src/heathercleat/steering/request/call.py
+++ b/src/heathercleat/steering/request/call.py
@@ -46,7 +46,7 @@
 class Call:
     """One request; instants are those of ``Clock.now()``.
 
-    :param path: the request target as bytes, unchanged.
+    :param path: the path with the query, as received, as bytes.
     :param headers: the end-to-end headers, pairs of bytes.
     :param route: the matched :class:`Route`; a :class:`ForwardedRoute` at the owner.
     :param service: name of the service that runs the request.
@@ -65,8 +65,8 @@
         :mod:`heathercleat.steering.request.fingerprint`.
     :param sender: digest of the sender's credentials, or ``None`` if there are none or
         they were not needed; see :mod:`heathercleat.steering.request.fingerprint`.
-    :param groups: keys of the groups that share the blame for a crash, or ``None``
-        before they are determined; see :class:`CrashLimits`.
+    :param groups: keys of the groups against which a crash on the request counts, or
+        ``None`` before they are determined; see :class:`CrashLimits`.
     :param needs_isolation: whether the request may crash its target and should run on
         a target without other requests.
     :param attempt_log: one line of text for each attempt, for the log.
--- a/src/heathercleat/steering/request/crash_limits.py
+++ b/src/heathercleat/steering/request/crash_limits.py
@@ -1,11 +1,11 @@
 """Limits on requests that crash targets.
 
-Crashes are counted per request, per sender, and for all unknown senders of a route
-together. Quarantine of single requests does not stop a caller that varies its request,
-so a crash is also counted against groups: the sender, and all unknown senders of a
-service and route. A request that has had a complete response belongs to no group, and a
-sender that has had one is known. A complete response removes all crashes counted
-against the sender so far, but only one of those counted against the unknown senders.
+Quarantine of single requests does not stop a client that varies its requests. A crash
+is therefore counted not only against the request but also against its groups: the
+sender, and all unknown senders of a service and route together. A request that has had
+a complete response belongs to no group, and a sender that has had one is known. A
+complete response removes all crashes counted against the sender so far, but only one of
+those counted against the unknown senders.
 """
 
 from heathercleat.codes import ResultCode
@@ -58,9 +58,9 @@
     def check_or_start_trial(self, call):
         """Return the :class:`RequestError` with which to refuse a request, or ``None``.
 
-        Called before each attempt until one may have run. Also sets the groups of the
-        call and whether it needs isolation. Once a limited group is no longer refused,
-        the request becomes its trial, unless another request already is.
+        Called before each attempt until the request may have run. Also sets the groups
+        of the call and whether it needs isolation. Once a limited group is no longer
+        refused, the request becomes its trial, unless another request already is.
         """
         if call.groups is None:
             call.groups = self._find_groups(call)
@@ -76,14 +76,14 @@
         )
         if retry_at is None:
             return None
-        message = f"targets ended under requests of {', '.join(call.groups)}"
+        message = f"targets crashed on requests of {', '.join(call.groups)}"
         return RequestError(ResultCode.GROUP_LIMITED, message, retry_at=retry_at)
 
     def error_after_owner_refusal(self, call):
         """Return the :class:`RequestError` to send when the owner refused the request.
 
-        The owner may know of a crash that this VM has not received by gossip yet; the
-        error then assumes a whole quarantine.
+        The owner may know of a crash that this VM has not received by gossip yet. The
+        client is then asked to retry after the duration of a whole quarantine.
         """
         retry_at = self._suspects.refused_until(call.fingerprint)
         return _quarantine_error(
@@ -176,5 +176,5 @@
 
 
 def _quarantine_error(call, retry_at):
-    message = f"targets ended under the request {call.fingerprint}"
+    message = f"targets crashed on the request {call.fingerprint}"
     return RequestError(ResultCode.QUARANTINED, message, retry_at=retry_at)
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -201,7 +201,7 @@
             _describe("elsewhere", eligible.other_region_targets, eligible.now)
         )
         wait = self._reported_wait(eligible)
-        parts.append("no wait known" if wait is None else f"wait {wait:.3f} s")
+        parts.append("wait unknown" if wait is None else f"wait {wait:.3f} s")
         return "; ".join(parts)
 
     def _eligible_targets(self, call, avoid=frozenset(), avoid_vms=frozenset()):
@@ -363,4 +363,4 @@
     targets = sum(each.targets for each in summaries)
     healthy = sum(each.healthy for each in summaries)
     free = sum(each.free for each in summaries)
-    return f"{name} {targets} targets, {healthy} sound, {free} free"
+    return f"{name} {targets} targets, {healthy} healthy, {free} free"
--- a/src/heathercleat/steering/request/dispatch.py
+++ b/src/heathercleat/steering/request/dispatch.py
@@ -64,8 +64,8 @@
             capacity.release()
         return result
 
-    def record_full_queue(self, call, destination, wait):
-        """Record that another VM had no free slot.
+    def record_busy_owner(self, call, destination, wait):
+        """Record that the owner of a destination had no free slot.
 
         :param wait: its estimated wait in seconds, or ``None``.
         """
--- a/src/heathercleat/steering/request/eligibility.py
+++ b/src/heathercleat/steering/request/eligibility.py
@@ -1,6 +1,6 @@
 """Targets that one request may use."""
 
-#: Affinity targets for one object in a region; each one has to cache the object first.
+#: Affinity targets of one object in a region; each further one must also cache it.
 AFFINITY_TARGETS_PER_REGION = 1
 
 
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -28,8 +28,8 @@
     def wait(self, owner, call):
         """Return how long a request would wait for a slot at an owner.
 
-        The wait is ``None`` if the owner has no target in service, and 0 if the owner
-        does not report to this VM.
+        The wait is ``None`` if the owner has no usable slot, and 0 if the owner does
+        not report to this VM.
         """
         if owner == self._members.own.vm:
             return self._admission.expected_wait_seconds(call)
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -34,7 +34,7 @@
         self._call = call
         self._entry = entry
         self._clock = clock
-        self._events = []
+        self._request_events = []
         self._head = None
         self._is_sent = False
         self._connection_lost = False
@@ -70,13 +70,13 @@
             return AttemptResult(outcome, target=target, reason=repr(error))
 
     async def _exchange(self):
-        self._events = list(self._build_request())
+        self._request_events = list(self._build_request())
         self._is_sent = True
-        await self._stream.send(*self._events)
+        await self._stream.send(*self._request_events)
         for _ in range(MAX_STALE_RESPONSES):
             if await self._read_response():
                 return
-        raise EOFError("only answers to other requests")
+        raise EOFError("only responses to other requests")
 
     def _build_request(self):
         call = self._call
@@ -95,13 +95,13 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
         if not isinstance(event, h11.Response):
-            raise EOFError("closed before the answer")
+            raise EOFError("connection closed before the response")
         headers = list(event.headers)
         check_framing(headers, ResultCode.BAD_ANSWER)
         head = parse_response_head(event.status_code, headers)
         body = await read_body(self._stream, MAX_RESPONSE_BYTES)
         if head.request_id is not None and head.request_id != self._call.id:
-            self._stream.reset_for_response(self._events)
+            self._stream.reset_for_response(self._request_events)
             return False
         self._head = head
         response_headers = [
@@ -119,10 +119,10 @@
         if response.status < _FIRST_ERROR_STATUS and (
             not head.is_signed or head.is_encoded
         ):
-            reason = f"{response.status} without the target's own body"
+            reason = f"{response.status} in an unsigned or encoded response"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         if head.status_implies_not_run:
             # A client would conclude from the status that the request has not run.
-            reason = f"{response.status} without saying that it has not run"
+            reason = f"{response.status} without a report that the request has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         return AttemptResult(AttemptOutcome.ANSWERED, response, target)
--- a/src/heathercleat/steering/request/fingerprint.py
+++ b/src/heathercleat/steering/request/fingerprint.py
@@ -12,7 +12,7 @@
 def fingerprint(method, path, headers, body):
     """Return a hexadecimal digest, equal for all retries of a request.
 
-    :param path: the request target with its query, as bytes.
+    :param path: the path with the query, as bytes.
     :param headers: pairs of bytes, names in lower case.
     """
     joined = _join_parts([method, path, *_digest_header_values(headers)])
--- a/src/heathercleat/steering/request/forward.py
+++ b/src/heathercleat/steering/request/forward.py
@@ -236,7 +236,7 @@
         await stream.send(*events, h11.EndOfMessage())
         head = await stream.next_event()
         if not isinstance(head, h11.Response):
-            raise EOFError("closed before the answer")
+            raise EOFError("connection closed before the response")
         body = await read_body(stream, MAX_RESPONSE_BYTES)
         return _read_result(head, body)
 
@@ -246,7 +246,7 @@
     headers = [each for each in head.headers if each[0] != b"content-length"]
     packed = next((value for name, value in headers if name == RESULT_HEADER), None)
     if packed is None:
-        raise ValueError(f"status {head.status_code} without a result")
+        raise ValueError(f"status {head.status_code} without the result header")
     fields = msgpack.unpackb(bytes.fromhex(packed.decode()))
     outcome, target, response_time, wait, reason, crashed_incarnation = fields
     response_headers = [each for each in headers if each[0] != RESULT_HEADER]
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -21,7 +21,7 @@
 #: Longest wait in seconds at a target with a reported free slot; the report may be out
 #: of date.
 STALE_REPORT_WAIT_SECONDS = 0.03
-#: The same after the request's ``give_up_at``: a network hop in a region.
+#: The same after the request's ``give_up_at``; covers a network hop in the region.
 LAST_WAIT_SECONDS = 0.005
 #: Longest wait in seconds for a slot in another region.
 MAX_REMOTE_WAIT_SECONDS = 0.15
@@ -243,7 +243,7 @@
             self._avoid.add(result.target)
         if result.outcome is AttemptOutcome.NOT_SENT:
             if result.reason == QUARANTINED_REASON:
-                return self._end_refused_by_owner()
+                return self._finish_after_owner_refusal()
             self._process_unsent(destination, result, wait_until)
             return None
         self._sent_count += 1
@@ -266,8 +266,9 @@
     def _describe(self, destination, result):
         """Return an attempt as text for the log.
 
-        The fields are owner, target, home or other, outcome, response time and time
-        since the request arrived, both in seconds, and the reason if there is one.
+        The fields are owner, target, ``home`` for a preferred target or else ``other``,
+        outcome, response time and time since the request arrived, both in seconds, and
+        the reason if there is one.
         """
         kind = "home" if result.target in destination.preferred else "other"
         response_time = (
@@ -301,7 +302,7 @@
             return
         if result.wait is None and result.reason != "no free slot":
             self._avoid_vms.add(destination.vm)
-        dispatcher.record_full_queue(self._call, destination, result.wait)
+        dispatcher.record_busy_owner(self._call, destination, result.wait)
 
     def _record_response_time(self, destination, result):
         if result.response_time is not None and not self._steering._dispatcher.is_local(
@@ -326,15 +327,12 @@
         return self._steering._clock.now() + response_time < call.deadline
 
     def _raise_if_refused(self):
-        """Raise a :class:`RequestError` if the request is refused.
-
-        It is refused because it, or a group that it belongs to, crashed targets.
-        """
+        """Raise a :class:`RequestError` if crashes limit the request or its groups."""
         refusal = self._steering._crash_limits.check_or_start_trial(self._call)
         if refusal is not None:
             raise refusal
 
-    def _end_refused_by_owner(self):
+    def _finish_after_owner_refusal(self):
         """Return the last failed response, or raise the final error."""
         if self._run_count:
             return self._give_up()
@@ -350,12 +348,12 @@
         if self._failed_response is not None:
             return self._failed_response
         if self._run_count:
-            message = f"no whole answer: {self._last_reason}"
+            message = f"no complete response: {self._last_reason}"
             raise RequestError(ResultCode.ANSWER_LOST, message)
         if not self._sent_count:
             self._steering._loss_rates.record_refusal(self._call.service)
         retry_at = self._retry_at()
-        reason = self._last_reason or "no free slot within reach"
+        reason = self._last_reason or "no usable target has a free slot"
         reason = f"{reason} ({self._steering._destinations.describe(self._call)})"
         raise RequestError(ResultCode.NO_ROOM, reason, retry_at=retry_at)
 
--- a/src/heathercleat/steering/request/wait_policy.py
+++ b/src/heathercleat/steering/request/wait_policy.py
@@ -2,10 +2,10 @@
 
 A request waits while a response before its deadline is still possible. A request that
 is not expected to get a slot in that time is refused at once; see
-:mod:`.process.capacity.queue`.
+:mod:`heathercleat.steering.process.capacity.queue`.
 """
 
-#: Factor on the mean response time below which most response times are.
+#: Multiple of the mean response time that most responses do not exceed.
 RESPONSE_TIME_FACTOR = 1.25
 #: Minimum share of the timeout that remains when a request stops waiting, so that the
 #: client can retry.
