--- a/src/heathercleat/steering/connection/call_reader.py
+++ b/src/heathercleat/steering/connection/call_reader.py
@@ -43,14 +43,14 @@
         await self._wait_for_start(arrived_at + MAX_START_WAIT_SECONDS)
         client = parse_client_head(headers)
         route = self._match(head, headers)
-        passed_headers = [
+        end_to_end_headers = [
             each for each in end_to_end(headers) if each[0] != b"content-length"
         ]
         call = Call(
             client.request_id or token_hex(REQUEST_ID_BYTES),
             head.method,
             head.target,
-            passed_headers,
+            end_to_end_headers,
             b"",
             route,
             self._node.choose_service(route),
@@ -72,7 +72,7 @@
         call.affinity = client.affinity
         call.client_wait = client.timeout
         call.fingerprint = fingerprint(
-            head.method, head.target, passed_headers, request.body
+            head.method, head.target, end_to_end_headers, request.body
         )
         return call
 
@@ -123,7 +123,7 @@
         if size <= 0:
             return
         if not self._node.body_memory.reserve(size):
-            message = f"no memory for a body of {size} bytes beside the others"
+            message = f"not enough memory left for a body of {size} bytes"
             retry_at = self._clock.now() + DEFAULT_RETRY_SECONDS
             raise RequestError(ResultCode.NO_ROOM, message, retry_at)
         request.reserved_bytes += size
--- a/src/heathercleat/steering/connection/client.py
+++ b/src/heathercleat/steering/connection/client.py
@@ -140,7 +140,7 @@
             except CancelledError:
                 if not request.is_cancelled:
                     raise
-                message = "the VM stops while the answers behind this one are ready"
+                message = "the VM is stopping and later responses are ready"
                 raise RequestError(ResultCode.ANSWER_LOST, message) from None
 
     async def _read_head(self):
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -21,7 +21,7 @@
 MAX_BODY_BYTES = 256 << 20
 #: The fastest zlib compression level.
 COMPRESSION_LEVEL = 1
-#: Status of a result that carries no response of a target.
+#: Status of responses that do not carry the response of a target.
 _NO_RESPONSE_STATUS = 200
 
 
@@ -54,7 +54,7 @@
         head = await self._stream.next_event()
         if not isinstance(head, h11.Request):
             return False
-        # Durations in the order count from the arrival of its head, not of its body.
+        # Durations in the order count from the arrival of the head, not of the body.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH_PREFIX):
@@ -72,11 +72,11 @@
         headers = list(head.headers)
         packed = next(value for name, value in headers if name == ORDER_HEADER)
         order = ForwardOrder.unpack(packed)
-        passed_headers = [
+        end_to_end_headers = [
             each for each in end_to_end(headers) if each[0] != b"content-length"
         ]
         call = call_from_order(
-            order, head, passed_headers, body, self._stream, arrived_at
+            order, head, end_to_end_headers, body, self._stream, arrived_at
         )
         wait_until = arrived_at + order.wait_for
         # Shutdown waits for watched calls, so the result is sent before the VM stops.
@@ -106,7 +106,7 @@
 def state_path(table, after):
     """Return the path of a request for the changes of a table since a version.
 
-    :param after: the version; see :func:`parse_state_path`.
+    :param after: the version, a number.
     """
     return f"{STATE_PATH_PREFIX.decode()}{table}/{after}"
 
--- a/src/heathercleat/steering/request/steer.py
+++ b/src/heathercleat/steering/request/steer.py
@@ -327,7 +327,7 @@
         return self._steering._clock.now() + response_time < call.deadline
 
     def _raise_if_refused(self):
-        """Raise a :class:`RequestError` if crashes limit the request or its groups."""
+        """Raise the :class:`RequestError` of a quarantined or limited request."""
         refusal = self._steering._crash_limits.check_or_start_trial(self._call)
         if refusal is not None:
             raise refusal
--- a/src/heathercleat/steering/version/routing.py
+++ b/src/heathercleat/steering/version/routing.py
@@ -29,7 +29,7 @@
 class Route:
     """Settings for requests of one host and path prefix.
 
-    :param timeout: seconds until the final response at the latest.
+    :param timeout: maximum seconds from arrival to the final response.
     :param latency_objective: seconds after which a response counts as late.
     :param priority: rank of the requests, 0 is the most urgent.
     :param max_attempts: how often a request may run.
@@ -122,7 +122,7 @@
         self.limits = limits
         self._hosts = {}
         for route in routes:
-            self._check(route)
+            self._check_services(route)
             self._hosts.setdefault(route.host, []).append(route)
         for each in self._hosts.values():
             each.sort(key=lambda route: len(route.prefix), reverse=True)
@@ -139,8 +139,8 @@
                 return route
         return None
 
-    def _check(self, route):
+    def _check_services(self, route):
         for share in route.shares:
             if share.service not in self.services:
-                message = f'route "{route.name}" names no service "{share.service}"'
+                message = f'route "{route.name}": unknown service "{share.service}"'
                 raise ValueError(message)
