--- a/src/heathercleat/platform/store.py
+++ b/src/heathercleat/platform/store.py
@@ -105,7 +105,7 @@
         except (TimeoutError, ValueError, *CONNECTION_ERRORS) as error:
             raise PlatformError(f"{method} {path}: {error!r}") from None
         if response.status == 410:
-            raise HistoryLostError(f"{path}: the history is gone")
+            raise HistoryLostError(f"{path}: the store no longer has these changes")
         if response.status != 200:
             raise PlatformError(f"{method} {path}: status {response.status}")
         try:
--- a/src/heathercleat/platform/targets.py
+++ b/src/heathercleat/platform/targets.py
@@ -53,14 +53,16 @@
     except RecursionError:
         raise ValueError("the value is nested too deeply") from None
     if not isinstance(document, dict):
-        raise ValueError(f"the value is {_abbreviate(document)}; it has to be a map")
+        raise ValueError(
+            f"the value is {_abbreviate(document)}; it has to be an object"
+        )
     return document
 
 
 def _target_id(key):
     """Return the id of a target, which has to be a valid header value."""
     if not (key.isascii() and key.isprintable()) or " " in key or not key:
-        raise ValueError(f"the key {_abbreviate(key)} is no id of a target")
+        raise ValueError(f"the key {_abbreviate(key)} is not a valid target id")
     return key
 
 
@@ -74,7 +76,7 @@
     except ValueError:
         number = 0
     if not (port.isdecimal() and 1 <= number <= _MAX_PORT):
-        raise _invalid_field("address", text, "an IPv4 number and a port")
+        raise _invalid_field("address", text, "an IPv4 address and a port")
     return host, number
 
 
@@ -89,7 +91,7 @@
     text = _string(document, "coldRemaining")
     number = parse_duration(text)
     if not (isfinite(number) and number >= 0):
-        raise _invalid_field("coldRemaining", text, "a time of 0 or more")
+        raise _invalid_field("coldRemaining", text, "a duration of 0 or more")
     return number
 
 
@@ -97,7 +99,7 @@
     """Return a field that has to be a non-empty string."""
     value = document.get(name)
     if not isinstance(value, str) or not value:
-        raise _invalid_field(name, value, "a text")
+        raise _invalid_field(name, value, "a non-empty string")
     return value
 
 
@@ -105,7 +107,7 @@
     """Return a field that has to be an integer in a range; booleans are rejected."""
     value = document.get(name)
     if type(value) is not int or not minimum <= value <= maximum:
-        raise _invalid_field(name, value, f"a whole number from {minimum} to {maximum}")
+        raise _invalid_field(name, value, f"an integer from {minimum} to {maximum}")
     return value
 
 
--- a/src/heathercleat/platform/units.py
+++ b/src/heathercleat/platform/units.py
@@ -12,7 +12,7 @@
         return float(text.removesuffix(_MILLISECONDS)) / 1000
     if text.endswith("s"):
         return float(text.removesuffix("s"))
-    raise ValueError(f'"{text}" is not a time; write it like 1500ms or 2.5s')
+    raise ValueError(f'"{text}" is not a duration; write it like 1500ms or 2.5s')
 
 
 def parse_version(text):
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -11,7 +11,8 @@
 
 from heathercleat.version.hashing import rendezvous_weight
 
-_POSITIONS = 1 << 64
+#: Number of possible rendezvous weights.
+_WEIGHT_COUNT = 1 << 64
 
 
 class DrainRamps:
@@ -81,7 +82,7 @@
 @lru_cache(maxsize=65536)
 def ramp_position(caller):
     """Return the position of a caller in all ramps, from 0 to 1."""
-    return rendezvous_weight("ramp", caller) / _POSITIONS
+    return rendezvous_weight("ramp", caller) / _WEIGHT_COUNT
 
 
 def _rising_share(starts_at, ramp_seconds, wall_time):
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -19,7 +19,7 @@
 DEFAULT_CONNECTIONS = 400
 DEFAULT_QUEUE_LIMIT = 64
 DEFAULT_QUEUE_WAIT_MS = 500
-DEFAULT_FD_LATENCY_MS = 1.5
+DEFAULT_DOMAIN_LATENCY_MS = 1.5
 DEFAULT_REGION_LATENCY_MS = 50.0
 
 
@@ -32,7 +32,7 @@
 
 
 class DrainScope(Enum):
-    """What a drain takes out of service."""
+    """What the name in a drain refers to."""
 
     TARGET = "target"
     VM = "vm"
@@ -132,7 +132,7 @@
 
     ``starts_at`` and ``cancelled_at`` are epoch seconds; ``cancelled_at`` is ``None``
     unless the drain was cancelled. A cancelled drain is kept until all callers have
-    returned.
+    moved back.
     """
 
     id: str
@@ -302,7 +302,9 @@
             for region, entry in regions.items()
             for domain in entry["failure_domains"]
         },
-        latency_within_region=latency.get("failure_domains_ms", DEFAULT_FD_LATENCY_MS)
+        latency_within_region=latency.get(
+            "failure_domains_ms", DEFAULT_DOMAIN_LATENCY_MS
+        )
         / 1000,
         latency_between_regions=latency.get("regions_ms", DEFAULT_REGION_LATENCY_MS)
         / 1000,
