--- a/tests/test_configuration_failures.py
+++ b/tests/test_configuration_failures.py
@@ -79,6 +79,7 @@
 
 def test_vm_without_peers_or_platform_refuses_requests(fleet):
     vm = fleet.vms["north-b-1"]
+    fleet.partition_off("north-b", ["north-a", "south-a"])
     fleet.switch_platform(down=True)
     vm.process.kill()
     vm.process.wait()
