--- a/src/heathercleat/steering/process/capacity/response_times.py
+++ b/src/heathercleat/steering/process/capacity/response_times.py
@@ -8,12 +8,12 @@
 WEIGHT = 0.05
 #: Maximum number of responses of affinity targets to remember for each route.
 MAX_SAMPLES = 100
-#: Number of new responses after which the time for a known object is computed again.
+#: Number of new responses after which the time for a cached object is computed again.
 RECOMPUTE_AFTER_RESPONSES = 20
-#: Quantile of the remembered response times that is used as the time for a known
-#: object; low, since after a start most requests are for new objects, which take
-#: longer.
-KNOWN_OBJECT_QUANTILE = 0.1
+#: Quantile of the remembered response times that is used as the time for a cached
+#: object; low, since after a start most requests are for objects that are not cached
+#: yet, which take longer.
+CACHED_OBJECT_QUANTILE = 0.1
 
 
 class ResponseTimes:
@@ -27,7 +27,7 @@
         self._means = {}
         self._affinity_means = {}
         self._other_means = {}
-        self._known_object_times = {}
+        self._cached_object_times = {}
 
     def record(self, route, seconds, is_affinity_target):
         """Record the time of one response.
@@ -36,7 +36,7 @@
             target of the request.
         """
         if is_affinity_target:
-            self._known_object_times.setdefault(route, _KnownObjectTime()).record(
+            self._cached_object_times.setdefault(route, _CachedObjectTime()).record(
                 seconds
             )
         means = self._affinity_means if is_affinity_target else self._other_means
@@ -51,21 +51,21 @@
         """Return the mean at affinity targets, 0 before the first response."""
         return self._affinity_means.get(route, 0.0)
 
-    def at_known_object(self, route):
-        """Return the time for a known object at its affinity target, in seconds.
+    def for_cached_object(self, route):
+        """Return the time for a cached object at its affinity target, in seconds.
 
         ``None`` until enough responses are recorded.
         """
-        known = self._known_object_times.get(route)
-        return known.seconds if known else None
+        cached = self._cached_object_times.get(route)
+        return cached.seconds if cached else None
 
     def at_other_target(self, route):
         """Return the mean at other targets, 0 before the first response."""
         return self._other_means.get(route, 0.0)
 
 
-class _KnownObjectTime:
-    """The time that affinity targets of a route take for known objects."""
+class _CachedObjectTime:
+    """The time that affinity targets of a route take for cached objects."""
 
     __slots__ = ("seconds", "_latest", "_new_count")
 
@@ -84,5 +84,5 @@
         ):
             self._new_count = 0
             self.seconds = sorted(self._latest)[
-                int(KNOWN_OBJECT_QUANTILE * MAX_SAMPLES)
+                int(CACHED_OBJECT_QUANTILE * MAX_SAMPLES)
             ]
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -69,7 +69,7 @@
 
     def cached_response_time(self, route):
         """Return the response time for a cached object, or ``None`` if unknown."""
-        return self._response_times.at_known_object(route.name)
+        return self._response_times.for_cached_object(route.name)
 
     def is_in_time(self, call, owner, is_affinity_target):
         """Return whether a response would be in time if the owner has a free slot."""
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -208,7 +208,7 @@
     Mutation(
         "SHIFT-affinity-targets",
         f"{STEERING}/request/estimates.py",
-        "self._response_times.at_known_object(route.name)",
+        "self._response_times.for_cached_object(route.name)",
         "self._response_times.at_affinity_target(route.name)",
         "tests/test_object_homes.py",
     ),
