--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -122,9 +122,9 @@
             await self.admit_queued(service)
 
     def is_wait_too_long(self, call):
-        """Return whether the request would get a slot too late.
+        """Return whether the request would stop waiting before it gets a slot.
 
-        Too late is after it stops waiting. Also ``True`` if no slot is usable.
+        Also ``True`` if no slot is usable.
         """
         wait = self.expected_wait_seconds(call)
         return (
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -104,7 +104,7 @@
         :param capacities: ``(target id, free slots, limit, slots in use)`` of each
             target that it owns.
         :param waits: ``(service, on time, late)``: expected waits in seconds of a new
-            request, ``None`` if no slot is in service.
+            request, ``None`` if no slot is usable.
         :param losses: ``(service, loss rate)``.
         """
         now = self._clock.now()
@@ -148,11 +148,11 @@
         return self._report(owner).capacities.get(target_id)
 
     def is_known(self, owner):
-        """Return whether an owner recently reported or had no free slot."""
+        """Return whether an owner's last report or refusal is recent enough to use."""
         return self._clock.now() < self._report(owner).valid_until
 
     def wait_estimate(self, owner, service):
-        """Return the :class:`WaitEstimate`, ``None`` if no slot is in service."""
+        """Return the :class:`WaitEstimate`, or ``None`` if no slot is usable."""
         return self._report(owner).wait_estimates.get(service)
 
     def loss_rate(self, owner, service):
--- a/src/heathercleat/steering/process/capacity/crash_detector.py
+++ b/src/heathercleat/steering/process/capacity/crash_detector.py
@@ -4,8 +4,8 @@
 
 from heathercleat.connection.http import with_deadline
 
-#: Timeout of connecting to a target, in seconds; shorter than the first TCP
-#: retransmission, since a retry at another target is faster.
+#: Timeout of connecting to a target, in seconds; shorter than TCP's first
+#: retransmission timeout, since a retry at another target is faster.
 CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds in which a terminating process closes all its sockets; until then it may
 #: still accept a connection.
@@ -20,7 +20,7 @@
     The host refuses connections to a process that has terminated. If the host is
     unreachable, the target does not count as crashed.
 
-    :param pool: connections to targets.
+    :param pool: the connection pool for targets.
     """
 
     def __init__(self, pool, clock):
--- a/src/heathercleat/steering/process/capacity/held_slots.py
+++ b/src/heathercleat/steering/process/capacity/held_slots.py
@@ -38,7 +38,7 @@
         self._clock = clock
         # Target id to the :class:`Hold` of each VM.
         self._holds = {}
-        self._targets = {}
+        self._target_ids_by_vm = {}
         self._incarnations = {}
 
     def record_report(self, vm, held):
@@ -93,7 +93,7 @@
 
     def retain(self, vms):
         """Drop all VMs except these."""
-        for vm in self._targets.keys() - vms:
+        for vm in self._target_ids_by_vm.keys() - vms:
             self._drop(vm)
             del self._incarnations[vm]
 
@@ -107,12 +107,12 @@
         if member is None:
             return
         self._incarnations[vm] = member.incarnation
-        self._targets.setdefault(vm, set()).add(target_id)
+        self._target_ids_by_vm.setdefault(vm, set()).add(target_id)
         self._holds.setdefault(target_id, {})[vm] = hold
 
     def _drop(self, vm):
         """Drop the holds of a VM; return the ids of their targets."""
-        dropped = self._targets.pop(vm, ())
+        dropped = self._target_ids_by_vm.pop(vm, ())
         for target_id in dropped:
             holds = self._holds[target_id]
             del holds[vm]
--- a/src/heathercleat/steering/process/capacity/loss_rates.py
+++ b/src/heathercleat/steering/process/capacity/loss_rates.py
@@ -6,7 +6,7 @@
 #: Weight of the newest request; a single refusal hardly changes the rate.
 WEIGHT = 0.03
 #: Loss of a late response; a refusal counts as 1.
-LATE_LOSS_RATE = 0.8
+LATE_RESPONSE_LOSS = 0.8
 
 
 class LossRates:
@@ -17,7 +17,7 @@
 
     def record_response(self, service, late):
         """Record a request that a target responded to."""
-        self._update(service, LATE_LOSS_RATE if late else 0.0)
+        self._update(service, LATE_RESPONSE_LOSS if late else 0.0)
 
     def record_refusal(self, service):
         """Record a request that was refused for lack of a slot."""
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -65,11 +65,11 @@
 
     def _rebuild(self):
         self._is_stale = False
-        owners = self._members.owner_candidates()
+        owner_candidates = self._members.owner_candidates()
         previous, self._assignments = self._assignments, {}
         self._previous_owners, self._owners_by_target = self._owners_by_target, {}
         for failure_domain, services in self._group_targets().items():
-            candidates = self._candidates(failure_domain, owners)
+            candidates = self._candidates(failure_domain, owner_candidates)
             for service, targets in services.items():
                 key = failure_domain, service
                 assignment = _reuse_or_assign(
@@ -86,18 +86,22 @@
             services.setdefault(entry.service, []).append(entry.id)
         return groups
 
-    def _candidates(self, failure_domain, owners):
-        """Return the VMs that may own targets of a failure domain.
+    def _candidates(self, failure_domain, owner_candidates):
+        """Return the names of the VMs that may own targets of a failure domain.
 
-        These are the VMs of the failure domain or, if there are none, those of its
-        region or, if there are none either, all VMs that own targets.
+        These are the candidates in the failure domain or, if there are none, those in
+        its region or, if there are none either, all candidates.
         """
-        nearby = [each.vm for each in owners if each.failure_domain == failure_domain]
+        nearby = [
+            each.vm
+            for each in owner_candidates
+            if each.failure_domain == failure_domain
+        ]
         if nearby:
             return nearby
         region = self._members.region_of(failure_domain)
-        nearby = [each.vm for each in owners if each.region == region]
-        return nearby or [each.vm for each in owners]
+        nearby = [each.vm for each in owner_candidates if each.region == region]
+        return nearby or [each.vm for each in owner_candidates]
 
 
 def _reuse_or_assign(previous, targets, candidates):
--- a/src/heathercleat/steering/process/capacity/queue.py
+++ b/src/heathercleat/steering/process/capacity/queue.py
@@ -91,10 +91,10 @@
     def sort_key(self, now, hold_seconds, target_id):
         """Return the sort key by which waiters get a slot of a target, lowest first.
 
-        On-time requests come before late ones. On-time requests are ordered by whether
-        they are retries after a refusal, then by priority of the route, preference for
-        the target and latency objective; late requests by priority, preference and
-        deadline.
+        On-time requests come before late ones. Among the on-time requests, retries by
+        clients after a refusal come first; then the order is by priority of the route,
+        preference for the target and latency objective. Late requests are ordered by
+        priority, preference and deadline.
         """
         call = self.call
         preference = self.preference_rank(target_id)
@@ -116,33 +116,36 @@
 class ServiceQueue:
     """The waiters of one service at one VM."""
 
-    __slots__ = ("waiters", "_mean_hold", "_spare_share")
+    __slots__ = ("waiters", "_mean_hold_seconds", "_spare_share")
 
     def __init__(self):
         self.waiters = []
-        self._mean_hold = INITIAL_HOLD_SECONDS
+        self._mean_hold_seconds = INITIAL_HOLD_SECONDS
         self._spare_share = 1.0
 
     @property
     def mean_hold_seconds(self):
         """Return the mean time for which a request holds a slot, in seconds."""
-        return self._mean_hold
+        return self._mean_hold_seconds
 
     def record_hold(self, seconds):
         """Record the time for which a request held a slot, in seconds."""
-        self._mean_hold += HOLD_WEIGHT * (seconds - self._mean_hold)
+        self._mean_hold_seconds += HOLD_WEIGHT * (seconds - self._mean_hold_seconds)
 
     def record_free_slot(self, entry, free, now):
         """Record whether any on-time request can use a released slot."""
         is_wanted = any(
-            each.can_use(entry, free, now) and not each.is_late(now, self._mean_hold)
+            each.can_use(entry, free, now)
+            and not each.is_late(now, self._mean_hold_seconds)
             for each in self.waiters
         )
         self._spare_share += SPARE_WEIGHT * ((not is_wanted) - self._spare_share)
 
     def on_time_count(self, now):
         """Return the number of waiters that can still be on time."""
-        return sum(not each.is_late(now, self._mean_hold) for each in self.waiters)
+        return sum(
+            not each.is_late(now, self._mean_hold_seconds) for each in self.waiters
+        )
 
     def next_for(self, entry, free, now):
         """Return the next waiter for one of the free slots of a target, or ``None``.
@@ -152,19 +155,20 @@
         eligible = [each for each in self.waiters if each.can_use(entry, free, now)]
         return min(
             eligible,
-            key=lambda each: each.sort_key(now, self._mean_hold, entry.id),
+            key=lambda each: each.sort_key(now, self._mean_hold_seconds, entry.id),
             default=None,
         )
 
     def wait_estimate(self, slots, now, late_ahead=None):
         """Return the :class:`WaitEstimate` for one of ``slots`` slots.
 
-        :param late_ahead: late waiters ahead of the new request; ``None`` for all.
+        :param late_ahead: number of late waiters ahead of the request; ``None`` if all
+            of them are.
         """
         on_time_count = self.on_time_count(now)
         if late_ahead is None:
             late_ahead = len(self.waiters) - on_time_count
-        slot_interval = self._mean_hold / slots
+        slot_interval = self._mean_hold_seconds / slots
         on_time_wait = (on_time_count + 1) * slot_interval
         spare_share = max(MIN_SPARE_SHARE, self._spare_share)
         return WaitEstimate(
@@ -175,7 +179,8 @@
         """Return the number of late waiters ahead of a late call."""
         own = _late_sort_key(call)
         return sum(
-            each.is_late(now, self._mean_hold) and _late_sort_key(each.call) < own
+            each.is_late(now, self._mean_hold_seconds)
+            and _late_sort_key(each.call) < own
             for each in self.waiters
         )
 
--- a/src/heathercleat/steering/process/capacity/region_shift.py
+++ b/src/heathercleat/steering/process/capacity/region_shift.py
@@ -31,7 +31,7 @@
     def share(self):
         """Return the share of requests to other regions.
 
-        This is the share in the last window with enough requests; 0 before it.
+        This is the share in the last window with enough requests; 0 if there was none.
         """
         return self._last_share or 0.0
 
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -29,9 +29,9 @@
     """All known targets by id.
 
     A target whose entry disappears during an outage of the store is missing. It may
-    still run, and is used for :data:`MISSING_GRACE_SECONDS` after the outage. Later
-    reports never extend this time. A target whose entry disappears at any other time is
-    removed at once.
+    still run, and is used for :data:`MISSING_GRACE_SECONDS` after the outage, a time
+    that is never extended. A target whose entry disappears at any other time is removed
+    at once.
 
     :param journal: where changes are logged.
     """
@@ -48,8 +48,8 @@
         self._evacuated = frozenset()
         self._missing_deadline = 0.0
         self._is_loaded = False
-        # Whether a first table was read; only later entries are logged one by one.
-        self._is_listed = False
+        # Whether the initial entries are stored; only later ones are logged one by one.
+        self._is_initialized = False
         self._on_change = []
 
     @property
@@ -133,7 +133,7 @@
         return self._apply(entries, removed, remaining_use_seconds)
 
     def _apply(self, entries, removed, remaining_use_seconds):
-        changed = [entry.id for entry in entries if self._store(entry)]
+        changed = [entry.id for entry in entries if self._record_entry(entry)]
         now = self._clock.now()
         for target_id in removed:
             until = self._missing_deadline
@@ -141,8 +141,8 @@
                 until = now + remaining_use_seconds.get(target_id, 0.0)
             if self._record_removal(target_id, until):
                 changed.append(target_id)
-        if changed or not self._is_listed:
-            self._is_listed = True
+        if changed or not self._is_initialized:
+            self._is_initialized = True
             self._rebuild()
         return changed
 
@@ -151,7 +151,7 @@
         now = self._clock.now()
         expired = [each for each, until in self._missing_until.items() if until <= now]
         for target_id in expired:
-            self._remove(target_id, "entry stayed away")
+            self._remove(target_id, "entry still missing")
         if expired:
             self._rebuild()
 
@@ -185,8 +185,8 @@
             self._rebuild()
         return known
 
-    def _store(self, entry):
-        """Store an entry; return whether the change affects steering."""
+    def _record_entry(self, entry):
+        """Record an entry; return whether the change affects steering."""
         before = self._targets.get(entry.id)
         if self._is_outdated(entry, before):
             return False
@@ -200,7 +200,7 @@
             self._cold_until.pop(entry.id, None)
         became_cold = self._record_cold(entry)
         if before is None:
-            if self._is_listed:
+            if self._is_initialized:
                 self._log.log_found(entry)
             return True
         if restarted:
--- a/src/heathercleat/steering/process/capacity/retry_budget.py
+++ b/src/heathercleat/steering/process/capacity/retry_budget.py
@@ -46,7 +46,7 @@
         return True
 
     def refund(self):
-        """Return the last retry, which was not sent."""
+        """Undo the last :meth:`withdraw`, since its retry was not sent."""
         if self._retries:
             self._retries.pop()
 
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -24,7 +24,7 @@
     """Return whether a request may use one of the free slots of a target.
 
     :param entry: the :class:`TargetEntry`.
-    :param preferred: ids of its affinity targets; empty for any target.
+    :param preferred: ids of the request's affinity targets; empty if it has none.
     """
     if not preferred or entry.id in preferred:
         return True
@@ -205,7 +205,7 @@
         return {owner for _, owner, _, _ in self.handed_over_targets()}
 
     def pop_new_owners(self):
-        """Return the names of the VMs that became owners since the last call."""
+        """Return the VMs that took over targets of this VM since the last call."""
         self._refresh()
         popped, self._new_owners = self._new_owners, set()
         return popped
--- a/src/heathercleat/steering/process/capacity/target.py
+++ b/src/heathercleat/steering/process/capacity/target.py
@@ -78,8 +78,8 @@
     def is_older_than(self, other):
         """Return whether the target reported this entry before the other one.
 
-        The versions of the rows do not tell, since the store may write a delayed report
-        after a newer one.
+        The versions of the rows do not show this, since the store may write a delayed
+        report after a newer one.
         """
         if not self.is_same_incarnation(other):
             if self.started_ms is None or other.started_ms is None:
--- a/src/heathercleat/steering/process/capacity/target_log.py
+++ b/src/heathercleat/steering/process/capacity/target_log.py
@@ -58,7 +58,7 @@
         )
 
     def log_outdated(self, previous, entry):
-        """Log that an entry is older than a known one and was ignored."""
+        """Log that an entry is older than a recorded one and was ignored."""
         self._journal.write(
             Event.ENTRY_OUTDATED,
             target=entry.id,
--- a/src/heathercleat/steering/process/capacity/view.py
+++ b/src/heathercleat/steering/process/capacity/view.py
@@ -26,10 +26,10 @@
 
 
 class TargetCapacity(Protocol):
-    """The slots of one target, as known to this VM."""
+    """The slots of one target, counted here or reported by its owner."""
 
     def is_known(self, now):
-        """Return whether the number of free slots is known to this VM."""
+        """Return whether this VM has a valid count of the free slots."""
 
     def free(self, now):
         """Return the number of free slots."""
@@ -62,9 +62,14 @@
 
 
 class RegionSummary:
-    """Sums over the targets of a service in a region whose slots this VM knows.
+    """Sums over the targets of a service in a region.
 
-    :param targets: number of all targets, with known slots or not.
+    Targets without a valid count of free slots are included in ``targets`` only.
+
+    :param targets: number of targets.
+    :param healthy: number of healthy targets, see :meth:`Candidate.is_healthy`.
+    :param slots: number of slots.
+    :param free: number of free slots.
     :param idle: whether any target has :data:`IDLE_SHARE` of its slots free.
     """
 
--- a/src/heathercleat/steering/process/quarantine/policies.py
+++ b/src/heathercleat/steering/process/quarantine/policies.py
@@ -1,4 +1,4 @@
-"""Policies by which crashes lead to refusals, and the keys of requests and groups.
+"""When and how long crashes cause refusals, and the keys of requests and groups.
 
 A crash of a target is attributed to the request in progress there. Unless the request
 has had a complete response, the crash also counts against groups: the requests of its
--- a/src/heathercleat/steering/process/quarantine/responses.py
+++ b/src/heathercleat/steering/process/quarantine/responses.py
@@ -1,4 +1,7 @@
-"""Recent complete responses, which exempt requests and groups from later crashes."""
+"""Recent complete responses, after which crashes do not count against a key.
+
+A key is that of a request or of a group of requests.
+"""
 
 from collections import deque
 from typing import Protocol
@@ -7,8 +10,8 @@
 #: A frequent request is in progress at most targets that crash for other reasons. The
 #: time is short, since a request may crash targets that responded to it before.
 EXEMPTION_SECONDS = 3.0
-#: Maximum number of credits of a key; equal to the number of crashes remembered of a
-#: group.
+#: Maximum number of unused responses remembered of a key; equal to the maximum number
+#: of crashes remembered of a group.
 MAX_CREDITS = 16
 
 
@@ -23,7 +26,9 @@
 
 
 class RecentResponses:
-    """Responses, each of which exempts its key from all crashes for some seconds.
+    """Responses, each of which exempts its key from all crashes for a time.
+
+    The time is :data:`EXEMPTION_SECONDS`.
 
     :param max_keys: maximum number of keys; the least recent key is evicted.
     """
--- a/src/heathercleat/steering/process/quarantine/suspect.py
+++ b/src/heathercleat/steering/process/quarantine/suspect.py
@@ -60,12 +60,12 @@
 class SuspectChange(NamedTuple):
     """How an update changed a suspect.
 
-    :param ends: whether its crashes changed.
-    :param any: whether its crashes or cleared crashes changed.
+    :param crashes_changed: whether its crashes changed.
+    :param any_changed: whether its crashes or cleared crashes changed.
     """
 
-    ends: bool
-    any: bool
+    crashes_changed: bool
+    any_changed: bool
 
 
 class Suspect:
@@ -74,7 +74,8 @@
     ``ends`` and ``cleared`` only grow, and all VMs truncate them in the same way. The
     state of the VMs therefore converges for any order and number of updates.
 
-    :param ends: incarnation ids of the crashed targets, the first known here first.
+    :param ends: incarnation ids of the crashed targets, in the order in which this VM
+        learned of the crashes.
     :param cleared: the ids in ``ends`` whose crashes no longer count.
     :param until: instant at which the suspect expires.
     :param seen_here: whether this VM detected one of the crashes.
@@ -111,7 +112,7 @@
 
     @property
     def earliest_crash(self):
-        """Return the incarnation id of the first known crash that counts.
+        """Return the incarnation id of the first crash in ``ends`` that counts.
 
         At least one crash has to count.
         """
@@ -139,8 +140,12 @@
         A group without crashes that count expires soon, as does a full group that is
         not limited. Otherwise no new crashes could be recorded.
         """
-        is_over = not self.crash_count or (self.is_full and not self.is_limited)
-        return CLEARED_RETENTION_SECONDS if is_over else self.policy.retention_seconds
+        expires_early = not self.crash_count or (self.is_full and not self.is_limited)
+        return (
+            CLEARED_RETENTION_SECONDS
+            if expires_early
+            else self.policy.retention_seconds
+        )
 
     @property
     def refused_until(self):
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -1,8 +1,8 @@
 """Requests that are refused because they crash targets.
 
-A *query of death* crashes each target that runs it, and retries carry it from one
-target to the next. VMs therefore gossip which requests crashed targets, and refuse
-a request after enough crashes.
+A *query of death* crashes each target that runs it, and each retry sends it to another
+target. VMs therefore gossip which requests crashed targets, and refuse a request after
+enough crashes.
 """
 
 from itertools import islice
@@ -41,7 +41,7 @@
 
 
 class Suspects:
-    """The requests and groups that crashed targets, as known to this VM.
+    """The requests and groups that crashed targets, detected here or by other VMs.
 
     A complete response clears all known crashes of a request.
     """
@@ -70,12 +70,12 @@
     @property
     def quarantined_count(self):
         """Return the number of quarantined requests."""
-        return sum(each.is_limited for each in self.all() if not _is_of_group(each))
+        return sum(each.is_limited for each in self.all() if not _is_group(each))
 
     @property
     def limited_count(self):
         """Return the number of groups that are limited."""
-        return sum(each.is_limited for each in self.all() if _is_of_group(each))
+        return sum(each.is_limited for each in self.all() if _is_group(each))
 
     def all(self):
         """Return a list of every :class:`Suspect`."""
@@ -206,17 +206,17 @@
         """
         digest, was_limited = suspect.digest, suspect.is_limited
         change = suspect.add(ends, cleared)
-        if not change.any:
+        if not change.any_changed:
             return
-        now, is_for_group = self._clock.now(), _is_of_group(suspect)
+        now, is_group = self._clock.now(), _is_group(suspect)
         is_newly_limited = suspect.is_limited and not was_limited
-        if is_newly_limited and not is_for_group:
+        if is_newly_limited and not is_group:
             seconds = max(seconds, QUARANTINE_SECONDS)
         seconds = max(seconds, suspect.until - now)
-        if is_for_group:
+        if is_group:
             seconds = min(seconds, suspect.retention_seconds)
         suspect.until = now + seconds
-        if change.ends:
+        if change.crashes_changed:
             suspect.ended_at = now
         self._digest ^= digest ^ suspect.digest
         self._suspects.pop(suspect.fingerprint, None)
@@ -229,7 +229,7 @@
             self._log_release(suspect)
 
     def _announce(self, suspect):
-        if _is_of_group(suspect):
+        if _is_group(suspect):
             self._log(Event.GROUP_LIMITED, suspect)
             return
         self._log(Event.REQUEST_QUARANTINED, suspect)
@@ -264,8 +264,8 @@
         return self._sender_responses
 
     def _log_release(self, suspect):
-        is_for_group = _is_of_group(suspect)
-        event = Event.GROUP_RELEASED if is_for_group else Event.QUARANTINE_ENDED
+        is_group = _is_group(suspect)
+        event = Event.GROUP_RELEASED if is_group else Event.QUARANTINE_ENDED
         self._log(event, suspect)
 
     def _log(self, event, suspect):
@@ -280,5 +280,5 @@
         )
 
 
-def _is_of_group(suspect):
+def _is_group(suspect):
     return is_group_key(suspect.fingerprint)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -768,8 +768,8 @@
     Mutation(
         "QUARANTINE-expiry",
         f"{STEERING}/process/quarantine/suspects.py",
-        "if not change.any:",
-        "if not change.any and not ends:",
+        "if not change.any_changed:",
+        "if not change.any_changed and not ends:",
         "tests/test_suspects.py",
         "-k",
         "alive",
@@ -860,8 +860,11 @@
     Mutation(
         "CONTAINED-cleared-forgotten",
         f"{STEERING}/process/quarantine/suspect.py",
-        "return CLEARED_RETENTION_SECONDS if is_over else "
-        "self.policy.retention_seconds",
+        "return (\n"
+        "            CLEARED_RETENTION_SECONDS\n"
+        "            if expires_early\n"
+        "            else self.policy.retention_seconds\n"
+        "        )",
         "return self.policy.retention_seconds",
         "tests/test_containment.py",
         "-k",
