--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -147,7 +147,7 @@
         """Return the :class:`ReportedCapacity` of an owner's target, or ``None``."""
         return self._report(owner).capacities.get(target_id)
 
-    def is_known(self, owner):
+    def has_valid_report(self, owner):
         """Return whether an owner's last report or refusal is recent enough to use."""
         return self._clock.now() < self._report(owner).valid_until
 
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -79,8 +79,8 @@
         """Return the entry of a target, usable or not, or ``None``."""
         return self._targets.get(target_id)
 
-    def knows(self, target_id):
-        """Return whether a target is known, usable or not."""
+    def contains(self, target_id):
+        """Return whether there is an entry of a target, usable or not."""
         return target_id in self._targets
 
     def usable(self):
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -258,7 +258,7 @@
         self._former_targets = {
             target_id: target
             for target_id, target in self._former_targets.items()
-            if target_id not in owned and self._registry.knows(target_id)
+            if target_id not in owned and self._registry.contains(target_id)
         }
         self._owned = owned
         self._by_service = {}
--- a/src/heathercleat/steering/request/estimates.py
+++ b/src/heathercleat/steering/request/estimates.py
@@ -33,7 +33,7 @@
         """
         if owner == self._members.own.vm:
             return self._admission.expected_wait_seconds(call)
-        if not self._capacity_reports.is_known(owner):
+        if not self._capacity_reports.has_valid_report(owner):
             return 0.0
         estimate = self._capacity_reports.wait_estimate(owner, call.service)
         return estimate and estimate.for_call(
@@ -49,7 +49,7 @@
         waits = [
             self.wait(owner, call)
             for owner in region_targets.owners
-            if owner == own or self._capacity_reports.is_known(owner)
+            if owner == own or self._capacity_reports.has_valid_report(owner)
         ]
         return min((each for each in waits if each is not None), default=None)
 
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -525,7 +525,11 @@
     vm = fleet.vms[0]
     vm.leave()
     fleet.network.run(2 * REPORT_TTL_SECONDS)
-    owners = [each for each in fleet.vms[1:] if vm.capacity_reports.is_known(each.name)]
+    owners = [
+        each
+        for each in fleet.vms[1:]
+        if vm.capacity_reports.has_valid_report(each.name)
+    ]
     assert len(owners) >= min(count - 1, MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -250,8 +250,10 @@
     strong = [SimulatedVm(network, number) for number in range(1, SMALL)]
     network.run(START_SECONDS)
     assert weak.serving_names == {vm.name for vm in network.running()}
-    assert not any(weak.capacity_reports.is_known(vm.name) for vm in strong)
-    assert all(strong[0].capacity_reports.is_known(vm.name) for vm in strong[1:])
+    assert not any(weak.capacity_reports.has_valid_report(vm.name) for vm in strong)
+    assert all(
+        strong[0].capacity_reports.has_valid_report(vm.name) for vm in strong[1:]
+    )
 
 
 def test_small_fleet_sends_no_membership_updates():
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -78,7 +78,7 @@
     end_store_outage(parts)
     parts.registry.update([], ["t1"])
     assert parts.registry.remaining_use_seconds() == {}
-    assert not parts.registry.knows("t1")
+    assert not parts.registry.contains("t1")
 
 
 def test_lapse_times_are_taken_from_the_list_of_another_vm():
