--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -68,7 +68,7 @@
     async def acquire(self, call, preferred, avoid, wait_until):
         """Return a :class:`SlotUse`, or ``None`` if no slot became free in time.
 
-        :param preferred: ids of the preferred targets, best first.
+        :param preferred: ids of the request's affinity targets, best first.
         :param avoid: ids of excluded targets.
         :param wait_until: instant at which the wait ends.
         """
--- a/src/heathercleat/steering/process/capacity/registry.py
+++ b/src/heathercleat/steering/process/capacity/registry.py
@@ -210,9 +210,9 @@
         return became_cold or not entry.has_same_steering_fields(before)
 
     def _is_outdated(self, entry, before):
-        """Return whether an entry is outdated by a later one or by the removal.
+        """Return whether an entry is older than the recorded or the removed one.
 
-        Otherwise a delayed report would revert a drain.
+        If it were recorded, a delayed report could revert a drain or a removal.
         """
         removed_target = self._removed.get(entry.id)
         if before is None and removed_target is not None:
--- a/src/heathercleat/steering/process/quarantine/rows.py
+++ b/src/heathercleat/steering/process/quarantine/rows.py
@@ -62,6 +62,7 @@
         names = row.route, row.service, row.vm
         if not all(name is None or isinstance(name, str) for name in names):
             raise ValueError(f"{names!r} are not strings: route, service, VM")
+        # Raises ValueError if `ends` is not a list of incarnation ids.
         SuspectUpdate.of(["", 0.0, row.ends, []])
         return row
 
@@ -92,7 +93,6 @@
     if remaining < -ROW_RETENTION_SECONDS:
         return None
     remaining = min(max(0.0, remaining), QUARANTINE_SECONDS)
-    # `ends` are the crashed incarnations of targets.
     return SuspectUpdate.of([store_row.key, remaining, quarantine.ends, []])
 
 
