--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -588,7 +588,7 @@
     assert parts.held.count("t1", parts.clock.now()) == 1
     parts.held.retain(set())
     assert not parts.held._holds
-    assert not parts.held._targets
+    assert not parts.held._target_ids_by_vm
     assert not parts.held._incarnations
 
 
