--- a/src/heathercleat/steering/process/capacity/admission.py
+++ b/src/heathercleat/steering/process/capacity/admission.py
@@ -68,7 +68,7 @@
     async def acquire(self, call, preferred, avoid, wait_until):
         """Return a :class:`SlotUse`, or ``None`` if no slot became free in time.
 
-        :param preferred: ids of the preferred targets, best first.
+        :param preferred: ids of the request's affinity targets, best first.
         :param avoid: ids of excluded targets.
         :param wait_until: instant at which the wait ends.
         """
@@ -122,9 +122,9 @@
             await self.admit_queued(service)
 
     def is_wait_too_long(self, call):
-        """Return whether the request would get a slot too late.
+        """Return whether the request would stop waiting before it gets a slot.
 
-        Too late is after it stops waiting. Also ``True`` if no slot is usable.
+        Also ``True`` if no slot is usable.
         """
         wait = self.expected_wait_seconds(call)
         return (
--- a/src/heathercleat/steering/process/capacity/capacity_reports.py
+++ b/src/heathercleat/steering/process/capacity/capacity_reports.py
@@ -104,7 +104,7 @@
         :param capacities: ``(target id, free slots, limit, slots in use)`` of each
             target that it owns.
         :param waits: ``(service, on time, late)``: expected waits in seconds of a new
-            request, ``None`` if no slot is in service.
+            request, ``None`` if no slot is usable.
         :param losses: ``(service, loss rate)``.
         """
         now = self._clock.now()
@@ -147,12 +147,12 @@
         """Return the :class:`ReportedCapacity` of an owner's target, or ``None``."""
         return self._report(owner).capacities.get(target_id)
 
-    def is_known(self, owner):
-        """Return whether an owner recently reported or had no free slot."""
+    def has_valid_report(self, owner):
+        """Return whether an owner's last report or refusal is recent enough to use."""
         return self._clock.now() < self._report(owner).valid_until
 
     def wait_estimate(self, owner, service):
-        """Return the :class:`WaitEstimate`, ``None`` if no slot is in service."""
+        """Return the :class:`WaitEstimate`, or ``None`` if no slot is usable."""
         return self._report(owner).wait_estimates.get(service)
 
     def loss_rate(self, owner, service):
