--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests with at-most-once semantics: tickets, claims, client retries, close-outs."""
+"""Requests with at-most-once semantics: tickets, claims and client retries."""
 
 from hashlib import sha256
 
@@ -29,11 +29,11 @@
         message = f'the ticket is for "{call.ticket.service}"'
         raise RequestError(ResultCode.TICKET_INVALID, message)
     if call.ticket.instance_id != vm.instance_id:
-        return await _resolve_at_owner(vm, call)
-    return await _run_as_owner(vm, call)
+        return await _resolve_at_issuer(vm, call)
+    return await _run_as_issuer(vm, call)
 
 
-async def _run_as_owner(vm, call):
+async def _run_as_issuer(vm, call):
     entry, is_first = vm.deduplication.begin(call.ticket, call.key, _digest(call))
     if not is_first:
         return await _answer_client_retry(vm, call, entry)
@@ -107,11 +107,13 @@
         return entry.outcome
     if entry.state is EntryState.NOT_RUN:
         raise RequestError(ResultCode.NO_ROOM, "the first request was not run")
-    raise RequestError(ResultCode.OUTCOME_UNKNOWN, "the first run had no answer")
+    raise RequestError(
+        ResultCode.OUTCOME_UNKNOWN, "the outcome of the first run is unknown"
+    )
 
 
-async def _resolve_at_owner(vm, call):
-    """Return the outcome of a request whose ticket names another process.
+async def _resolve_at_issuer(vm, call):
+    """Return the outcome of a request whose ticket was issued by another process.
 
     :raises RequestError: if there is none.
     """
@@ -134,15 +136,15 @@
         message = f'"{call.ticket.vm}" did not run the request and never will'
         raise RequestError(ResultCode.TICKET_CLOSED, message)
     if state is EntryState.RUNNING:
-        message = f'"{call.ticket.vm}" runs the request'
+        message = f'"{call.ticket.vm}" is still running the request'
         raise RequestError(ResultCode.STILL_RUNNING, message)
-    message = f'"{call.ticket.vm}" cannot be asked whether it ran the request'
+    message = f'it is unknown whether "{call.ticket.vm}" ran the request'
     raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
 
 
 async def _fetch_state(vm, call):
-    """Return ``(EntryState, Outcome or None)`` from the owner or the claim table."""
-    state, outcome = await _query_owner(vm, call.ticket, call.key)
+    """Return ``(EntryState, Outcome or None)`` from the issuer or the claim table."""
+    state, outcome = await _query_issuer(vm, call.ticket, call.key)
     if state is not EntryState.GONE or not call.ticket.requires_claims:
         return state, outcome
     try:
@@ -156,7 +158,7 @@
     return EntryState.UNKNOWN, None
 
 
-async def _query_owner(vm, ticket, key):
+async def _query_issuer(vm, ticket, key):
     entry = vm.vm_directory.find(ticket.vm)
     if entry is None or entry.name == vm.name:
         return EntryState.GONE, None
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -155,10 +155,7 @@
             self._stream.abort()
 
     async def finish(self, is_complete):
-        """Return the connection to the pool if the exchange is complete, or close it.
-
-        :param is_complete: whether the exchange is complete.
-        """
+        """Return the connection to the pool if ``is_complete``, or close it."""
         stream, self._stream = self._stream, None
         if stream is None:
             return
@@ -262,7 +259,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
         if not isinstance(event, h11.Response):
-            raise EOFError("closed before the answer")
+            raise EOFError("connection closed before the response")
         return event
 
     def _check_head(self):
@@ -274,7 +271,7 @@
         except RequestError as error:
             raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error) from None
         if self._is_close_delimited(headers):
-            error = "an answer without a length cannot be told from a cut one"
+            error = "without a length, a truncated response cannot be detected"
             raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error)
 
     def _check_vm_code(self, headers):
@@ -295,7 +292,7 @@
         )
 
     def _has_sent_nothing(self):
-        # The stream is gone, so the request may have been sent and may have run.
+        # The stream has been closed, so the request may have been sent and have run.
         if self._is_finished:
             return False
         return (
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -31,7 +31,7 @@
     """
     if vm.text is None:
         code = ResultCode.NO_CONFIGURATION
-        raise RequestError(code, "no configuration is known here yet")
+        raise RequestError(code, "this VM has no configuration yet")
     service = vm.text.services.get(query.get("service"))
     if service is None:
         message = f'unknown service "{query.get("service", "")}"'
@@ -92,7 +92,7 @@
 
 
 def _select_vms(candidates, avoided):
-    """Return ``(entry VM, weight)`` pairs of the best domain, then one for each other.
+    """Return ``(entry VM, weight)`` pairs of the best domain, then one of each other.
 
     The weight of a fallback is 0 if its domain should be avoided.
     """
@@ -108,7 +108,7 @@
 
 
 def _draw_vms(domain, count):
-    """Return up to ``count`` pairs of a domain, drawn at random by weight.
+    """Return up to ``count`` such pairs of a domain, drawn at random by weight.
 
     The weight is the number of the service's slots that the VM is the home of, since
     requests sent to their home need no lease.
