--- a/src/heathercleat/connection/http.py
+++ b/src/heathercleat/connection/http.py
@@ -99,7 +99,7 @@
         return not data
 
     def reset_for_response(self, request_events):
-        """Prepare for another response after one that belongs to a different request.
+        """Prepare to receive another response, after one to a different request.
 
         :param request_events: the events of the request; they are not sent again.
         """
@@ -292,7 +292,7 @@
     while isinstance(event, h11.InformationalResponse):
         event = await stream.next_event()
     if not isinstance(event, h11.Response):
-        raise EOFError("closed before the answer")
+        raise EOFError("connection closed before the response")
     body = await read_body(stream, limit)
     return Message(
         status=event.status_code, headers=_decode_headers(event.headers), body=body
--- a/src/heathercleat/connection/messages.py
+++ b/src/heathercleat/connection/messages.py
@@ -73,7 +73,11 @@
 
 @message(5)
 class Heartbeat:
-    """Heartbeat of a VM to one of its monitors."""
+    """Heartbeat of a VM to one of its monitors.
+
+    ``digest`` is that of the sender's membership view; ``version`` and ``vm_serial``
+    are the configuration version and VM list serial in force at the sender.
+    """
 
     vm: str
     incarnation: int
@@ -87,7 +91,8 @@
 class HeartbeatAck:
     """Response of a monitor to a heartbeat.
 
-    ``accused`` is true when the monitor had declared this incarnation dead.
+    ``accused`` is true when the monitor had declared this incarnation dead. The other
+    fields are as in ``Heartbeat``, with the monitor as the sender.
     """
 
     sequence: int
@@ -149,7 +154,10 @@
 
 @message(12)
 class LeaseRequest:
-    """Request for slots of a service at targets whose home is the receiver."""
+    """Request for slots of a service at targets whose home is the receiver.
+
+    ``want`` is the maximum number of slots; ``avoid`` names targets to leave out.
+    """
 
     service: str
     want: int
@@ -158,7 +166,10 @@
 
 @message(13)
 class LeaseGrant:
-    """Lease of slots of one target; ``slots`` is 0 when none are available."""
+    """Lease of slots of one target; ``slots`` is 0 when none are available.
+
+    The receiver sends no ``LeaseRequest`` for the service before ``full_until``.
+    """
 
     lease_id: int
     target: str
@@ -186,7 +197,8 @@
 class CloseOut:
     """Request for the outcome of a key, which is closed if its request never ran.
 
-    ``expires_at`` is the expiry of the ticket, in epoch seconds.
+    ``birth`` is the instance id of the process that issued the ticket; ``expires_at``
+    is the expiry of the ticket.
     """
 
     ticket_id: str
@@ -197,7 +209,10 @@
 
 @message(17)
 class ClosedOut:
-    """Response to ``CloseOut``; ``state`` is an ``EntryState`` value."""
+    """Response to ``CloseOut``; ``state`` is an ``EntryState`` value.
+
+    ``status`` is 0 if there is no stored outcome.
+    """
 
     state: str
     status: int
--- a/src/heathercleat/connection/operator.py
+++ b/src/heathercleat/connection/operator.py
@@ -74,8 +74,8 @@
             self._authenticate(message)
             handler = self._routes.get((message.method, url.path))
             if handler is None:
-                text = f"no such call: {message.method} {url.path}"
-                raise HeathercleatError(ResultCode.BAD_REQUEST, text)
+                reason = f"no such call: {message.method} {url.path}"
+                raise HeathercleatError(ResultCode.BAD_REQUEST, reason)
             query = {name: each[0] for name, each in parse_qs(url.query).items()}
             result = await handler(query, message.body)
         except FindingsError as group:
@@ -99,8 +99,10 @@
         parts = (b"operator", message.method, message.path, message.body, expires_at)
         is_valid = verify(self._vm.settings.keys, signature_bytes, *parts)
         if scheme != "Heathercleat" or not is_fresh or not is_valid:
-            text = "the call has no valid key; use one of the VM's settings"
-            raise HeathercleatError(ResultCode.BAD_REQUEST, text)
+            reason = (
+                "the call has no valid token; sign it with a key of the VM's settings"
+            )
+            raise HeathercleatError(ResultCode.BAD_REQUEST, reason)
 
     async def _status(self, query, body):
         return status_of(self._vm)
@@ -211,7 +213,7 @@
         document = self._vm.configuration.document
         if document is None:
             code = ResultCode.NO_CONFIGURATION
-            raise HeathercleatError(code, "no text is in force here yet")
+            raise HeathercleatError(code, "this VM has no configuration yet")
         return document
 
 
--- a/src/heathercleat/connection/pool.py
+++ b/src/heathercleat/connection/pool.py
@@ -11,11 +11,11 @@
 
 
 class ConnectionLimitError(OSError):
-    """The connection limit of a target is reached."""
+    """The connection limit of an address is reached."""
 
 
 class ConnectionPool:
-    """Open connections by address; reuses those whose last exchange was complete.
+    """Pool of open connections; reuses those whose last exchange was complete.
 
     :param source_ip: the local IP address to connect from.
     :param get_fence: function that returns the current :class:`Fence`, the networks to
