--- a/src/heathercleat/cli/_client.py
+++ b/src/heathercleat/cli/_client.py
@@ -79,8 +79,10 @@
             code = ResultCode.EDIT_UNKNOWN if body else ResultCode.VM_UNREACHABLE
             if isinstance(error, ConnectionRefusedError):
                 code = ResultCode.VM_UNREACHABLE
-            text = f"{self._host}:{self._port} did not answer {method} {path}: {error}"
-            raise HeathercleatError(code, text) from None
+            reason = (
+                f"{self._host}:{self._port} did not answer {method} {path}: {error}"
+            )
+            raise HeathercleatError(code, reason) from None
         result = json.loads(response.body)
         if response.status != ResultCode.OK.status:
             raise RemoteError(result)
@@ -127,8 +129,8 @@
     if args.key_file:
         key = _read_key(args.key_file)
     if host is None or not key:
-        text = "name a VM and its key: --settings FILE, or --vm and --key-file"
-        raise HeathercleatError(ResultCode.SETTINGS_INVALID, text)
+        message = "name a VM and its key: --settings FILE, or --vm and --key-file"
+        raise HeathercleatError(ResultCode.SETTINGS_INVALID, message)
     return OperatorClient(host, port, key)
 
 
@@ -136,5 +138,5 @@
     try:
         return Path(path).read_text(encoding="utf-8").strip()
     except OSError as error:
-        text = f'cannot read the key file "{path}": {error.strerror}'
-        raise HeathercleatError(ResultCode.SETTINGS_INVALID, text) from None
+        message = f'cannot read the key file "{path}": {error.strerror}'
+        raise HeathercleatError(ResultCode.SETTINGS_INVALID, message) from None
--- a/src/heathercleat/cli/_edit.py
+++ b/src/heathercleat/cli/_edit.py
@@ -30,17 +30,19 @@
         metavar="VERSION",
         help="the version that the edit was made from; needed once there is one",
     )
-    apply.add_argument("--edit-id", help="the id of an earlier attempt, to retry it")
+    apply.add_argument("--edit-id", help="the id of an earlier edit, to retry it")
     add_client_options(apply)
     history = _add_command(commands, "history", "list the versions", _history)
     add_client_options(history)
-    version = _add_command(commands, "show", "print the text of a version", _show)
-    version.add_argument("version", type=int, metavar="VERSION")
-    add_client_options(version)
+    show = _add_command(commands, "show", "print the text of a version", _show)
+    show.add_argument("version", type=int, metavar="VERSION")
+    add_client_options(show)
 
 
-def _add_command(commands, name, text, run):
-    parser = commands.add_parser(name, help=text, description=f"{text.capitalize()}.")
+def _add_command(commands, name, summary, run):
+    parser = commands.add_parser(
+        name, help=summary, description=f"{summary.capitalize()}."
+    )
     parser.set_defaults(run=run)
     return parser
 
--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -19,7 +19,7 @@
         description="Show the look-up and the targets of a service, nearest first.",
     )
     explain.add_argument("service")
-    explain.add_argument("--client", metavar="IP", help="the caller's IP number")
+    explain.add_argument("--client", metavar="IP", help="the caller's IP address")
     explain.set_defaults(run=_explain)
     for parser in (status, explain):
         add_client_options(parser)
--- a/src/heathercleat/cli/_trace.py
+++ b/src/heathercleat/cli/_trace.py
@@ -11,7 +11,7 @@
 #: Limits on the number and age of state changes shown before a request's last line.
 MAX_STATE_CHANGES = 12
 STATE_CHANGE_SECONDS = 10.0
-#: Events on changes of a VM's state that affect routing.
+#: Events for changes of state that affect routing.
 STATE_CHANGE_EVENTS = frozenset(
     event.name.lower()
     for event in (
@@ -45,9 +45,9 @@
     parser = commands.add_parser(
         "trace",
         help="show the log lines of a request",
-        description="Print every log line on a request, over all VMs, the targets that "
-        "crashed under it or another attempt of it, and the changes of state shortly "
-        "before its end.",
+        description="Print the log lines of a request from all VMs, those on crashes "
+        "and quarantines of requests with the same fingerprint, and those on state "
+        "changes shortly before its end.",
     )
     parser.add_argument("request", help="the request's id")
     parser.add_argument(
@@ -103,9 +103,9 @@
 
 
 def _fingerprint_lines(lines, request_lines):
-    """Yield the lines about quarantine or crashes with the same fingerprint.
+    """Yield the lines on crashes and quarantines with the same fingerprint.
 
-    The lines are not of the request itself, and are not later than its last line.
+    Lines of the request itself and lines after its last one are left out.
     """
     fingerprints = {line.get("fingerprint") for line in request_lines} - {None, ""}
     for line in lines:
