--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -13,7 +13,7 @@
 from standins.load import MAX_RESPONSE_BYTES, Load
 
 POLL_SECONDS = 0.2
-BALANCERS = 12
+BALANCER_COUNT = 12
 
 
 class PowerOfTwoChoices(Load):
@@ -28,7 +28,7 @@
     def __init__(self, targets, rate, seed=1, timeout=10.0):
         super().__init__([], "", rate, seed=seed, timeout=timeout)
         self._targets = targets
-        self._views = [dict.fromkeys(targets, 0) for _ in range(BALANCERS)]
+        self._views = [dict.fromkeys(targets, 0) for _ in range(BALANCER_COUNT)]
         self._polling = False
 
     async def _send_to_any(self, method, path, body, headers):
@@ -56,8 +56,8 @@
         try:
             stream = await connect(host, port, deadline, self._clock)
             try:
-                asking = exchange(stream, Message(path="/load"), MAX_RESPONSE_BYTES)
-                response = await with_deadline(deadline, self._clock, asking)
+                request = exchange(stream, Message(path="/load"), MAX_RESPONSE_BYTES)
+                response = await with_deadline(deadline, self._clock, request)
             finally:
                 await stream.close()
         except (TimeoutError, *CONNECTION_ERRORS):
--- a/bench/control.py
+++ b/bench/control.py
@@ -54,9 +54,9 @@
 
 
 def bench_at_most_once(report):
-    """Share of edits with an unknown outcome while VMs are killed or paused."""
+    """Wrong and unknown outcomes of edits while VMs are killed or paused."""
     shares = {}
-    for name, fault, down in (
+    for name, fault, is_platform_down in (
         ("kills", kill_one, False),
         ("pauses", pause_one, False),
         ("pauses without the platform", pause_one, True),
@@ -65,18 +65,27 @@
         vms = {"north-a": 2, "north-b": 1}
         with Fleet(demo_text(), vms, subnet=33, settings=settings) as fleet:
             fleet.wait_ready()
-            if down:
+            if is_platform_down:
                 fleet.switch_platform(down=True)
                 time.sleep(1.5)
             rng = random.Random(7)
             outcomes, runs = sweep(fleet, partial(fault, fleet, rng))
         counts = Counter(outcomes.values())
         shares[name] = counts["unknown"] / max(1, sum(counts.values()))
-        doubled = sum(1 for count in runs.values() if count > 1)
-        false = sum(
-            1 for key, word in outcomes.items() if word == "not-run" and runs[key]
+        run_twice = sum(1 for count in runs.values() if count > 1)
+        wrongly_not_run = sum(
+            1 for key, outcome in outcomes.items() if outcome == "not-run" and runs[key]
+        )
+        report.add(
+            Row(
+                f"doubled or false, {name}",
+                run_twice + wrongly_not_run,
+                1.0,
+                "",
+                "one",
+                0,
+            )
         )
-        report.add(Row(f"doubled or false, {name}", doubled + false, 1.0, "", "one", 0))
         report.add(
             Row(f"unknown outcomes, {name}", shares[name], 1.0, "", "all edits", 0.05)
         )
@@ -113,7 +122,7 @@
 
 
 def bench_log(report):
-    """CPU time of a log line for the request, against a plain handler."""
+    """CPU time of a log line in the calling thread, against a plain handler."""
     count = 20_000
     inputs = {"request": "0123456789abcdef", "service": "lookup", "target": "t-01"}
 
@@ -129,12 +138,19 @@
     handler = StreamHandler(StringIO())
     handler.setFormatter(JsonFormatter())
     logger.addHandler(handler)
-    plain = cost(Journal("vm", "fd", logger))
+    plain_cost = cost(Journal("vm", "fd", logger))
     writer = LogWriter("INFO", StringIO())
-    ours = cost(Journal("vm", "fd"))
+    journal_cost = cost(Journal("vm", "fd"))
     writer.start()
     writer.stop()
-    row = Row("log line of a decision", ours, plain, "us", "formatted at once", 0.8)
+    row = Row(
+        "log line of a decision",
+        journal_cost,
+        plain_cost,
+        "us",
+        "formatted at once",
+        0.8,
+    )
     report.add(row)
 
 
--- a/bench/places.py
+++ b/bench/places.py
@@ -56,8 +56,8 @@
     parts = Parts()
     for domain, region in DOMAINS.items():
         for number in range(VMS_PER_DOMAIN):
-            made = make_heartbeat(f"{domain}-{number}", domain, region)
-            parts.members.record_heartbeat(made)
+            heartbeat = make_heartbeat(f"{domain}-{number}", domain, region)
+            parts.members.record_heartbeat(heartbeat)
     names = list(DOMAINS)
     parts.registry.replace(
         [
@@ -95,17 +95,17 @@
 
 
 def _call(clock, number):
-    made = call(clock, route(sticky=True), affinity=f"/{number % OBJECTS}")
-    made.give_up_at = clock.now() + 0.1
-    return made
+    new_call = call(clock, route(sticky=True), affinity=f"/{number % OBJECTS}")
+    new_call.give_up_at = clock.now() + 0.1
+    return new_call
 
 
 def _refuse_all(selector, calls, clock):
     """Select destinations as refused requests do, at 1,000 requests per second."""
     no_targets = frozenset()
-    for made in calls:
+    for each in calls:
         clock.time += 0.001
-        selector.select_free(made, no_targets, no_targets)
-        selector.select_spillover(made, no_targets, no_targets)
-        selector.select_queue(made, no_targets, no_targets)
-        selector.describe(made)
+        selector.select_free(each, no_targets, no_targets)
+        selector.select_spillover(each, no_targets, no_targets)
+        selector.select_queue(each, no_targets, no_targets)
+        selector.describe(each)
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -35,7 +35,7 @@
 
 
 def bench_quarantine(report):
-    """CPU time of the fingerprint, the checks and the record of a response."""
+    """CPU time of fingerprinting, quarantine checks and recording the response."""
     parse_time = _seconds(_read_head) * 1e6
     for what, paths, bound in (
         ("that was answered before", repeat(b"/one/two/x"), MAX_SHARE),
@@ -54,22 +54,22 @@
 
 
 def _quarantine_checks(paths):
-    """Return a function with the quarantine work of a VM for one request."""
+    """Return a function that runs the quarantine checks of a VM for one request."""
     clock = ManualClock()
     suspects = Suspects(Journal("vm-1", "north-a"), clock)
     crash_limits = CrashLimits(suspects, clock)
     answered = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
 
-    made = call(clock)
-    made.headers = HEADERS
+    checked_call = call(clock)
+    checked_call.headers = HEADERS
 
     def check():
-        made.groups = made.sender = None
-        made.fingerprint = fingerprint(b"GET", next(paths), HEADERS, b"")
-        crash_limits.check_or_start_trial(made)
-        suspects.refused_until(made.fingerprint)
-        suspects.record_response(made.fingerprint)
-        crash_limits.record_result(made, answered, True)
+        checked_call.groups = checked_call.sender = None
+        checked_call.fingerprint = fingerprint(b"GET", next(paths), HEADERS, b"")
+        crash_limits.check_or_start_trial(checked_call)
+        suspects.refused_until(checked_call.fingerprint)
+        suspects.record_response(checked_call.fingerprint)
+        crash_limits.record_result(checked_call, answered, True)
 
     return check
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -21,13 +21,14 @@
 DRAIN_LIMIT_SECONDS = 5.0
 RUN_SECONDS = 8.0
 WARM_UP_SECONDS = 2.0
-SPILL_CAP = 24
-#: Seconds of work per request in a surge, and requests per second at full load of a
-#: failure domain.
+SHIFT_CAP_SLOTS = 24
+#: Seconds of work per request in a surge, and requests per second that use all eight
+#: slots of a failure domain.
 SURGE_WORK_SECONDS = 0.2
-DOMAIN_RATE = 8 / SURGE_WORK_SECONDS
+FULL_DOMAIN_RATE = 8 / SURGE_WORK_SECONDS
+#: Usual request rate of a failure domain, as a share of its full rate.
 USUAL_LOAD = 0.4
-#: Factor of the work at the slow target.
+#: Factor by which requests take longer at the slow target.
 SLOW_FACTOR = 10
 
 
@@ -46,23 +47,23 @@
             for target in text["services"]["lookup"]["targets"].values()
         )
         rates = {domain: rate * count / 16 for domain, count in slots.items()}
-        with MultiDomainLoad(fleet, rates) as ours:
+        with MultiDomainLoad(fleet, rates) as steered_load:
             time.sleep(RUN_SECONDS)
-        our_over = measure_overshoot(fleet)
+        overshoot = measure_overshoot(fleet)
         time.sleep(1.0)
-        with PowerOfTwoChoices(fleet.targets, rate, timeout=3.0) as theirs:
+        with PowerOfTwoChoices(fleet.targets, rate, timeout=3.0) as baseline_load:
             time.sleep(RUN_SECONDS)
-        their_over = measure_overshoot(fleet) - our_over
-    our_results, baseline_results = ours.results, theirs.results
-    served = sum(1 for each in our_results if each.status == 200) / len(our_results)
-    base_served = sum(1 for each in baseline_results if each.status == 200) / len(
+        baseline_overshoot = measure_overshoot(fleet) - overshoot
+    results, baseline_results = steered_load.results, baseline_load.results
+    served = sum(1 for each in results if each.status == 200) / len(results)
+    baseline_served = sum(1 for each in baseline_results if each.status == 200) / len(
         baseline_results
     )
     report.add(
         Row(
             "overshoot at 75% load",
-            our_over,
-            their_over,
+            overshoot,
+            baseline_overshoot,
             "slot-s",
             "lagging two choices",
             0.01,
@@ -72,7 +73,7 @@
         Row(
             "served share at 75% load",
             served,
-            base_served,
+            baseline_served,
             "",
             "lagging two choices",
             0.98,
@@ -82,7 +83,7 @@
     report.add(
         Row(
             "p99 at 75% load",
-            quantile(our_results, 0.99),
+            quantile(results, 0.99),
             quantile(baseline_results, 0.99),
             "s",
             "lagging two choices, over the limit",
@@ -141,9 +142,9 @@
 
 
 def bench_spill(report):
-    """Load of 1.5 times the capacity of one failure domain, against no spillover."""
-    rates = {"fd-0": 1.5 * DOMAIN_RATE, "fd-1": 10, "fd-2": 10, "fd-3": 10}
-    spilled, over_slots = serve_surge(rates, SPILL_CAP)
+    """Served share at 1.5 times the capacity of a domain, against no spillover."""
+    rates = {"fd-0": 1.5 * FULL_DOMAIN_RATE, "fd-1": 10, "fd-2": 10, "fd-3": 10}
+    spilled, overshoot = serve_surge(rates, SHIFT_CAP_SLOTS)
     local, _ = serve_surge(rates, 0)
     report.add(
         Row(
@@ -156,14 +157,14 @@
             at_least=True,
         )
     )
-    report.add(Row("overshoot", over_slots, 1.0, "slot-s", "one", 0.0))
+    report.add(Row("overshoot", overshoot, 1.0, "slot-s", "one", 0.0))
 
 
 def bench_surge(report):
-    """Three times the usual load of a whole region, against no spillover."""
-    usual = USUAL_LOAD * DOMAIN_RATE
+    """Served share and latency in a surge of a whole region, against no spillover."""
+    usual = USUAL_LOAD * FULL_DOMAIN_RATE
     rates = {"fd-0": 3 * usual, "fd-1": 3 * usual, "fd-2": usual, "fd-3": usual}
-    spilled, over_slots = serve_surge(rates, SPILL_CAP)
+    spilled, overshoot = serve_surge(rates, SHIFT_CAP_SLOTS)
     local, _ = serve_surge(rates, 0)
     report.add(
         Row(
@@ -186,7 +187,7 @@
             1.0,
         )
     )
-    report.add(Row("overshoot", over_slots, 1.0, "slot-s", "one", 0.0))
+    report.add(Row("overshoot", overshoot, 1.0, "slot-s", "one", 0.0))
 
 
 def serve_surge(rates, cap):
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -3,15 +3,19 @@
 from standins.load import Load
 
 
-def lookup_text(targets=16, slots=4, domains=6, kind_ms=2000, cap=None):
-    """Return a configuration document with one service and its targets."""
+def lookup_text(targets=16, slots=4, domains=6, timeout_ms=2000, cap=None):
+    """Return a configuration document with one service and its targets.
+
+    :param slots: slots of each target.
+    :param cap: the ``shift_cap`` of the service, or ``None``.
+    """
     names = [f"fd-{number}" for number in range(domains)]
     kind = {
         "kind": "lookup",
         "method": "GET",
         "path": "/",
         "run": "idempotent",
-        "timeout_ms": kind_ms,
+        "timeout_ms": timeout_ms,
     }
     service = {
         "requests": [kind],
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -12,7 +12,7 @@
 SMALL, LARGE = 30, 72
 STOPS = 3
 CLIENTS = 100
-#: Seconds between the restarts of the VMs of a failure domain.
+#: Seconds between the restarts of the VMs of a failure domain, all stopped at once.
 RETURN_SECONDS = 2.0
 #: Maximum ratio of the cost of a stop per VM in the large and the small fleet.
 MAX_GROWTH = 2.0
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,6 +1,6 @@
 """Mutation tests: disables one mechanism at a time and checks that a test fails.
 
-Each mutation replaces a text of a source file in a copy of the tree and runs the tests
+Each mutation replaces a piece of a source file in a copy of the tree and runs the tests
 that must fail. ``python tools/mutations.py [NAME...]`` prints a line for each mutation
 and exits with 1 if the tests pass with one.
 """
@@ -24,7 +24,7 @@
 
     :param name: unique; starts with the name of the rule that the mechanism enforces.
     :param file: path of the source file.
-    :param old: the text to replace; it must occur exactly once.
+    :param old: the piece to replace; it must occur exactly once.
     :param new: the replacement.
     :param tests: the arguments for pytest.
     """
@@ -41,7 +41,7 @@
     def apply(self, root):
         """Apply the change to the copy of the tree at ``root``.
 
-        :raises ValueError: when the text does not occur exactly once.
+        :raises ValueError: when ``old`` does not occur exactly once.
         """
         path = root / self.file
         text = path.read_text()
