--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -212,9 +212,9 @@
         seconds = mean_cpu_seconds(
             partial(membership.record_heartbeat, heartbeat), 2000
         )
-        fits.add("heartbeat: taken", "us", size, seconds * 1e6)
+        fits.add("heartbeat: recorded", "us", size, seconds * 1e6)
         seconds = mean_cpu_seconds(membership.may_act_as_home, 2000)
-        fits.add("right to act: checked", "us", size, seconds * 1e6)
+        fits.add("right to act as home: checked", "us", size, seconds * 1e6)
 
         heartbeats = Heartbeats(vm, membership, links, clock)
 
@@ -222,7 +222,10 @@
             run(heartbeats.detect_failures)
 
         fits.add(
-            "monitors: judged", "us", size, mean_cpu_seconds(detect_failures, 20) * 1e6
+            "failure detection: one round",
+            "us",
+            size,
+            mean_cpu_seconds(detect_failures, 20) * 1e6,
         )
 
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -78,7 +78,7 @@
         )
         report.add(
             Row(
-                f"doubled or false, {name}",
+                f"run twice or wrongly reported as not run, {name}",
                 run_twice + wrongly_not_run,
                 1.0,
                 "",
@@ -144,7 +144,7 @@
     writer.start()
     writer.stop()
     row = Row(
-        "log line of a decision",
+        "log line of a routing decision",
         journal_cost,
         plain_cost,
         "us",
--- a/bench/places.py
+++ b/bench/places.py
@@ -31,7 +31,7 @@
     few, many = (refusal_seconds(count) for count in (FEW_TARGETS, MANY_TARGETS))
     report.add(
         Row(
-            f"finding no place among {MANY_TARGETS} targets",
+            f"refusal without a free slot, {MANY_TARGETS} targets",
             many * 1e3,
             few * 1e3,
             "ms",
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -65,7 +65,7 @@
             overshoot,
             baseline_overshoot,
             "slot-s",
-            "lagging two choices",
+            "two choices with stale reports",
             0.01,
         )
     )
@@ -75,7 +75,7 @@
             served,
             baseline_served,
             "",
-            "lagging two choices",
+            "two choices with stale reports",
             0.98,
             at_least=True,
         )
@@ -86,7 +86,7 @@
             quantile(results, 0.99),
             quantile(baseline_results, 0.99),
             "s",
-            "lagging two choices, over the limit",
+            "two choices with stale reports, over the limit",
             1.8,
         )
     )
@@ -263,7 +263,7 @@
         seconds = time.monotonic() - started
     report.add(
         Row(
-            "idle slots of a killed VM back",
+            "idle slots of a killed VM available again",
             seconds,
             LONG_TIMEOUT_MS / 1000,
             "s",
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -23,7 +23,7 @@
     random.seed(1)
     report.add(
         Row(
-            f"news of a stop, a VM, {LARGE} VMs",
+            f"membership updates per stop and VM, {LARGE} VMs",
             _updates_per_stop(LARGE),
             _updates_per_stop(SMALL),
             "",
@@ -33,7 +33,7 @@
     )
     report.add(
         Row(
-            "most clients of a VM, a failure domain returns",
+            "highest client load of a VM, restart of a domain",
             _max_relative_load(),
             1.0,
             "",
