--- a/bench/stops.py
+++ b/bench/stops.py
@@ -12,7 +12,7 @@
 SMALL, LARGE = 30, 72
 STOPS = 3
 CLIENTS = 100
-#: Seconds between the restarts of the VMs of a failure domain.
+#: Seconds between the restarts of the VMs of a failure domain, all stopped at once.
 RETURN_SECONDS = 2.0
 #: Maximum ratio of the cost of a stop per VM in the large and the small fleet.
 MAX_GROWTH = 2.0
@@ -23,7 +23,7 @@
     random.seed(1)
     report.add(
         Row(
-            f"news of a stop, a VM, {LARGE} VMs",
+            f"membership updates per stop and VM, {LARGE} VMs",
             _updates_per_stop(LARGE),
             _updates_per_stop(SMALL),
             "",
@@ -33,7 +33,7 @@
     )
     report.add(
         Row(
-            "most clients of a VM, a failure domain returns",
+            "highest client load of a VM, restart of a domain",
             _max_relative_load(),
             1.0,
             "",
