--- a/src/heathercleat/connection/caller.py
+++ b/src/heathercleat/connection/caller.py
@@ -142,17 +142,17 @@
     def _build_call(self, head, path, headers):
         vm = self._vm
         if vm.text is None:
-            message = "this VM has no configuration yet"
+            message = "no configuration is known here yet"
             raise RequestError(ResultCode.NO_CONFIGURATION, message)
         name, _, rest = path.removeprefix(SERVICE_PREFIX).partition("/")
         service = vm.text.services.get(name)
         if not path.startswith(SERVICE_PREFIX) or service is None:
-            message = f'unknown service in "{path[:80]}"; use {SERVICE_PREFIX}NAME/'
+            message = f'unknown service in "{path[:80]}"; write {SERVICE_PREFIX}NAME/'
             raise RequestError(ResultCode.UNKNOWN_SERVICE, message)
         method = head.method.decode()
         kind = service.find_kind(method, f"/{rest}")
         if kind is None:
-            message = f'"{name}" does not accept {method} /{rest[:80]}'
+            message = f'"{name}" takes no {method} /{rest[:80]}'
             raise RequestError(ResultCode.UNKNOWN_KIND, message)
         deadline = self._read_deadline(headers, kind)
         return Call(
@@ -203,7 +203,7 @@
             return None
         token, lease = find(headers, PEER_HEADER), find(headers, LEASE_HEADER)
         if token is None or lease is None or not self._vm.tokens.accepts(token):
-            message = "this address accepts requests of entry VMs only"
+            message = "this address is for entry VMs"
             raise RequestError(ResultCode.BAD_REQUEST, message)
         return int(lease)
 
--- a/src/heathercleat/request/at_most_once.py
+++ b/src/heathercleat/request/at_most_once.py
@@ -107,9 +107,7 @@
         return entry.outcome
     if entry.state is EntryState.NOT_RUN:
         raise RequestError(ResultCode.NO_ROOM, "the first request was not run")
-    raise RequestError(
-        ResultCode.OUTCOME_UNKNOWN, "the outcome of the first run is unknown"
-    )
+    raise RequestError(ResultCode.OUTCOME_UNKNOWN, "the first run had no answer")
 
 
 async def _resolve_at_issuer(vm, call):
@@ -136,9 +134,9 @@
         message = f'"{call.ticket.vm}" did not run the request and never will'
         raise RequestError(ResultCode.TICKET_CLOSED, message)
     if state is EntryState.RUNNING:
-        message = f'"{call.ticket.vm}" is still running the request'
+        message = f'"{call.ticket.vm}" runs the request'
         raise RequestError(ResultCode.STILL_RUNNING, message)
-    message = f'it is unknown whether "{call.ticket.vm}" ran the request'
+    message = f'"{call.ticket.vm}" cannot be asked whether it ran the request'
     raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
 
 
--- a/src/heathercleat/request/attempt.py
+++ b/src/heathercleat/request/attempt.py
@@ -259,7 +259,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
         if not isinstance(event, h11.Response):
-            raise EOFError("connection closed before the response")
+            raise EOFError("closed before the answer")
         return event
 
     def _check_head(self):
@@ -271,7 +271,7 @@
         except RequestError as error:
             raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error) from None
         if self._is_close_delimited(headers):
-            error = "without a length, a truncated response cannot be detected"
+            error = "an answer without a length cannot be told from a cut one"
             raise self._make_error(ResultCode.BAD_ANSWER, "bad answer", error)
 
     def _check_vm_code(self, headers):
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -31,7 +31,7 @@
     """
     if vm.text is None:
         code = ResultCode.NO_CONFIGURATION
-        raise RequestError(code, "this VM has no configuration yet")
+        raise RequestError(code, "no configuration is known here yet")
     service = vm.text.services.get(query.get("service"))
     if service is None:
         message = f'unknown service "{query.get("service", "")}"'
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -95,7 +95,7 @@
         return await vm.admission.acquire(call, tried)
     permit = None if tried else vm.admission.admit_leased(call.lease_id, call.deadline)
     if permit is None:
-        raise RequestError(ResultCode.NO_ROOM, "the lease has no free slot here")
+        raise RequestError(ResultCode.NO_ROOM, "the lease has no room here")
     return permit
 
 
@@ -287,7 +287,7 @@
         size += len(event.data)
         if size > MAX_BUFFERED_RESPONSE_BYTES:
             code = ResultCode.BAD_ANSWER
-            raise AttemptFailedError(code, "the response is too large", "bad answer")
+            raise AttemptFailedError(code, "the answer is too large", "bad answer")
         parts.append(bytes(event.data))
     headers = [
         (name, value)
--- a/src/heathercleat/request/ticket.py
+++ b/src/heathercleat/request/ticket.py
@@ -53,7 +53,5 @@
         raw = b""
     signature, data = raw[:_SIGNATURE_BYTES], raw[_SIGNATURE_BYTES:]
     if not data or not verify(keys, signature, b"ticket", data):
-        raise RequestError(
-            ResultCode.TICKET_INVALID, "the ticket is not signed with a shared key"
-        )
+        raise RequestError(ResultCode.TICKET_INVALID, "the ticket was not issued here")
     return Ticket(*msgpack.unpackb(data))
--- a/src/heathercleat/steering/request/exchange.py
+++ b/src/heathercleat/steering/request/exchange.py
@@ -76,7 +76,7 @@
         for _ in range(MAX_STALE_RESPONSES):
             if await self._read_response():
                 return
-        raise EOFError("only responses to other requests")
+        raise EOFError("only answers to other requests")
 
     def _build_request(self):
         call = self._call
@@ -95,7 +95,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._stream.next_event()
         if not isinstance(event, h11.Response):
-            raise EOFError("connection closed before the response")
+            raise EOFError("closed before the answer")
         headers = list(event.headers)
         check_framing(headers, ResultCode.BAD_ANSWER)
         head = parse_response_head(event.status_code, headers)
@@ -119,10 +119,10 @@
         if response.status < _FIRST_ERROR_STATUS and (
             not head.is_signed or head.is_encoded
         ):
-            reason = f"{response.status} in an unsigned or encoded response"
+            reason = f"{response.status} without the target's own body"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         if head.status_implies_not_run:
             # A client would conclude from the status that the request has not run.
-            reason = f"{response.status} without a report that the request has not run"
+            reason = f"{response.status} without saying that it has not run"
             return AttemptResult(AttemptOutcome.UNKNOWN, target=target, reason=reason)
         return AttemptResult(AttemptOutcome.ANSWERED, response, target)
