--- a/src/heathercleat/steering/process/body_memory.py
+++ b/src/heathercleat/steering/process/body_memory.py
@@ -11,24 +11,24 @@
     :param memory: memory limit of the process, in bytes.
     """
 
-    __slots__ = ("_limit", "_held")
+    __slots__ = ("_limit", "_reserved")
 
     def __init__(self, memory):
         self._limit = BODY_MEMORY_SHARE * memory
-        self._held = 0
+        self._reserved = 0
 
     @property
-    def held(self):
+    def reserved(self):
         """Return the reserved bytes."""
-        return self._held
+        return self._reserved
 
     def reserve(self, size):
         """Reserve ``size`` bytes; return ``False`` if the limit would be exceeded."""
-        if self._held + size > self._limit:
+        if self._reserved + size > self._limit:
             return False
-        self._held += size
+        self._reserved += size
         return True
 
     def release(self, size):
         """Release ``size`` reserved bytes."""
-        self._held -= size
+        self._reserved -= size
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -122,4 +122,4 @@
     assert not memory.reserve(600)
     memory.release(600)
     assert memory.reserve(1000)
-    assert memory.held == 1000
+    assert memory.reserved == 1000
