--- a/src/heathercleat/steering/process/directory.py
+++ b/src/heathercleat/steering/process/directory.py
@@ -44,11 +44,11 @@
 
     def __init__(self, members, regions, port, max_ttl, clock):
         self._members = members
-        self._domains = Counter(regions.values())
+        self._domain_counts = Counter(regions.values())
         self._port = port
         self._max_ttl = max_ttl
         self._clock = clock
-        self._started_until = clock.now() + START_SECONDS
+        self._starting_until = clock.now() + START_SECONDS
 
     def lookup(self, region, failure_domain):
         """Return the :class:`Lookup` for a client of a region and failure domain.
@@ -62,18 +62,21 @@
         in_domain = [
             each for each in in_region if each.failure_domain == failure_domain
         ]
-        chosen = self._select(in_domain, in_region, self._domains[region]) or candidates
+        chosen = (
+            self._select(in_domain, in_region, self._domain_counts[region])
+            or candidates
+        )
         if len(chosen) > MAX_ADDRESSES:
             chosen = sample(chosen, MAX_ADDRESSES)
         addresses = [f"{each.ip}:{self._port}" for each in chosen]
         return Lookup(addresses, min(self._ttl(), self._max_ttl))
 
     def _ttl(self):
-        just_started = self._clock.now() < self._started_until
-        is_stable = self._members.own.is_serving and not just_started
+        is_starting = self._clock.now() < self._starting_until
+        is_stable = self._members.own.is_serving and not is_starting
         return LOOKUP_TTL_SECONDS if is_stable else SHORT_LOOKUP_TTL_SECONDS
 
-    def _select(self, in_domain, in_region, domains):
+    def _select(self, in_domain, in_region, domain_count):
         """Return the VMs to list, those of the client's failure domain first.
 
         Other VMs of the region are added as needed to keep each VM's load within
@@ -81,11 +84,11 @@
 
         :param in_domain: the VMs of the client's failure domain.
         :param in_region: the VMs of its region.
-        :param domains: the number of failure domains of the region.
+        :param domain_count: the number of failure domains of the region.
         """
         if len(in_domain) < MIN_DOMAIN_VMS:
             return in_region
-        min_count = ceil(len(in_region) / (domains * MAX_OVER_SHARE))
+        min_count = ceil(len(in_region) / (domain_count * MAX_OVER_SHARE))
         if len(in_domain) >= min_count:
             return in_domain
         others = [each for each in in_region if each not in in_domain]
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -5,8 +5,9 @@
 #: Seconds without client requests after which a leaving VM hands its targets to another
 #: leaving VM, and seconds without any request after which its process exits.
 QUIET_SECONDS = 0.4
-#: Minimum seconds by which another VM must stop later to be handed targets. Three
-#: heartbeat intervals, so that two VMs never hand targets to each other.
+#: Minimum seconds between the stop signals of two VMs for the earlier one to hand its
+#: targets to the later one. Three heartbeat intervals, so that two VMs never hand
+#: targets to each other.
 MIN_STOP_DIFFERENCE_SECONDS = 0.45
 #: Seconds before the exit of the process at which it releases all targets.
 RELEASE_MARGIN_SECONDS = 1.5
--- a/src/heathercleat/steering/process/listeners.py
+++ b/src/heathercleat/steering/process/listeners.py
@@ -143,5 +143,5 @@
 
 
 async def _listen(address, serve):
-    """Accept connections at an address, with one task for each."""
+    """Accept connections at an address; serve each one in its own task."""
     await tcp_server(address.host, address.port, serve, backlog=BACKLOG)
--- a/src/heathercleat/steering/process/node.py
+++ b/src/heathercleat/steering/process/node.py
@@ -67,7 +67,8 @@
 #: Seconds between checks that may be less frequent: for slow targets, expired suspects
 #: and idle connections.
 INFREQUENT_CHECK_SECONDS = 0.5
-#: Used instead of ``MAINTENANCE_SECONDS`` without owned or missing targets.
+#: Used instead of ``MAINTENANCE_SECONDS`` while this VM owns no targets and none is
+#: missing; see :class:`TargetRegistry`.
 IDLE_MAINTENANCE_SECONDS = 0.25
 #: Seconds between two log lines with request counts.
 SUMMARY_SECONDS = 5.0
@@ -82,7 +83,8 @@
 
     :param settings: the :class:`NodeSettings`.
     :param metrics_port: port of the metrics page, or ``None``.
-    :param log_writer: counts dropped log lines; ``None`` if there is none.
+    :param log_writer: the :class:`LogWriter`, for its count of dropped lines, or
+        ``None``.
     :param clock: a :class:`Clock`; the system clock by default.
     """
 
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -46,7 +46,7 @@
             )
 
     def record_refusal(self, call, error, now):
-        """Record a request that this system refused or failed.
+        """Record a request that was refused or could not be completed.
 
         :param call: ``None`` when the request could not be parsed.
         """
@@ -122,6 +122,7 @@
         self._counts[key] = self._counts.get(key, 0) + 1
 
     def _write(self, event, **fields):
+        """Write a log line, or count it as omitted if the rate limit is reached."""
         now = self._clock.now()
         if now >= self._window_ends_at:
             if self._omitted_count:
--- a/src/heathercleat/steering/process/retry_detector.py
+++ b/src/heathercleat/steering/process/retry_detector.py
@@ -36,18 +36,18 @@
         if waits is None:
             waits = self._routes[route] = _Waits()
         waits.count(wait)
-        return max(0.0, waits.shortest_first() - wait)
+        return max(0.0, waits.min_first_attempt_wait() - wait)
 
 
 class _Waits:
     """Histogram of the waits of one route's requests."""
 
-    __slots__ = ("_longest", "_counts", "_edge")
+    __slots__ = ("_longest", "_counts", "_lowest_bucket")
 
     def __init__(self):
         self._longest = 0.0
         self._counts = Counter()
-        self._edge = BUCKETS
+        self._lowest_bucket = BUCKETS
 
     def count(self, wait):
         """Count the wait of one request, in seconds."""
@@ -60,19 +60,19 @@
         self._counts[min(BUCKETS - 1, int(wait / self._longest * BUCKETS))] += 1
         if self._counts.total() > MAX_COUNTED:
             self._halve()
-        self._edge = self._find_edge()
+        self._lowest_bucket = self._find_lowest_bucket()
 
-    def shortest_first(self):
+    def min_first_attempt_wait(self):
         """Return the shortest wait of first attempts, in seconds."""
-        return self._edge / BUCKETS * self._longest
+        return self._lowest_bucket / BUCKETS * self._longest
 
-    def _find_edge(self):
+    def _find_lowest_bucket(self):
         """Return the lowest bucket that first attempts fill."""
         min_count = DENSE_SHARE * max(self._counts.values())
-        edge = BUCKETS
-        while edge and self._counts[edge - 1] >= min_count:
-            edge -= 1
-        return min(edge, BUCKETS - 1)
+        lowest = BUCKETS
+        while lowest and self._counts[lowest - 1] >= min_count:
+            lowest -= 1
+        return min(lowest, BUCKETS - 1)
 
     def _halve(self):
         for bucket in self._counts:
--- a/src/heathercleat/steering/process/settings.py
+++ b/src/heathercleat/steering/process/settings.py
@@ -18,7 +18,19 @@
 
 
 class Bounds:
-    """Limits set by the operators, with their defaults; durations in seconds."""
+    """Limits set by the operators, with their defaults; durations in seconds.
+
+    :ivar stop_grace: time from the stop signal until the platform kills the process.
+    :ivar retry_ratio: retries allowed per request in a window.
+    :ivar retry_window: length of the sliding window for the retries of a service.
+    :ivar retry_slack: additional retries that all VMs together may send in a window.
+    :ivar cold_factor: allowed request rate of a cold target, as a multiple of the rate
+        that its service specifies.
+    :ivar cold_slack: requests per second that are allowed in addition to that rate.
+    :ivar lookup_ttl: maximum TTL of a client lookup.
+    :ivar shift_share: maximum share of the requests that may change region within two
+        seconds.
+    """
 
     __slots__ = (
         "stop_grace",
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -8,10 +8,10 @@
 NO_DEADLINE = float("inf")
 #: The process exits this many seconds before the platform kills it.
 KILL_MARGIN_SECONDS = 0.35
-#: Seconds before the exit from which ready responses are sent without waiting for
-#: earlier requests of their connection; long enough for a round trip.
+#: This many seconds before the exit, the process starts to send ready responses without
+#: waiting for earlier requests of their connection; long enough for a round trip.
 FLUSH_SECONDS = 0.25
-#: Maximum of each of these two margins, as a fraction of the grace period.
+#: Maximum of each of the two preceding durations, as a fraction of the grace period.
 MARGIN_SHARE = 1 / 12
 #: Seconds after the stop signal for which client connections are kept open, since
 #: clients with an old lookup result may still connect.
@@ -107,8 +107,8 @@
             once if another VM is serving, and otherwise after a delay.
         """
         if self.is_too_late(call, now):
-            mean = 0.0 if self._others_serve() else RESTART_SECONDS
-            retry_at = compute_retry_at(call, mean, now)
+            mean_wait = 0.0 if self._others_serve() else RESTART_SECONDS
+            retry_at = compute_retry_at(call, mean_wait, now)
             raise RequestError(ResultCode.NO_ROOM, LEAVING_REASON, retry_at)
 
     def is_too_late(self, call, now):
@@ -118,7 +118,8 @@
     def send_deadline(self, call):
         """Return the instant until which a request may be sent to a target.
 
-        :data:`NO_DEADLINE` if the request's own deadline is early enough.
+        :data:`NO_DEADLINE` if the request's own deadline is early enough; negative
+        infinity if the request arrived after :attr:`keep_alive_until`.
         """
         if call.deadline <= self.flush_at:
             return NO_DEADLINE
@@ -134,8 +135,8 @@
         :param route: a :class:`Route`.
         """
         needed = min(route.timeout, self._run_times.longest_bound(route.name))
-        whole = self.flush_at - self._began_at
-        return needed <= whole and now + needed > self.flush_at
+        total = self.flush_at - self._began_at
+        return needed <= total and now + needed > self.flush_at
 
     def estimate(self, call, now):
         """Return the :class:`CompletionEstimate` of a request.
