--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -25,10 +25,10 @@
 MAX_HEARTBEATS_PER_SECOND = 120
 #: Seconds for which a VM gets heartbeats after it asked for them.
 REPLY_SECONDS = 2.0
-#: Maximum VMs not known to be live that are probed in each full round, in this region
-#: and in others; in addition, as many VMs that other VMs report as live. The number for
-#: other regions is low, since traffic between regions is expensive and one contact
-#: suffices.
+#: Maximum VMs that this VM does not consider live but probes in each full round, in its
+#: region and in others; in addition, as many of those that other VMs report as live.
+#: The number for other regions is low, since traffic between regions is expensive and
+#: one contact suffices.
 PROBED_IN_REGION = 6
 PROBED_OUTSIDE_REGION = 2
 #: Seconds after the start during which every round is a full one, so that VMs that
@@ -37,7 +37,8 @@
 #: Seconds between rounds during the start in a large fleet, where each heartbeat has
 #: many updates.
 START_INTERVAL_SECONDS = 0.45
-#: Maximum unseen VMs that a starting VM contacts in one round.
+#: Maximum VMs that a starting VM contacts in one round without having received a
+#: heartbeat from them.
 MAX_CONTACTED = 300
 #: Seconds after the stop signal during which every round is a full one, so that a lost
 #: datagram does not keep this VM in the lookups of others.
@@ -79,10 +80,10 @@
     :param members: the :class:`Members`.
     :param capacity_reports: the :class:`CapacityReports` for received capacity reports.
     :param held_slots: the :class:`HeldSlots` for received reports of slots in use.
-    :param new_owners: returns the names of the VMs that own targets with requests from
-        this VM.
-    :param pop_new_owners: returns the names of the VMs that became owners of this VM's
-        targets since the last call.
+    :param new_owners: returns the names of the VMs that own former targets of this VM
+        on which its requests still run.
+    :param pop_new_owners: returns the names of the VMs that became owners of former
+        targets of this VM since the last call.
     :param suspects: the :class:`Suspects`.
     :param compose: returns a new :class:`Heartbeat` for an interval.
     :param on_heartbeat: a coroutine function that is called after each heartbeat.
@@ -228,7 +229,8 @@
     async def send(self, to_all=True):
         """Send one heartbeat to the VMs that handle requests.
 
-        :param to_all: whether to send it to other known VMs and unknown seeds too.
+        :param to_all: whether to send it also to other known VMs and to seeds that
+            belong to no known VM, as in a full round.
         """
         await self._send_all(self._receivers(to_all))
         for seed in self._unknown_seeds() if to_all else ():
@@ -255,9 +257,9 @@
     async def _send_all(self, members):
         """Send a heartbeat to some members, encoded once per :class:`HeartbeatKind`.
 
-        It has reports if both VMs handle requests, or if the receiver is starting. Only
-        partners get updates, to limit the traffic of weaker VMs; partners pass the
-        updates on.
+        It has reports if this VM handles requests and the receiver does too or is
+        starting. Only partners get updates, to limit the traffic of weaker VMs;
+        partners pass the updates on.
         """
         request_handling_vms, usual_interval = (
             self._members.request_handling_vms(),
@@ -285,10 +287,10 @@
         differs = member.suspects_digest != self._suspects.digest
         interval = (
             usual_interval
-            if includes_reports or self._is_starting_or_leaving(member)
+            if includes_reports or self._is_non_serving_partner(member)
             else IDLE_INTERVAL_SECONDS
         )
-        if includes_reports and self._is_in_other_region(member):
+        if includes_reports and self._gets_fewer_heartbeats(member):
             interval = ROUNDS_BETWEEN_REGIONS * usual_interval
         return HeartbeatKind(
             includes_reports, interval, is_partner, is_partner and differs
@@ -305,8 +307,8 @@
             heartbeat.suspects = [each.fields() for each in self._suspects.updates()]
         return heartbeat.pack()
 
-    def _is_in_other_region(self, member):
-        """Return whether a VM gets fewer heartbeats because of its region.
+    def _gets_fewer_heartbeats(self, member):
+        """Return whether a VM gets fewer heartbeats because it is in another region.
 
         ``False`` in a large fleet, where few heartbeats cross regions and the loss of a
         region would be detected too late.
@@ -316,10 +318,10 @@
         return member.region != self._settings.region
 
     async def _send_to(self, ip, body, vm):
-        echo = [self._clock.now(), *self._echo(vm), self._asks_for_replies(vm)]
+        trailer = [self._clock.now(), *self._echo(vm), self._asks_for_replies(vm)]
         address = ip, self._settings.gossip_port
         try:
-            await self._sock.sendto(body + msgpack.packb(echo), address)
+            await self._sock.sendto(body + msgpack.packb(trailer), address)
         except OSError as error:
             self._journal.write(Event.PEER_REJECTED, peer=vm, reason=repr(error))
 
@@ -395,11 +397,11 @@
             return True
         return self._reply_until.get(member.vm, 0.0) > self._clock.now()
 
-    def _is_starting_or_leaving(self, member):
-        """Return whether a VM is starting or leaving and gets every heartbeat.
+    def _is_non_serving_partner(self, member):
+        """Return whether a VM is a starting or leaving partner in a large fleet.
 
-        A starting or leaving VM answers lookups too, and has to learn of VMs that leave
-        at the same time. In a small fleet those VMs notify it directly.
+        Such a VM gets every heartbeat: it answers lookups too, and has to learn of VMs
+        that leave at the same time. In a small fleet those VMs notify it directly.
         """
         if member.is_serving or self._members.topology.is_mesh:
             return False
@@ -421,21 +423,21 @@
             receivers = [*receivers, *self._select_occasional(receivers)]
         elif self._round % ROUNDS_BETWEEN_REGIONS:
             receivers = [
-                each for each in receivers if not self._is_in_other_region(each)
+                each for each in receivers if not self._gets_fewer_heartbeats(each)
             ]
-        more = [*self._starting_or_leaving(), *self._live_new_owners()]
+        more = [*self._non_serving_partners(), *self._live_new_owners()]
         return list(dict.fromkeys([*receivers, *more]))
 
-    def _starting_or_leaving(self):
-        """Return the starting and leaving VMs that get every heartbeat."""
+    def _non_serving_partners(self):
+        """Return the starting and leaving partners, which get every heartbeat."""
         return [
             each
             for each in self._members.live_others()
-            if self._is_starting_or_leaving(each)
+            if self._is_non_serving_partner(each)
         ]
 
     def _live_new_owners(self):
-        """Return the live owners of targets with requests from this VM."""
+        """Return the live owners of former targets on which requests still run."""
         live = map(self._members.find_live, self._new_owners())
         return [each for each in live if each is not None]
 
@@ -461,7 +463,8 @@
         partners = [each for each in rest if self._is_partner(each)]
         silent = [each for each in rest if members.find_live(each.vm) is None]
         if self._is_starting():
-            # It may have received many heartbeats before it could send the first.
+            # This VM may learn that the fleet is large before it sends its first
+            # heartbeat. It still has to contact VMs that sent it none.
             return [*partners, *_sample_unseen(silent)]
         reported_alive = [each for each in silent if each.reported_alive]
         return [
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -99,14 +99,16 @@
         """
         for fields in self.news:
             if len(fields) != len(MemberUpdate.__slots__):
-                raise ValueError(f"{fields!r} is no news of a VM")
+                raise ValueError(f"{fields!r} is not a member update")
             if is_wanted(fields[VM_FIELD], fields[STAMP_FIELD]):
                 yield MemberUpdate(*fields)
 
 
-def _pack_updates(news):
+def _pack_updates(updates):
     """Return the compressed updates, or ``None`` if there are none."""
-    return zlib.compress(msgpack.packb(news), _COMPRESSION_LEVEL) if news else None
+    return (
+        zlib.compress(msgpack.packb(updates), _COMPRESSION_LEVEL) if updates else None
+    )
 
 
 def _unpack_updates(packed):
@@ -117,7 +119,7 @@
     if packed is None:
         return []
     try:
-        news = zlib.decompressobj().decompress(packed, _MAX_UPDATES_BYTES)
-    except zlib.error as fault:
-        raise ValueError(f"news that are not compressed: {fault}") from None
-    return msgpack.unpackb(news)
+        updates = zlib.decompressobj().decompress(packed, _MAX_UPDATES_BYTES)
+    except zlib.error as error:
+        raise ValueError(f"cannot decompress member updates: {error}") from None
+    return msgpack.unpackb(updates)
--- a/src/heathercleat/steering/process/membership/heartbeat_composer.py
+++ b/src/heathercleat/steering/process/membership/heartbeat_composer.py
@@ -72,16 +72,16 @@
         """Yield the slots that requests of this VM still use at targets of other VMs.
 
         The fields are the target id, the number of slots and the seconds until the
-        latest deadline of these requests, rounded up.
+        latest deadline of these requests, rounded up to hundredths.
         """
         now = self._clock.now()
         for target_id, _, count, deadline in self._ledger.handed_over_targets():
             yield [target_id, count, ceil(max(0.0, deadline - now) * 100) / 100]
 
     def _waits(self):
-        """Yield the name and the expected waits in seconds of each service.
+        """Yield the name and the expected waits of each service with owned targets.
 
-        Only services with owned targets; waits are ``None`` if no slot is in service.
+        See :class:`WaitEstimate`. The waits are ``None`` if no slot is usable.
         """
         for service in self._ledger.services():
             waits = self._admission.wait_estimate(service)
--- a/src/heathercleat/steering/process/membership/member.py
+++ b/src/heathercleat/steering/process/membership/member.py
@@ -1,4 +1,4 @@
-"""The state of one VM, as known to another VM."""
+"""The state of one VM, from its heartbeats and from updates of other VMs."""
 
 from enum import IntEnum
 
@@ -28,7 +28,7 @@
 
 
 class Member:
-    """The state of one VM, as known to this VM.
+    """The state of one VM, as last received by this VM.
 
     :param incarnation: identifies the process; a restarted VM has a higher one.
     :param stamp: version of the VM's state, increased by each update; the highest one
@@ -120,7 +120,7 @@
             self.stops_since = now
 
     def has_recent_heartbeat(self, now):
-        """Return whether this VM recently received a heartbeat of the VM."""
+        """Return whether the VM's last heartbeat arrived within its silence timeout."""
         return (
             self.last_heartbeat_at is not None
             and now - self.last_heartbeat_at <= self.silence_timeout
--- a/src/heathercleat/steering/process/membership/topology.py
+++ b/src/heathercleat/steering/process/membership/topology.py
@@ -71,12 +71,12 @@
         return self._monitored_since.get(vm)
 
     def extend_monitoring(self, failure_domain):
-        """Monitor additional VMs of a failure domain, from the next update."""
+        """Monitor additional VMs of a failure domain, from the next :meth:`update`."""
         until = self._clock.now() + EXTRA_MONITORING_SECONDS
         self._extra_monitoring_until[failure_domain] = until
 
     def is_outdated(self):
-        """Return whether additional monitoring ended since the last update."""
+        """Return whether additional monitoring ended since the last :meth:`update`."""
         now = self._clock.now()
         return any(until <= now for until in self._extra_monitoring_until.values())
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -458,8 +458,8 @@
     Mutation(
         "STOP-first-heartbeats-in-small-fleets-only",
         f"{STEERING}/process/membership/gossip.py",
-        "        if self._is_starting():\n            # It may",
-        "        if False:\n            # It may",
+        "        if self._is_starting():\n            # This VM may",
+        "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
         "first_greeting",
