--- a/src/heathercleat/steering/process/store/follower.py
+++ b/src/heathercleat/steering/process/store/follower.py
@@ -160,7 +160,7 @@
     async def run(self):
         """Follow the table until cancelled."""
         while True:
-            if self._can_read():
+            if self._should_read_store():
                 await sleep(await self._read_and_watch_peers())
             else:
                 self._update_outage()
@@ -180,7 +180,7 @@
         async with ignore_after(IDLE_PEER_INTERVAL_SECONDS):
             await self._newer_announced.wait()
 
-    def _can_read(self):
+    def _should_read_store(self):
         if not self._is_loaded:
             return True
         if self._is_reader():
--- a/src/heathercleat/steering/process/store/member_rows.py
+++ b/src/heathercleat/steering/process/store/member_rows.py
@@ -19,8 +19,8 @@
     """
     fields = msgpack.unpackb(row.value)
     if not isinstance(fields, list) or len(fields) != 3:
-        raise ValueError(f"{fields!r} is not an address, a failure domain, a region")
+        raise ValueError(f"{fields!r} is not a list of address, failure domain, region")
     if not all(isinstance(each, str) and each for each in fields):
-        raise ValueError(f"{fields!r} has to hold three texts")
+        raise ValueError(f"{fields!r} contains a value that is not a non-empty string")
     IPv4Address(fields[0])
     return Member(row.key, *fields)
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -147,9 +147,9 @@
             if self._change_versions.get(key, row.version) > version
         ]
         rows.extend(
-            StoreRow(key, None, removed)
-            for key, removed in self._removals.items()
-            if removed > version
+            StoreRow(key, None, removal_version)
+            for key, removal_version in self._removals.items()
+            if removal_version > version
         )
         return Snapshot(
             self._version,
@@ -168,9 +168,9 @@
             self._removals_since = max(self._removals_since, self._gaps.pop(0).until)
 
     def _merge_row(self, row):
-        """Merge one changed row; return whether it was new."""
+        """Merge one changed row; return whether it changed this copy."""
         known = self._rows.get(row.key)
-        if row.version <= (known.version if known else self._removed_at(row.key)):
+        if row.version <= (known.version if known else self._removal_version(row.key)):
             return False
         if row.value is None:
             self._rows.pop(row.key, None)
@@ -180,7 +180,7 @@
         self._rows[row.key] = row
         return True
 
-    def _removed_at(self, key):
+    def _removal_version(self, key):
         """Return the latest version at which the table is known not to have a row."""
         return max(self._removals_since, self._removals.get(key, 0))
 
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -166,7 +166,7 @@
         newest_announced_version,
         is_reader=None,
         remaining_use_seconds=dict,
-        on_store_return=lambda since: None,
+        on_store_return=lambda earliest_end: None,
     ):
         async def fetch_newer(version, since):
             return await self._fetch_from_nearest(table, version, since, version_of)
@@ -261,7 +261,7 @@
             return known
         entry = decode_target(row)
         if entry.failure_domain not in self._settings.regions:
-            raise ValueError(f"no failure domain has the name {entry.failure_domain!r}")
+            raise ValueError(f"unknown failure domain {entry.failure_domain!r}")
         return entry
 
     def _apply_member_rows(self, snapshot):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -277,7 +277,7 @@
     Mutation(
         "DRAIN-older-row-version",
         f"{STEERING}/process/store/table_copy.py",
-        "row.version <= (known.version if known else self._removed_at(row.key))",
+        "row.version <= (known.version if known else self._removal_version(row.key))",
         "False",
         "tests/test_follower.py",
         "-k",
