--- a/src/heathercleat/steering/process/warm_connections.py
+++ b/src/heathercleat/steering/process/warm_connections.py
@@ -55,6 +55,6 @@
             checkout = self._pool.checkout(ip, self._port, fresh=True)
             stream = await with_deadline(deadline, self._clock, checkout)
         except (OSError, TimeoutError):
-            # The failure detector reports unreachable VMs.
+            # Unreachable VMs are detected by their missing heartbeats.
             return
         await self._pool.add_unused(ip, self._port, stream)
