--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -277,7 +277,7 @@
     Mutation(
         "DRAIN-older-row-version",
         f"{STEERING}/process/store/table_copy.py",
-        "row.version <= (known.version if known else self._removed_at(row.key))",
+        "row.version <= (known.version if known else self._removal_version(row.key))",
         "False",
         "tests/test_follower.py",
         "-k",
@@ -458,8 +458,8 @@
     Mutation(
         "STOP-first-heartbeats-in-small-fleets-only",
         f"{STEERING}/process/membership/gossip.py",
-        "        if self._is_starting():\n            # It may",
-        "        if False:\n            # It may",
+        "        if self._is_starting():\n            # This VM may",
+        "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
         "first_greeting",
