--- a/src/heathercleat/process/capacity/admission.py
+++ b/src/heathercleat/process/capacity/admission.py
@@ -173,10 +173,11 @@
         """
         return self._estimate_wait(service, self._local_slots(service))
 
-    def _wait_with_leases(self, service):
-        """Return the estimated wait in seconds if local and leased slots are in use.
+    def _expected_wait_with_leases(self, service):
+        """Return the estimated wait in seconds if all usable slots are in use.
 
-        It is for a request added at the end of the queue.
+        It is for a request added at the end of the queue, and counts both local and
+        leased slots.
         """
         slots = self._local_slots(service) + self._leased_slots(service)
         return self._estimate_wait(service, slots)
@@ -189,7 +190,9 @@
         """
         if self._holder.last_shortfall_at(service.name) < queue.last_empty_at:
             return False
-        return max_wait < self._wait_with_leases(service) < UNBOUNDED_WAIT_SECONDS
+        return (
+            max_wait < self._expected_wait_with_leases(service) < UNBOUNDED_WAIT_SECONDS
+        )
 
     def _local_slots(self, service):
         if not self._membership.may_act_as_home():
@@ -303,12 +306,12 @@
         finally:
             if watcher is not None:
                 await watcher.cancel()
-        if waiter.has_caller_left:
+        if waiter.has_caller_disconnected:
             raise CallerDisconnectedError
 
     async def _watch_caller(self, waiter):
         if await waiter.request.stream.wait_closed():
-            waiter.has_caller_left = True
+            waiter.has_caller_disconnected = True
             await waiter.signal.set()
 
     async def _enqueue(self, queue, waiter):
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -1,8 +1,9 @@
 """Cache of the entry VMs that look-ups return.
 
 Ranking failure domains and assigning targets to homes is expensive with thousands of
-VMs, and the result rarely changes. An entry is valid until the configuration or the VM
-list changes, and expires soon because drains start at fixed times.
+VMs, and the result rarely changes. A cached result is discarded when the configuration,
+the VM list or the membership changes, and after a short time, because drains begin and
+end without such a change.
 """
 
 from dataclasses import dataclass
@@ -10,7 +11,7 @@
 
 from heathercleat.version.domain_ranking import DomainRanking
 
-#: Lifetime of a cache entry in seconds; a drain may be noticed this much later.
+#: Lifetime of a cached result in seconds, and maximum delay until a drain is applied.
 CACHE_TTL_SECONDS = 0.2
 #: Maximum number of failure domains besides the best one.
 MAX_FALLBACK_DOMAINS = 3
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True)
 class DomainVms:
-    """The entry VMs of one failure domain, weighted by the slots they are the home of.
+    """The entry VMs of one failure domain, weighted by the slots homed at each.
 
     ``weighted`` has pairs of VM and weight; ``cumulative_weights`` has the running sums
     of the weights, for :func:`random.choices`.
@@ -33,7 +34,10 @@
 
 @dataclass(slots=True)
 class Candidates:
-    """Cached failure domains for a service and a caller's domain, best first."""
+    """Cached :class:`DomainVms` for a service and a caller's domain, best first.
+
+    ``state`` identifies the configuration, VM list and membership that were used.
+    """
 
     domains: list
     state: tuple
@@ -102,7 +106,7 @@
 
 
 def _count_slots(text, service, domain, names):
-    """Return ``{VM name: slots of the service that it is the home of}``."""
+    """Return ``{VM name: slots of the service that are homed there}``."""
     weights = dict.fromkeys(names, 0)
     homes = text.placement.homes(domain, names)
     for target in service.targets_in(domain):
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -46,7 +46,9 @@
 class TargetHealth:
     """The state of one target.
 
-    ``latency`` is a moving average in seconds; instants are of ``clock.now()``.
+    ``failures`` and ``failed_probes`` count consecutive ones. ``latency`` is a moving
+    average in seconds. ``probe_state`` is the state in the last response to a probe.
+    Instants are of ``clock.now()``.
     """
 
     failures: int = 0
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -55,9 +55,9 @@
     :param membership: the :class:`Membership` of the failure domain.
     :param ledger: the slots of the homed targets.
     :param links: the :class:`PeerLinks` to other VMs.
-    :param records: the latest instants until which requests of other homes may occupy
-        targets, as these homes announced.
-    :param publisher: announces the occupancy bounds of this VM.
+    :param records: the :class:`OccupancyRecords`, bounds that other homes announced.
+    :param publisher: the :class:`OccupancyPublisher`, which announces the bounds of
+        this VM.
     """
 
     def __init__(self, vm, membership, ledger, links, records, publisher, clock):
--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -32,7 +32,7 @@
 #: makes it up to twice as long.
 MIN_FULL_SECONDS = 0.05
 #: Slots of a service that are not leased to other failure domains.
-LOCAL_RESERVE = 1
+LOCAL_RESERVE_SLOTS = 1
 #: Maximum number of failure domains, nearest first, that a search includes.
 MAX_DOMAINS = 6
 CHECK_INTERVAL_SECONDS = 0.05
@@ -160,7 +160,8 @@
         ]
         available = sum(entry.free(now) for entry in entries)
         if failure_domain != self._vm.settings.failure_domain:
-            available = (available - LOCAL_RESERVE + 1) // 2
+            # The other half stays available to requests of this failure domain.
+            available = (available - LOCAL_RESERVE_SLOTS + 1) // 2
         if available <= 0:
             return None
         entry = max(entries, key=lambda entry: entry.grantable(failure_domain, now))
@@ -259,7 +260,7 @@
         if now >= lease.expires_at:
             leases.remove(lease)
             return
-        # During a renewal, the response could restore the slots returned meanwhile.
+        # Not during a renewal: its response could restore the returned slots.
         if not lease.is_renewing and now >= lease.idle_at and lease.shrink_to_peak(now):
             message = LeaseReturn(lease.id, lease.slots)
             await spawn(self._call, lease.host, message, daemon=True)
@@ -280,34 +281,36 @@
 
     async def _search(self, service, want, avoid):
         try:
-            for entry, latency in self._candidates(service):
+            for granter, latency in self._candidates(service):
                 if want <= 0:
                     return
-                want -= await self._request_lease(service, entry, latency, want, avoid)
+                want -= await self._request_lease(
+                    service, granter, latency, want, avoid
+                )
             if want > 0:
                 self._last_shortfall_at[service.name] = self._clock.now()
         finally:
             self._searching.discard(service.name)
 
-    async def _request_lease(self, service, entry, latency, want, avoid):
+    async def _request_lease(self, service, granter, latency, want, avoid):
         """Request a lease from one VM and return the number of granted slots."""
         request = LeaseRequest(service.name, want, avoid)
-        grant = await self._call(entry.host, request)
+        grant = await self._call(granter.host, request)
         if not isinstance(grant, LeaseGrant):
             return 0
         if not grant.slots:
             full_until = from_wall(self._clock, grant.full_until)
-            self._full_until[service.name, entry.name] = full_until
+            self._full_until[service.name, granter.name] = full_until
             return 0
-        lease = self._to_lease(service, entry, latency, grant)
+        lease = self._to_lease(service, granter, latency, grant)
         self._leases.setdefault(service.name, []).append(lease)
         await self._lease_gained.set()
         self._vm.journal.write(
             Event.LEASE_TAKEN,
             service=service.name,
             target=lease.target,
-            granter=entry.name,
-            granter_domain=entry.failure_domain,
+            granter=granter.name,
+            granter_domain=granter.failure_domain,
             slots=lease.slots,
             want=want,
         )
@@ -315,14 +318,14 @@
             await self._on_lease_gained(service.name)
         return lease.slots
 
-    def _to_lease(self, service, entry, latency, grant):
+    def _to_lease(self, service, granter, latency, grant):
         return HeldLease(
             grant.lease_id,
             service.name,
             grant.target,
-            entry.name,
-            entry.host,
-            entry.failure_domain,
+            granter.name,
+            granter.host,
+            granter.failure_domain,
             grant.slots,
             from_wall(self._clock, grant.expires_at),
             latency,
@@ -336,7 +339,7 @@
             return None
 
     def _candidates(self, service):
-        """Yield ``(VM, latency)`` of VMs that may grant a lease, nearest first."""
+        """Yield ``(home, latency)`` of homes that may grant a lease, nearest first."""
         yield from self._skip_full(service, self._reachable(self._find_homes(service)))
 
     def _find_homes(self, service):
@@ -344,9 +347,9 @@
         domains = {target.failure_domain for target in service.targets.values()}
         for domain in text.nearest(here, domains)[:MAX_DOMAINS]:
             latency = text.latency_between(here, domain)
-            for entry in self._homes_in(domain, service):
-                if entry.name != self._vm.name:
-                    yield entry, latency
+            for home in self._homes_in(domain, service):
+                if home.name != self._vm.name:
+                    yield home, latency
 
     def _homes_in(self, domain, service):
         placement = self._vm.text.placement
@@ -356,12 +359,12 @@
         return homes
 
     def _reachable(self, homes):
-        for entry, latency in homes:
-            if self._links.link_to(entry.host).is_reachable:
-                yield entry, latency
+        for home, latency in homes:
+            if self._links.link_to(home.host).is_reachable:
+                yield home, latency
 
     def _skip_full(self, service, homes):
-        for entry, latency in homes:
-            full_until = self._full_until.get((service.name, entry.name), 0.0)
+        for home, latency in homes:
+            full_until = self._full_until.get((service.name, home.name), 0.0)
             if full_until <= self._clock.now():
-                yield entry, latency
+                yield home, latency
--- a/src/heathercleat/process/capacity/occupancy.py
+++ b/src/heathercleat/process/capacity/occupancy.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OccupancyBound:
-    """The bound that a monitor knows for a target of a failed home.
+    """The bound that a monitor recorded for a target of a failed home.
 
     The target may be occupied until ``occupied_until``, in epoch seconds.
     ``has_exited`` is true if the process of the home has exited and its own requests
@@ -43,15 +43,15 @@
 
 
 @dataclass(slots=True)
-class AcknowledgedEdition:
-    """The latest edition of the bounds that a monitor acknowledged.
+class AcknowledgedRevision:
+    """The latest revision of the bounds that a monitor acknowledged.
 
-    The edition rises with each change. ``incarnation`` is that of the monitor, which
-    loses the bounds when it restarts.
+    The revision increases with each change. ``incarnation`` is that of the monitor,
+    which loses the bounds when it restarts.
     """
 
     incarnation: int
-    edition: int
+    revision: int
 
 
 class OccupancyPublisher:
@@ -69,13 +69,13 @@
         self._clock = clock
         self._bounds = {}
         self._inherited_until = {}
-        self._editions = {}
-        self._edition = 0
+        self._revisions = {}
+        self._revision = 0
         self._acknowledged = {}
         self._lock = Lock()
 
     async def ensure_announced(self, target, deadline):
-        """Wait until every monitor knows a bound of at least ``deadline`` for a target.
+        """Wait until every monitor has a bound of at least ``deadline`` for a target.
 
         :param deadline: an instant of ``clock.now()``.
         :raises RequestError: if a monitor does not acknowledge; the request is not run.
@@ -85,23 +85,23 @@
         async with self._lock:
             if self._bounds.get(target, 0.0) < deadline:
                 self._set_bound(target, deadline + ANNOUNCEMENT_MARGIN_SECONDS)
-            if not await self._announce_all(self._editions[target]):
+            if not await self._announce_all(self._revisions[target]):
                 message = "the monitors of this VM did not answer"
                 raise RequestError(ResultCode.NO_ROOM, message)
 
-    async def update(self, holds):
+    async def update(self, hold_ends):
         """Announce the bounds if the targets homed here or the monitors have changed.
 
-        :param holds: ``{target name: instant}`` until which requests admitted by
+        :param hold_ends: ``{target name: instant}`` until which requests admitted by
             earlier homes may occupy the target.
         """
         async with self._lock:
-            for target in [name for name in self._bounds if name not in holds]:
+            for target in [name for name in self._bounds if name not in hold_ends]:
                 del self._bounds[target]
                 self._inherited_until.pop(target, None)
-                del self._editions[target]
-                self._edition += 1
-            for target, until in holds.items():
+                del self._revisions[target]
+                self._revision += 1
+            for target, until in hold_ends.items():
                 if until > self._inherited_until.get(target, DISTANT_PAST):
                     self._inherited_until[target] = until
                     self._set_bound(
@@ -109,15 +109,15 @@
                         max(until, self._bounds.get(target, DISTANT_PAST)),
                     )
             if self._bounds or self._acknowledged:
-                await self._announce_all(self._edition)
+                await self._announce_all(self._revision)
 
     def _set_bound(self, target, bound):
-        self._edition += 1
+        self._revision += 1
         self._bounds[target] = bound
-        self._editions[target] = self._edition
+        self._revisions[target] = self._revision
 
-    async def _announce_all(self, edition):
-        """Announce an edition to the monitors that have not acknowledged it.
+    async def _announce_all(self, revision):
+        """Announce a revision to the monitors that have not acknowledged it.
 
         :return: whether all of them acknowledged.
         """
@@ -129,7 +129,7 @@
             if name in names
         }
         missing = [
-            each for each in monitors if not self._has_acknowledged(each, edition)
+            each for each in monitors if not self._has_acknowledged(each, revision)
         ]
         if not missing:
             return True
@@ -137,16 +137,16 @@
             tasks = [await group.spawn(self._announce, member) for member in missing]
         return all(task.result for task in tasks)
 
-    def _has_acknowledged(self, member, edition):
+    def _has_acknowledged(self, member, revision):
         acknowledged = self._acknowledged.get(member.vm)
         return (
             acknowledged is not None
             and acknowledged.incarnation == member.incarnation
-            and acknowledged.edition >= edition
+            and acknowledged.revision >= revision
         )
 
     async def _announce(self, member):
-        edition = self._edition
+        revision = self._revision
         bounds = {
             target: [
                 to_wall(self._clock, until),
@@ -159,7 +159,9 @@
             await self._links.call(member.host, notice)
         except PeerError:
             return False
-        self._acknowledged[member.vm] = AcknowledgedEdition(member.incarnation, edition)
+        self._acknowledged[member.vm] = AcknowledgedRevision(
+            member.incarnation, revision
+        )
         return True
 
 
@@ -175,13 +177,14 @@
         self._clock = clock
         self._records = {}
 
-    def record(self, vm, incarnation, bounds):
+    def record(self, home, incarnation, bounds):
         """Replace the bounds of a home.
 
-        :param bounds: ``{target name: [until, until for earlier homes]}`` in epoch
-            seconds.
+        :param home: name of the home.
+        :param bounds: ``{target name: [until, inherited until]}`` in epoch seconds; the
+            second is the bound for requests admitted by earlier homes.
         """
-        self._records[vm] = incarnation, bounds
+        self._records[home] = incarnation, bounds
 
     def clear(self):
         """Remove all bounds, after a pause in which announcements were missed."""
@@ -189,21 +192,24 @@
 
     def bounds_for(self, targets):
         """Yield the :class:`OccupancyBound` of each target for each failed home."""
-        for vm, (incarnation, bounds) in self._records.items():
-            if not self._membership.was_monitored_until_end(vm, incarnation):
+        for home, (incarnation, bounds) in self._records.items():
+            if not self._membership.was_monitored_until_end(home, incarnation):
                 continue
-            has_exited = self._has_exited(vm, incarnation)
+            has_exited = self._has_exited(home, incarnation)
             for target in targets:
                 if target in bounds:
                     until, inherited_until = bounds[target]
                     yield OccupancyBound(
-                        target, vm, inherited_until if has_exited else until, has_exited
+                        target,
+                        home,
+                        inherited_until if has_exited else until,
+                        has_exited,
                     )
 
-    def _has_exited(self, vm, incarnation):
-        # Another VM that failed recently may have been the home for a short time.
+    def _has_exited(self, home, incarnation):
+        # Another VM that failed recently may also have been the home for a short time.
         return self._membership.has_exited(
-            vm, incarnation
+            home, incarnation
         ) and self._membership.have_recent_dead_exited(UNCERTAIN_HOME_SECONDS)
 
 
@@ -225,10 +231,12 @@
             bound_by_home[each.home] = each
     if not bound_by_home:
         return latest_possible
-    occupied = max(_occupied(clock, each, now) for each in bound_by_home.values())
-    return min(latest_possible, occupied)
+    latest_bound = max(
+        _bound_until(clock, each, now) for each in bound_by_home.values()
+    )
+    return min(latest_possible, latest_bound)
 
 
-def _occupied(clock, bound, now):
+def _bound_until(clock, bound, now):
     earliest = now if bound.has_exited else now + MAX_UNANNOUNCED_SECONDS
     return max(from_wall(clock, bound.occupied_until), earliest)
--- a/src/heathercleat/process/capacity/queue.py
+++ b/src/heathercleat/process/capacity/queue.py
@@ -15,7 +15,8 @@
 class Waiter:
     """A queued request.
 
-    ``signal`` is set together with ``permit``, ``is_evicted`` or ``has_caller_left``.
+    ``signal`` is set together with ``permit``, ``is_evicted`` or
+    ``has_caller_disconnected``.
     """
 
     request: object
@@ -24,7 +25,7 @@
     signal: Signal = field(default_factory=Signal)
     permit: object = None
     is_evicted: bool = False
-    has_caller_left: bool = False
+    has_caller_disconnected: bool = False
 
     @property
     def eviction_rank(self):
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -177,6 +177,7 @@
         return self._vm.text.placement.homes(domain, names)
 
     def _shares(self, service):
+        """Return ``{failure domain: share of the service's callers it can serve}``."""
         now = self._clock.now()
         cached = self._cached.get(service.name)
         if cached is None or cached.expires_at <= now:
--- a/src/heathercleat/process/capacity/retry_budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -1,6 +1,6 @@
 """A retry budget: limits retries to a fraction of the requests."""
 
-#: Retries added to the budget by each request.
+#: Retries added to the budget by each first attempt.
 RETRY_RATIO = 0.1
 #: Maximum number of retries in the budget.
 MAX_BALANCE = 10.0
@@ -24,7 +24,7 @@
         return self._balance
 
     def deposit(self):
-        """Add the retries of a first attempt to the budget."""
+        """Add the ratio to the budget, for a first attempt."""
         self._balance = min(self._max_balance, self._balance + self._ratio)
 
     def withdraw(self):
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -14,7 +14,7 @@
 
 #: Seconds for which a cancelled request may still occupy its target.
 CANCEL_GRACE_SECONDS = 0.25
-#: Maximum difference in seconds between the clocks of two VMs.
+#: Maximum clock skew between two VMs, in seconds.
 MAX_CLOCK_SKEW_SECONDS = 0.25
 #: Bits of the random first id, so that the ids of two homes of a target differ.
 INITIAL_ID_BITS = 48
@@ -22,7 +22,11 @@
 
 @dataclass(slots=True)
 class SlotUse:
-    """A request that occupies a slot; ``lease`` is ``None`` for one of this VM."""
+    """A request that occupies a slot.
+
+    ``lease`` is ``None`` if this VM received the request, and otherwise the lease under
+    which another VM sent it.
+    """
 
     id: int
     target: str
@@ -67,8 +71,8 @@
 
 
 @dataclass(slots=True)
-class HandedOver:
-    """The state of a target that its home hands over.
+class TargetHandover:
+    """The state of a target that its home hands over to the next home.
 
     ``holds`` has a :class:`Hold` for each occupied slot, ``levels`` the points of the
     :class:`ShiftWindow`.
@@ -92,7 +96,7 @@
     leases: dict = field(default_factory=dict)
     holds: list = field(default_factory=list)
     link_limits: dict = field(default_factory=dict)
-    shift: ShiftWindow | None = None
+    shift_window: ShiftWindow | None = None
     is_closed: bool = False
     block_reason: str | None = None
     warm_up_started_at: float = 0.0
@@ -149,8 +153,8 @@
         free = self.free(now)
         if failure_domain == self.target.failure_domain:
             return free
-        if self.shift is not None:
-            free = min(free, self.shift.headroom(self.foreign(now), now))
+        if self.shift_window is not None:
+            free = min(free, self.shift_window.headroom(self.foreign(now), now))
         link_limit = self.link_limits.get(failure_domain)
         if link_limit is not None:
             free = min(free, link_limit - self.foreign(now, failure_domain))
@@ -169,10 +173,10 @@
         for id_ in expired:
             del self.leases[id_]
 
-    def record_spill(self, now):
+    def record_foreign(self, now):
         """Record the slots used by other failure domains in the shift window."""
-        if self.shift is not None:
-            self.shift.record(self.foreign(now), now)
+        if self.shift_window is not None:
+            self.shift_window.record(self.foreign(now), now)
 
 
 class SlotLedger:
@@ -205,10 +209,10 @@
             target,
             holds=list(holds),
             link_limits=link_limits or {},
-            shift=_shift_window(target),
+            shift_window=_shift_window(target),
         )
-        if entry.shift is not None:
-            entry.shift.resume(levels)
+        if entry.shift_window is not None:
+            entry.shift_window.resume(levels)
         self._targets[target.name] = entry
         self._build_index()
         return entry
@@ -217,11 +221,11 @@
         """Update a homed target from a new version of the configuration."""
         entry = self._targets[target.name]
         cap = target.shift_cap
-        if entry.shift is None or cap is None:
-            entry.shift = _shift_window(target)
-            entry.record_spill(self._clock.now())
+        if entry.shift_window is None or cap is None:
+            entry.shift_window = _shift_window(target)
+            entry.record_foreign(self._clock.now())
         else:
-            entry.shift.reconfigure(cap.slots, cap.window)
+            entry.shift_window.reconfigure(cap.slots, cap.window)
         entry.target = target
         entry.link_limits = link_limits
         self._build_index()
@@ -229,9 +233,9 @@
     def hand_over(self, name, receiver):
         """Stop being the home of a target.
 
-        :param receiver: name of the new home, to which :meth:`release` refers later, or
-            ``None``.
-        :return: a :class:`HandedOver`, or ``None`` if this VM is not the home.
+        :param receiver: name of the new home, or ``None`` if there is none;
+            :meth:`release` returns it when a request that still runs has ended.
+        :return: a :class:`TargetHandover`, or ``None`` if this VM is not the home.
         """
         entry = self._targets.pop(name, None)
         if entry is None:
@@ -239,11 +243,11 @@
         self._build_index()
         now = self._clock.now()
         entry.is_closed = True
-        entry.record_spill(now)
+        entry.record_foreign(now)
         for use in entry.uses.values():
             self._handed_over[use.id] = receiver
-        levels = entry.shift.points if entry.shift is not None else []
-        return HandedOver(list(_occupied_slots(entry, now)), levels)
+        levels = entry.shift_window.points if entry.shift_window is not None else []
+        return TargetHandover(list(_occupied_slots(entry, now)), levels)
 
     def drop_all(self):
         """Stop being the home of every target, after this VM was declared dead."""
@@ -281,7 +285,7 @@
             expires_at,
         )
         entry.leases[lease.id] = lease
-        entry.record_spill(self._clock.now())
+        entry.record_foreign(self._clock.now())
         return lease
 
     def renew(self, lease_id, expires_at):
@@ -334,7 +338,7 @@
             lease.expires_at = now
         entry = self._targets[lease.target]
         entry.prune(now)
-        entry.record_spill(now)
+        entry.record_foreign(now)
 
     def release(self, use, is_finished):
         """Release the slot of a request.
@@ -352,7 +356,7 @@
             use.lease.uses -= 1
         if not is_finished:
             self._hold_slot(entry, use, now)
-        entry.record_spill(now)
+        entry.record_foreign(now)
         return receiver
 
     def release_hold(self, target, use_id):
@@ -361,7 +365,7 @@
         if entry is None:
             return
         entry.holds = [hold for hold in entry.holds if hold.use_id != use_id]
-        entry.record_spill(self._clock.now())
+        entry.record_foreign(self._clock.now())
 
     def _hold_slot(self, entry, use, now):
         # Take the slot from the lease: its holder could otherwise use it again while
