--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -144,7 +144,7 @@
             return _unpack(row.value)
         row = await self._platform.read(row_key)
         if row is None:
-            raise PlatformError("a row that stands could not be read")
+            raise PlatformError("the claim row exists but could not be read")
         return _unpack(row.value)
 
     async def _write(self, key, value, version):
--- a/src/heathercleat/process/at_most_once/deduplication.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -1,4 +1,4 @@
-"""Deduplication of the requests under the tickets of this process."""
+"""Deduplication of the requests that carry tickets of this process."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -67,24 +67,25 @@
         """
         now = self._clock.wall()
         self._remove_expired(now)
-        known = self._entries.get((ticket.id, key))
-        if known is None:
+        entry = self._entries.get((ticket.id, key))
+        if entry is None:
             return self._begin_new(ticket, key, digest, now), True
-        if known.state is EntryState.CLOSED:
+        if entry.state is EntryState.CLOSED:
             raise RequestError(
                 ResultCode.TICKET_CLOSED, "another VM closed this ticket and key"
             )
-        if known.digest != digest:
+        if entry.digest != digest:
             raise RequestError(
-                ResultCode.KEY_REUSED, f'key "{key}" came with another request before'
+                ResultCode.KEY_REUSED,
+                f'key "{key}" was already used for another request',
             )
-        if known.state is EntryState.NOT_RUN:
+        if entry.state is EntryState.NOT_RUN:
             if now >= ticket.expires_at:
                 raise RequestError(ResultCode.TICKET_EXPIRED, "the ticket has expired")
-            known.state = EntryState.RUNNING
-            known.finished = Signal()
-            return known, True
-        return known, False
+            entry.state = EntryState.RUNNING
+            entry.finished = Signal()
+            return entry, True
+        return entry, False
 
     async def finish(self, entry, state, outcome=None):
         """Record the end of a run and wake the client retries that wait for it."""
@@ -139,5 +140,5 @@
     :raises RequestError: if the ticket is too old.
     """
     if now >= expires_at + MAX_REPORTED_AGE_SECONDS:
-        message = "the ticket is too old to know its outcome"
+        message = "the ticket is too old: its outcome may have been deleted"
         raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -83,7 +83,7 @@
                 self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
                 if (
-                    self._vm.vm_directory.is_known
+                    self._vm.vm_directory.is_loaded
                     and self._membership.may_act_as_home()
                 ):
                     await self._acquire_missing()
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -136,7 +136,7 @@
         async with TaskGroup() as group:
             for name, host in hosts.items():
                 await group.spawn(self._poll, name, host)
-        if self._vm.vm_directory.is_known:
+        if self._vm.vm_directory.is_loaded:
             await self._polled.set()
 
     async def _poll(self, name, host):
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -83,8 +83,8 @@
             else:
                 last_error = None
         if last_error is None or not may_have_written:
-            raise last_error or PlatformError("the head row changes all the time")
-        message = f"the platform did not say whether edit {edit.id} took effect"
+            raise last_error or PlatformError("the head row kept changing")
+        message = f"the platform did not confirm whether edit {edit.id} took effect"
         raise HeathercleatError(ResultCode.EDIT_UNKNOWN, message)
 
     async def history(self):
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -42,7 +42,7 @@
 
 
 class ConfigurationManager:
-    """Tracks the latest configuration and VM list known to this VM.
+    """Tracks the latest configuration and VM list that this VM has received.
 
     :param vm: the process, which is notified of each new version.
     :param platform: the platform client.
@@ -225,7 +225,7 @@
             await spawn(self._exchange, choice(others).host, daemon=True)
 
     async def _exchange(self, host):
-        """Exchange versions with a peer and fetch what it has in a newer version."""
+        """Exchange versions with a peer and fetch from it if one of its is newer."""
         local = Announcement(self._version, self._directory.serial)
         try:
             remote = await self._links.call(host, local)
@@ -251,10 +251,10 @@
     def _record_listed(self, entry, domain):
         """Record a listed VM as a member, with its last known incarnation.
 
-        Begins a graceful shutdown if the list has this VM as leaving.
+        Begins a graceful shutdown if the list marks this VM as leaving.
         """
-        known = self._membership.members.get(entry.name)
-        incarnation = known.incarnation if known is not None else 0
+        member = self._membership.members.get(entry.name)
+        incarnation = member.incarnation if member is not None else 0
         state = MemberState.LEAVING if entry.leaving else MemberState.LIVE
         if entry.name == self._vm.name:
             if entry.leaving:
--- a/src/heathercleat/process/membership/directory.py
+++ b/src/heathercleat/process/membership/directory.py
@@ -16,7 +16,7 @@
         self._by_name = {}
 
     @property
-    def is_known(self):
+    def is_loaded(self):
         """Return whether a list has been received."""
         return self._list is not None
 
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -97,7 +97,7 @@
         """
         for member in self._membership.monitored():
             if member.vm == name:
-                await spawn(self._probe_suspect, member, daemon=True)
+                await spawn(self._probe_member, member, daemon=True)
 
     async def _start_tasks(self):
         """Start a heartbeat task for each new monitor and cancel those of others."""
@@ -118,13 +118,13 @@
                 pass
             await sleep(HEARTBEAT_INTERVAL_SECONDS)
 
-    async def _probe_suspect(self, suspected):
+    async def _probe_member(self, probed):
         for _ in range(MAX_PROBES):
             await sleep(PROBE_INTERVAL_SECONDS)
-            if await self._membership.exchange_views(suspected.host):
+            if await self._membership.exchange_views(probed.host):
                 return
-            member = self._membership.members.get(suspected.vm)
-            if member is None or member.incarnation != suspected.incarnation:
+            member = self._membership.members.get(probed.vm)
+            if member is None or member.incarnation != probed.incarnation:
                 return
             if self._links.link_to(member.host).is_refused:
                 await self.record_exit(member)
--- a/src/heathercleat/process/membership/member.py
+++ b/src/heathercleat/process/membership/member.py
@@ -28,12 +28,13 @@
 
     Instants are of ``clock.now()``:
 
-    - ``heartbeat_silent_since``: last heartbeat from this VM, moved forward by pauses
-      of this process
-    - ``acked_at``: when the last heartbeat that this VM acknowledged was sent
-    - ``silent_since``: last heartbeat or acknowledgement, moved forward by pauses
-    - ``last_heartbeat_at``: last heartbeat from this VM
-    - ``died_at``: when this VM was declared dead
+    - ``heartbeat_silent_since``: last heartbeat from the member, moved forward by
+      pauses of this process
+    - ``acked_at``: when the last heartbeat that the member acknowledged was sent
+    - ``silent_since``: last heartbeat or acknowledgement from the member, moved forward
+      by pauses of this process
+    - ``last_heartbeat_at``: last heartbeat from the member
+    - ``died_at``: when the member was declared dead
 
     ``previous_incarnation`` is ``None`` unless heartbeats of the previous incarnation
     were received until it ended. ``has_exited`` means that the host refused
@@ -56,7 +57,8 @@
     def has_heartbeats_until_end(self):
         """Return whether heartbeats were received until shortly before the end.
 
-        A monitor would have declared the VM dead by then.
+        A longer gap means that this VM was no longer a monitor of the member, because a
+        monitor would have declared it dead earlier.
         """
         return (
             self.died_at - self.last_heartbeat_at
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -160,7 +160,7 @@
     def apply_record(self, record):
         """Apply a :class:`MemberRecord` from a peer or the VM list.
 
-        A record that is no newer than the known one is ignored.
+        A record that is no newer than the current one is ignored.
 
         :return: whether the view has changed.
         """
@@ -169,7 +169,7 @@
         if record.vm == self._vm.name:
             return self._refute(record)
         now = self._clock.now()
-        known = self._members.get(record.vm)
+        current = self._members.get(record.vm)
         updated = Member(
             record.vm,
             record.host,
@@ -179,10 +179,10 @@
             now,
             now,
         )
-        if known is not None and updated.precedence <= known.precedence:
+        if current is not None and updated.precedence <= current.precedence:
             return False
-        if known is not None:
-            self._copy_state(known, updated, now)
+        if current is not None:
+            self._copy_state(current, updated, now)
         if updated.state is MemberState.DEAD:
             updated.died_at = now
         self._members[record.vm] = updated
@@ -247,16 +247,16 @@
         self._record_self(MemberState.LIVE)
         await self.announce()
 
-    def _copy_state(self, known, updated, now):
+    def _copy_state(self, current, updated, now):
         """Copy to a new record the state that is not part of a message."""
-        if known.incarnation == updated.incarnation:
-            updated.last_heartbeat_at = known.last_heartbeat_at
-            updated.previous_incarnation = known.previous_incarnation
+        if current.incarnation == updated.incarnation:
+            updated.last_heartbeat_at = current.last_heartbeat_at
+            updated.previous_incarnation = current.previous_incarnation
             return
-        if known.state is not MemberState.DEAD:
-            known.died_at = now
-        if known.has_heartbeats_until_end:
-            updated.previous_incarnation = known.incarnation
+        if current.state is not MemberState.DEAD:
+            current.died_at = now
+        if current.has_heartbeats_until_end:
+            updated.previous_incarnation = current.incarnation
 
     def _next_incarnation(self, member, incarnation):
         domain = self._vm.settings.failure_domain
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -55,7 +55,7 @@
         :raises PeerError: if the peer is unreachable or refuses the call.
         """
         if not self.is_reachable:
-            raise PeerError(f"{self._host} did not answer a moment ago")
+            raise PeerError(f"{self._host} is in backoff after a failed call")
         deadline = self._clock.now() + timeout
         try:
             response = await with_deadline(deadline, self._clock, self._call(message))
--- a/src/heathercleat/process/metrics.py
+++ b/src/heathercleat/process/metrics.py
@@ -68,7 +68,9 @@
         )
         self._waiting = self._gauge("waiting_requests", "Queue length", ("service",))
         self._version = self._gauge("version", "Version in force")
-        self._peers = self._gauge("control_bytes", "Bytes between VMs for control")
+        self._control_bytes = self._gauge(
+            "control_bytes", "Bytes between VMs for control"
+        )
         self._dropped = self._gauge("dropped_log_lines", "Log lines dropped")
         self._live = self._gauge("live_vms", "Live VMs of the failure domain")
         self._may_act = self._gauge("may_act", "Whether this VM may act as a home")
@@ -107,14 +109,18 @@
             self._slow.labels(name).set(sum(map(vm.health.is_slow, entries)))
             self._waiting.labels(name).set(vm.admission.waiting_count(name))
         self._version.set(vm.version)
-        self._peers.set(vm.control_bytes)
+        self._control_bytes.set(vm.control_bytes)
         self._dropped.set(vm.dropped_log_lines)
         self._live.set(len(vm.membership.live_names()))
         self._may_act.set(vm.membership.may_act_as_home())
         self._platform.set(vm.configuration.is_platform_available)
 
-    def _counter(self, name, text, labels):
-        return Counter(f"heathercleat_{name}", text, labels, registry=self._registry)
+    def _counter(self, name, description, labels):
+        return Counter(
+            f"heathercleat_{name}", description, labels, registry=self._registry
+        )
 
-    def _gauge(self, name, text, labels=()):
-        return Gauge(f"heathercleat_{name}", text, labels, registry=self._registry)
+    def _gauge(self, name, description, labels=()):
+        return Gauge(
+            f"heathercleat_{name}", description, labels, registry=self._registry
+        )
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -370,7 +370,7 @@
             await self.membership.rejoin()
 
     def _available_vms(self, domain):
-        """Return the VMs of a domain that are not known to be leaving or dead."""
+        """Return the VMs of a domain except those recorded as leaving or dead."""
         if domain != self._settings.failure_domain:
             return self.vm_directory.available_in(domain)
         return [
