--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -304,7 +304,7 @@
             service=service.name,
             handed_over=bool(pending),
             held=len(holds),
-            seconds=round(self._hold_seconds(holds), 3),
+            seconds=round(self._remaining_hold_seconds(holds), 3),
         )
 
     def _occupied_until(self, service, target, handovers):
@@ -314,7 +314,7 @@
             bounds.extend(each for each in reported if each.target == target.name)
         return occupied_until(self._clock, service, bounds)
 
-    def _hold_seconds(self, holds):
+    def _remaining_hold_seconds(self, holds):
         now = self._clock.now()
         return max((hold.expires_at - now for hold in holds), default=0.0)
 
