--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -46,9 +46,9 @@
 class TargetHealth:
     """The state of one target.
 
-    ``failures`` and ``failed_probes`` count consecutive ones. ``latency`` is a moving
-    average in seconds. ``probe_state`` is the state in the last response to a probe.
-    Instants are of ``clock.now()``.
+    ``failures`` and ``failed_probes`` are the numbers of consecutive ones, ``latency``
+    is a moving average in seconds, and ``probe_state`` is the state in the last probe
+    response. Instants are of ``clock.now()``.
     """
 
     failures: int = 0
--- a/src/heathercleat/process/capacity/retry_budget.py
+++ b/src/heathercleat/process/capacity/retry_budget.py
@@ -24,7 +24,7 @@
         return self._balance
 
     def deposit(self):
-        """Add the ratio to the budget, for a first attempt."""
+        """Add ``ratio`` retries to the budget, for a first attempt."""
         self._balance = min(self._max_balance, self._balance + self._ratio)
 
     def withdraw(self):
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -225,7 +225,7 @@
             await spawn(self._exchange, choice(others).host, daemon=True)
 
     async def _exchange(self, host):
-        """Exchange versions with a peer and fetch from it if one of its is newer."""
+        """Exchange version numbers with a peer and fetch what is newer there."""
         local = Announcement(self._version, self._directory.serial)
         try:
             remote = await self._links.call(host, local)
