--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -55,9 +55,9 @@
     :param membership: the :class:`Membership` of the failure domain.
     :param ledger: the slots of the homed targets.
     :param links: the :class:`PeerLinks` to other VMs.
-    :param records: the latest instants until which requests of other homes may occupy
-        targets, as these homes announced.
-    :param publisher: announces the occupancy bounds of this VM.
+    :param records: the :class:`OccupancyRecords`, bounds that other homes announced.
+    :param publisher: the :class:`OccupancyPublisher`, which announces the bounds of
+        this VM.
     """
 
     def __init__(self, vm, membership, ledger, links, records, publisher, clock):
@@ -83,7 +83,7 @@
                 self._apply_configuration()
                 # Without a VM list, an unknown VM could be the home.
                 if (
-                    self._vm.vm_directory.is_known
+                    self._vm.vm_directory.is_loaded
                     and self._membership.may_act_as_home()
                 ):
                     await self._acquire_missing()
@@ -304,7 +304,7 @@
             service=service.name,
             handed_over=bool(pending),
             held=len(holds),
-            seconds=round(self._hold_seconds(holds), 3),
+            seconds=round(self._remaining_hold_seconds(holds), 3),
         )
 
     def _occupied_until(self, service, target, handovers):
@@ -314,7 +314,7 @@
             bounds.extend(each for each in reported if each.target == target.name)
         return occupied_until(self._clock, service, bounds)
 
-    def _hold_seconds(self, holds):
+    def _remaining_hold_seconds(self, holds):
         now = self._clock.now()
         return max((hold.expires_at - now for hold in holds), default=0.0)
 
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -136,7 +136,7 @@
         async with TaskGroup() as group:
             for name, host in hosts.items():
                 await group.spawn(self._poll, name, host)
-        if self._vm.vm_directory.is_known:
+        if self._vm.vm_directory.is_loaded:
             await self._polled.set()
 
     async def _poll(self, name, host):
@@ -177,6 +177,7 @@
         return self._vm.text.placement.homes(domain, names)
 
     def _shares(self, service):
+        """Return ``{failure domain: share of the service's callers it can serve}``."""
         now = self._clock.now()
         cached = self._cached.get(service.name)
         if cached is None or cached.expires_at <= now:
