--- a/src/heathercleat/process/at_most_once/deduplication.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -77,7 +77,7 @@
         if entry.digest != digest:
             raise RequestError(
                 ResultCode.KEY_REUSED,
-                f'key "{key}" was already used for another request',
+                f'key "{key}" came with another request before',
             )
         if entry.state is EntryState.NOT_RUN:
             if now >= ticket.expires_at:
@@ -140,5 +140,5 @@
     :raises RequestError: if the ticket is too old.
     """
     if now >= expires_at + MAX_REPORTED_AGE_SECONDS:
-        message = "the ticket is too old: its outcome may have been deleted"
+        message = "the ticket is too old to know its outcome"
         raise RequestError(ResultCode.OUTCOME_UNKNOWN, message)
