--- a/standins/demo.py
+++ b/standins/demo.py
@@ -12,7 +12,9 @@
 from standins.fleet import Fleet, wait_for
 
 UPLOAD_BYTES = 8 * 1024 * 1024
+#: Timeout until a new version is in force on every entry VM.
 IN_FORCE_SECONDS = 5.0
+#: Seconds of load from the start of a drain.
 DRAIN_SECONDS = 5.0
 LOG_FLUSH_SECONDS = 0.3
 DOMAINS = ("north-a", "north-b", "south-a", "south-b")
@@ -92,16 +94,16 @@
         """Serve one request of each kind; at-most-once requests are sent twice."""
         status, _, body = self._caller.send("style-lookup", "GET", "/style/whom")
         self._record_step("style look-up", status == 200, body.split()[0].decode())
-        for service, path, what in (
+        for service, path, step in (
             ("rule-editing", "/rules/7", "rule edit"),
             ("intake", "/corrections", "correction"),
             ("incident-registry", "/incidents", "incident declaration"),
             ("carrier-intake", "/enrolments", "enrolment"),
         ):
-            self._show_at_most_once(service, path, what)
+            self._show_at_most_once(service, path, step)
 
-    def _show_at_most_once(self, service, path, what):
-        key = f"demo {what}"
+    def _show_at_most_once(self, service, path, step):
+        key = f"demo {step}"
         responses = [
             self._caller.send_at_most_once(service, "POST", path, b"{}", key)
             for _ in range(2)
@@ -111,7 +113,7 @@
         passed = (
             runs == 1 and same and all(response[0] == 200 for response in responses)
         )
-        self._record_step(what, passed, f"sent twice, ran {runs} time(s)")
+        self._record_step(step, passed, f"sent twice, ran {runs} time(s)")
 
     def show_upload(self):
         """Upload several megabytes and compare the digest with the target's."""
@@ -138,7 +140,7 @@
         )
 
     def show_drain(self):
-        """Drain a target under load: no request fails, and new requests stop."""
+        """Drain a target under load; no request fails and the target gets no more."""
         target = "style-north-a"
         results, stop = [], threading.Event()
         threads = [
@@ -167,7 +169,7 @@
         self._fleet.run("drain", "cancel", "demo")
 
     def _pauses(self):
-        """Return the number of detected process pauses by VM name."""
+        """Return the number of ``VM_PAUSED`` events by VM name."""
         return {
             vm.name: sum(1 for line in self._fleet.log(vm) if line.get("event") == 103)
             for vm in self._fleet.vms.values()
@@ -199,6 +201,8 @@
         # Log lines are written in batches.
         time.sleep(LOG_FLUSH_SECONDS)
         logs = [line for vm in self._fleet.vms.values() for line in self._fleet.log(vm)]
+        # Events ROUTE_LOCAL, ROUTE_LEASED, REQUEST_DONE and TICKET_REPEATED; a repeated
+        # request is not routed again.
         decided = {line["request"] for line in logs if line.get("event") in (210, 211)}
         done = {line["request"] for line in logs if line.get("event") == 220}
         missing = len(done - decided)
@@ -206,9 +210,9 @@
         passed = missing <= repeats
         self._record_step("decisions logged", passed, f"{len(decided)} routing lines")
 
-    def _record_step(self, what, passed, detail):
-        self._rows.append((what, passed, detail))
-        print(f"{'ok  ' if passed else 'FAIL'}  {what:22}  {detail}", flush=True)
+    def _record_step(self, step, passed, detail):
+        self._rows.append((step, passed, detail))
+        print(f"{'ok  ' if passed else 'FAIL'}  {step:22}  {detail}", flush=True)
 
 
 def main():
@@ -223,9 +227,9 @@
         fleet.wait_ready()
         demo = Demo(fleet)
         demo.run()
-    failed = [what for what, passed, _ in demo.rows if not passed]
-    print(f"{len(demo.rows) - len(failed)} of {len(demo.rows)} shown")
-    print(f"{time.monotonic() - started:.1f} s, no process left")
+    failed = [step for step, passed, _ in demo.rows if not passed]
+    print(f"{len(demo.rows) - len(failed)} of {len(demo.rows)} steps passed")
+    print(f"{time.monotonic() - started:.1f} s, all processes stopped")
     sys.exit(1 if failed else 0)
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,7 +1,7 @@
 """Starts a platform, targets and entry VMs as separate processes on loopback.
 
-Each entry VM has its own IP address (``127.10.D.V`` for VM ``V`` of failure domain
-``D``); the ports are the same for all.
+Each entry VM has its own IP address (``127.S.D.V`` for VM ``V`` of failure domain ``D``
+in the fleet with subnet ``S``); the ports are the same for all.
 """
 
 import json
@@ -23,6 +23,7 @@
 PORTS = {"caller": 8080, "forward": 8081, "peer": 8082, "operator": 8083}
 PLATFORM = ("127.10.200.1", 7000)
 TARGET_PORT = 9000
+#: Timeouts of the start of a process, its exit and a reload of its settings.
 START_SECONDS = 20.0
 STOP_SECONDS = 20.0
 RELOAD_SECONDS = 3.0
@@ -77,7 +78,10 @@
 
 
 class Deployment:
-    """Context manager that starts processes and kills them on exit."""
+    """Context manager that starts processes and kills them on exit.
+
+    Subclasses define ``start()``.
+    """
 
     def __init__(self):
         self._processes = Processes()
@@ -117,7 +121,8 @@
 class Fleet(Deployment):
     """The processes of one deployment.
 
-    :param text: the configuration document; addresses are added to its targets.
+    :param text: the configuration document, or ``None``; addresses are added to its
+        targets.
     :param vms: ``{failure domain: number of entry VMs}``.
     :param program: command that runs ``heathercleat``.
     :param subnet: the second octet of every IP address; differs between fleets.
@@ -167,22 +172,22 @@
 
     def free_slots(self):
         """Return the total of free slots over all VMs that respond."""
-        samples = (self.metrics(vm) or {} for vm in self.vms.values())
+        all_metrics = (self.metrics(vm) or {} for vm in self.vms.values())
         return sum(
             value
-            for sample in samples
-            for name, value in sample.items()
+            for metrics in all_metrics
+            for name, value in metrics.items()
             if name.startswith("heathercleat_free_slots")
         )
 
     def vms_by_target_count(self):
         """Return the VMs sorted by the number of targets they own, largest first."""
 
-        def targets(vm):
+        def target_count(vm):
             status = self.status(vm)
             return len(status["targets"]) if status else 0
 
-        return sorted(self.vms.values(), key=targets, reverse=True)
+        return sorted(self.vms.values(), key=target_count, reverse=True)
 
     def start_vm(self, vm):
         """Start the process of an entry VM."""
@@ -192,7 +197,7 @@
     def partition_off(self, domain, others):
         """Simulate a network partition between a failure domain and others.
 
-        :param others: failure domains, or ``platform``.
+        :param others: failure domains; ``platform`` stands for the platform.
         """
         for vm in self.vms.values():
             if vm.domain == domain:
@@ -225,7 +230,10 @@
         return sum(line.get("name") == "settings_reloaded" for line in lines)
 
     def update_vm_list(self, vm, leaving=False):
-        """Add a VM to the platform's list, or remove it if ``leaving`` is ``None``."""
+        """Add or replace a VM in the platform's VM list.
+
+        :param leaving: whether the VM is listed as leaving; ``None`` removes it.
+        """
         self.platform_call("POST", "/vm", [vm.name, vm.host, vm.domain, leaving])
 
     def switch_platform(self, **switches):
@@ -366,7 +374,7 @@
     deadline = time.monotonic() + seconds
     while not (value := condition()):
         if time.monotonic() > deadline:
-            raise TimeoutError(f"not true within {seconds} s")
+            raise TimeoutError(f"condition not met within {seconds} s")
         time.sleep(interval)
     return value
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -31,7 +31,8 @@
     """The result of one request.
 
     ``sent_at`` is in epoch seconds; ``status`` is ``None`` after a connection error;
-    ``run`` is the value of the ``heathercleat-run`` header.
+    ``run`` and ``code`` are the values of the ``heathercleat-run`` and
+    ``heathercleat-code`` headers; ``key`` is the idempotency key.
     """
 
     sent_at: float
@@ -59,7 +60,7 @@
         self._service = service
         self._client = client
         self.rate = rate
-        self._make = make or (lambda number: ("GET", f"/{number}", b"", {}))
+        self._make_request = make or (lambda number: ("GET", f"/{number}", b"", {}))
         self._random = Random(seed)
         self._timeout = timeout
         self._clock = SystemClock()
@@ -113,7 +114,7 @@
                 await stream.close()
 
     async def _request(self, number):
-        method, path, body, headers = self._make(number)
+        method, path, body, headers = self._make_request(number)
         started, sent_at = self._clock.now(), time.time()
         status, run_status, target, code = None, None, None, 0
         try:
@@ -150,17 +151,21 @@
         raise last_error
 
     async def _rank_vms(self):
-        """Return the entry VMs in order of preference, recently failed ones last."""
+        """Return the entry VMs in order of preference.
+
+        Recently failed ones are last; VMs of the preferred failure domain precede
+        others, each in random order by weight.
+        """
         lookup = self._lookup
         if lookup is None or lookup["expires_at"] < time.time():
             self._lookup = lookup = await self._look_up()
-        first = lookup["vms"][0]["failure_domain"]
+        preferred_domain = lookup["vms"][0]["failure_domain"]
         now = self._clock.now()
 
         def rank(vm):
             is_avoided = self._avoid_until.get(vm["vm"], 0.0) > now
             random_rank = self._random.random() ** (1 / (vm["weight"] or 0.01))
-            return is_avoided, vm["failure_domain"] != first, -random_rank
+            return is_avoided, vm["failure_domain"] != preferred_domain, -random_rank
 
         return sorted(lookup["vms"], key=rank)
 
@@ -174,8 +179,10 @@
                 port = PORTS["caller"]
                 stream = await connect(host, port, deadline, self._clock)
                 try:
-                    asking = exchange(stream, Message(path=query), MAX_RESPONSE_BYTES)
-                    response = await with_deadline(deadline, self._clock, asking)
+                    exchanging = exchange(
+                        stream, Message(path=query), MAX_RESPONSE_BYTES
+                    )
+                    response = await with_deadline(deadline, self._clock, exchanging)
                 finally:
                     await stream.close()
                 if response.status == 200:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,10 +1,11 @@
-"""Fake platform: table service, object store and a VM list that may lag.
+"""Fake platform for entry VMs: table service, object store and VM list.
 
 ``POST /switch`` with a msgpack map sets faults: ``down`` (bool), ``slow_s`` (seconds
 of delay per response), ``lose_replies`` (number of writes that take effect without a
 response), ``stale_reads_s`` (age of the data that reads return) and ``vm_lag_s`` (age
 of the VM list). ``POST /vm`` with ``[name, host, failure_domain, leaving]`` changes
-the VM list; ``leaving`` of ``None`` removes the VM.
+the VM list; ``leaving`` of ``None`` removes the VM. ``GET /counts`` returns the number
+of ``reads`` and ``writes``.
 """
 
 import time
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,4 +1,4 @@
-"""Fake target with slots, health and load endpoints, injected faults and a run record.
+"""Fake target for entry VMs, with slots, injected faults and a run record.
 
 ``POST /switch`` with a msgpack map sets: ``service_s`` (seconds per request),
 ``health`` (``ready``, ``draining`` or ``starting``), ``lie`` (always report ready),
@@ -6,8 +6,10 @@
 of the response), ``cold_s`` (extra seconds of the first ``cold_requests``),
 ``cancel_s`` (seconds until a cancelled request releases its slot) and ``lost`` (abort
 every request, also those in flight; only ``/switch`` and ``/record`` work).
-``GET /record`` returns the runs, the highest number of requests in flight and the
-slot-seconds over the limit.
+``GET /health`` returns the health and ``GET /load`` the slots in use. ``GET /record``
+returns ``runs``, ``in_flight``, the highest numbers of requests in flight (``peak``)
+and of connections, the slot-seconds over the limit (``over``) and the number of
+incomplete uploads (``cut_uploads``).
 """
 
 import time
@@ -27,7 +29,7 @@
 )
 
 DEADLINE_HEADER = b"heathercleat-deadline"
-RECORD_LIMIT = 100_000
+MAX_RECORDED_RUNS = 100_000
 MAX_SWITCH_BYTES = 4096
 
 
@@ -96,12 +98,12 @@
     async def _serve_request(self, stream, event, headers):
         self._add_in_flight(+1)
         self._streams.add(stream)
-        lingering = True
+        unfinished = True
         try:
             body, digest = await self._read(stream)
             refusal = self._refusal(headers)
             if refusal is not None:
-                lingering = False
+                unfinished = False
                 await send_response(stream, refusal)
                 return
             self._record(event, headers, digest)
@@ -109,11 +111,11 @@
             if has_disconnected:
                 stream.abort()
                 return
-            lingering = False
+            unfinished = False
             await self._respond(stream, event, body, digest)
         finally:
             self._streams.discard(stream)
-            if lingering and self._switches["cancel_s"]:
+            if unfinished and self._switches["cancel_s"]:
                 await spawn(self._release_later, daemon=True)
             else:
                 self._add_in_flight(-1)
@@ -143,7 +145,7 @@
         return None
 
     def _record(self, event, headers, digest):
-        if len(self._runs) < RECORD_LIMIT:
+        if len(self._runs) < MAX_RECORDED_RUNS:
             key = headers.get(b"idempotency-key", b"").decode()
             path = event.target.decode()
             self._runs.append([event.method.decode(), path, key, digest])
