--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -7,8 +7,8 @@
 - ``cut``: ``up`` (towards the server), ``down`` or ``both``: stalls data in that
   direction on existing and new connections until it is unset;
 - ``refuse``: whether new connections are reset;
-- ``reset``: reset the connections that are open now;
-- ``silence``: stall the connections that are open now for good; new ones work.
+- ``reset``: resets the open connections;
+- ``silence``: stalls the open connections permanently; new ones are not affected.
 
 ``GET /counts`` returns the number of connections that each link has forwarded.
 """
--- a/standins/slotted_target.py
+++ b/standins/slotted_target.py
@@ -1,4 +1,4 @@
-"""Fake target on the platform, with slots, injected faults and a run record.
+"""Fake target for steering VMs, with slots, injected faults and a run record.
 
 ``POST /switch`` with a JSON object sets: ``work_s`` (seconds per request), ``id``
 (instance id), ``shed`` (share of requests refused), ``status`` (of responses), ``cut``
@@ -6,13 +6,15 @@
 first), ``unsigned`` (omit the signature), ``encoded`` (add a content encoding),
 ``lose`` (run the request, then reset the connection), ``learning_x`` (factor of the
 work for an object that is not cached) and ``remembers`` (number of objects cached).
-``GET /record`` returns the runs, the highest number of requests in flight and, as
-``spans``, the request id, start and planned end of each run in seconds of
-``time.monotonic()``.
+``GET /record`` returns ``runs``, ``spans`` (request id, start and planned end of each
+run), ``most`` (the highest number of requests in flight), ``shed`` (number of requests
+refused) and ``ends`` (instant and path of each request that crashed the target).
+Instants are seconds of ``time.monotonic()``.
 
 ``fatal`` lists paths whose requests crash the target: all its connections are reset and
-new ones refused. After ``down_s`` seconds it starts as a new incarnation and announces
-that at ``store`` (host and port) with ``entry``. ``end`` crashes it at once.
+new ones refused. After ``down_s`` seconds it starts as a new incarnation and writes
+``entry`` under its new id to the table store at ``store`` (host and port). ``end``
+crashes it at once.
 """
 
 import json
@@ -78,7 +80,7 @@
             "entry": None,
         }
         self._cached_objects = OrderedDict()
-        self._instances = (f"{instance}.{start}" for start in count(2))
+        self._next_ids = (f"{instance}.{start}" for start in count(2))
         self._crash_signal = Signal()
         #: ``[instant, path]`` of every request that crashed it.
         self._crashes = []
@@ -97,7 +99,7 @@
         """Start a new incarnation with an empty object cache."""
         self._running = 0
         self._cached_objects.clear()
-        previous, self._switches["id"] = self._switches["id"], next(self._instances)
+        previous, self._switches["id"] = self._switches["id"], next(self._next_ids)
         await self._announce(previous, None)
         await self._announce(self._switches["id"], self._switches["entry"])
 
@@ -169,7 +171,7 @@
         if path in self._switches["fatal"]:
             self._crashes.append([time.monotonic(), path])
             await self._crash_signal.set()
-        work = self._work(headers.get(b"cookie"))
+        work = self._work_seconds(headers.get(b"cookie"))
         now = time.monotonic()
         self._spans.append([headers[REQUEST_ID].decode(), now, now + work])
         try:
@@ -178,8 +180,8 @@
             self._running -= 1
         await self._respond(stream, id_header, body)
 
-    def _work(self, object_key):
-        """Return the seconds that a request for an object takes, and cache it."""
+    def _work_seconds(self, object_key):
+        """Return the seconds of work for an object, and cache the object."""
         is_cached = object_key in self._cached_objects
         self._cached_objects[object_key] = None
         self._cached_objects.move_to_end(object_key)
--- a/standins/steering_fleet.py
+++ b/standins/steering_fleet.py
@@ -241,7 +241,7 @@
         return json.loads(call(host, TARGET_PORT, "GET", "/record")[2])
 
     def runs(self):
-        """Return ``[request id, path, milliseconds, digest]`` of every run."""
+        """Return ``[request id, path, deadline in ms, body digest]`` of every run."""
         return [run for each in self.targets for run in self.record(each)["runs"]]
 
     def spans(self):
@@ -255,7 +255,7 @@
 
     def is_ready(self, vm):
         """Return whether the readiness check of a VM succeeds."""
-        return self._get(vm, "/v1/ready") == 200
+        return self._get_status(vm, "/v1/ready") == 200
 
     def resolve(self, vm, region, domain):
         """Return the addresses that a VM returns for a client's look-up."""
@@ -276,20 +276,23 @@
         :param wait_ms: the deadline, in milliseconds from now.
         :param headers: further headers, with ``_`` for ``-``.
         """
-        sent = {
+        sent_headers = {
             "Host": "a.example",
             "Request-Id": request_id,
             "Deadline-Ms": str(wait_ms),
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
-        return call(self._front_host(vm), FRONT_PORT, method, path, body, sent)
+        return call(self._front_host(vm), FRONT_PORT, method, path, body, sent_headers)
 
     @property
     def _proxy_host(self):
         return f"127.{self._subnet}.201.1"
 
     def store_host(self, vm):
-        """Return the address of the store for a VM, which is also its source there."""
+        """Return the IP address at which a VM reaches the store.
+
+        With the proxy, it is also the source address of the VM's connections there.
+        """
         return f"127.{self._subnet}.202.{vm.number}" if self._proxied else self.store[0]
 
     def _announced_host(self, target_id):
@@ -331,7 +334,7 @@
         except (OSError, HTTPException):
             return False
 
-    def _get(self, vm, path):
+    def _get_status(self, vm, path):
         try:
             return call(vm.host, READY_PORT, "GET", path)[0]
         except (OSError, HTTPException):
--- a/standins/table_store.py
+++ b/standins/table_store.py
@@ -1,4 +1,4 @@
-"""Fake table store of the platform: rows, change feed and transactions, in memory.
+"""Fake table store for steering VMs: rows, change feed and transactions, in memory.
 
 ``POST /switch`` with a JSON object sets faults: ``down`` (``busy``, ``silent``,
 ``reset`` or null), ``slow_s`` (seconds of delay per response), ``lose_replies`` (number
