--- a/standins/membership_simulation.py
+++ b/standins/membership_simulation.py
@@ -19,12 +19,12 @@
 
 #: The region of each failure domain.
 REGIONS = {"north-a": "north", "north-b": "north", "south-a": "south", "east-a": "east"}
-#: Seconds of simulated time per step.
-STEP = 0.01
+#: Simulated time per step.
+STEP_SECONDS = 0.01
 
 
 async def do_nothing():
-    """Do nothing; the hook that a VM runs after each gossip round."""
+    """Do nothing, as the hook after each gossip round."""
 
 
 class Network:
@@ -59,13 +59,13 @@
         if receiver is None or not receiver.running or self.is_cut(sender, receiver):
             return
         if self._rng.random() >= self.loss:
-            receiver.take(data)
+            receiver.receive(data)
 
     def run(self, seconds):
         """Advance the simulated time."""
         end = self.clock.time + seconds
         while self.clock.time < end:
-            self.clock.time += STEP
+            self.clock.time += STEP_SECONDS
             for vm in list(self.vms.values()):
                 vm.step()
 
@@ -78,7 +78,7 @@
     """The membership of one VM; :class:`Network` replaces its UDP socket.
 
     :param strength: capacity of the VM relative to others.
-    :param alone: whether it starts without knowing the other VMs.
+    :param alone: whether its membership starts without the other VMs.
     """
 
     def __init__(self, network, number, incarnation=1, strength=1.0, alone=False):
@@ -89,7 +89,9 @@
         self.domain = domains[number % len(domains)]
         self.ip = f"10.0.{number // 200}.{number % 200 + 1}"
         self.running = True
-        self.next_at = network.clock.time + random.Random(number).uniform(0.0, 0.2)
+        self.next_round_at = network.clock.time + random.Random(number).uniform(
+            0.0, 0.2
+        )
         settings = decode_node_settings(SETTINGS)
         settings.vm, settings.ip, settings.seeds = self.name, self.ip, []
         settings.failure_domain = self.domain
@@ -144,14 +146,14 @@
         """Send a datagram; the method that gossip calls on its socket."""
         self.network.send(self, address[0], data)
 
-    def take(self, data):
+    def receive(self, data):
         """Process a received datagram."""
         self.gossip.receive(data)
 
     def step(self):
         """Run a gossip round if one is due."""
-        if self.running and self.network.clock.time >= self.next_at:
-            self.next_at = self.network.clock.time + run_nonblocking(
+        if self.running and self.network.clock.time >= self.next_round_at:
+            self.next_round_at = self.network.clock.time + run_nonblocking(
                 self.gossip.round()
             )
 
--- a/standins/simulated_clients.py
+++ b/standins/simulated_clients.py
@@ -38,14 +38,16 @@
     """The clients of all failure domains.
 
     :param fleet: the :class:`StopFleet` to which they connect.
-    :param each: number of clients per failure domain.
+    :param clients_per_domain: number of clients in each failure domain.
     """
 
-    def __init__(self, fleet, each, seed=1):
+    def __init__(self, fleet, clients_per_domain, seed=1):
         self._fleet = fleet
         self._random = random.Random(seed)
         self._clients = [
-            self._new(domain) for domain in fleet.regions for _ in range(each)
+            self._new(domain)
+            for domain in fleet.regions
+            for _ in range(clients_per_domain)
         ]
 
     def _new(self, domain):
@@ -72,7 +74,10 @@
             self.refresh()
 
     def expected_connections(self):
-        """Return the expected share of new connections by IP, one per client."""
+        """Return the expected number of new connections by IP address.
+
+        Each client opens one, at random among its usable addresses.
+        """
         loads = Counter()
         address_sets = Counter(tuple(client.usable()) for client in self._clients)
         for addresses, count in address_sets.items():
--- a/standins/stop_simulation.py
+++ b/standins/stop_simulation.py
@@ -1,4 +1,4 @@
-"""Simulation of planned stops, which counts messages, store calls and rankings.
+"""Simulation of planned stops that counts messages, store calls and owner changes.
 
 Gossip, membership, owners and look-ups run the production code; sockets, processes and
 the store are simulated.
@@ -17,11 +17,17 @@
 from heathercleat.steering.process.shutdown import KEEP_ALIVE_SECONDS
 from heathercleat.steering.process.store.member_rows import decode_member, encode_member
 from heathercleat.steering.process.store.protocol import StoreRow
-from standins.membership_simulation import STEP, Network, SimulatedVm, run_nonblocking
+from standins.membership_simulation import (
+    STEP_SECONDS,
+    Network,
+    SimulatedVm,
+    run_nonblocking,
+)
 
 #: Number of regions, and of failure domains in each, by the number of VMs.
 LAYOUTS = {9: (1, 3), 30: (1, 3), 72: (3, 2), 195: (3, 5), 300: (3, 4)}
 SERVICES = ("s1", "s2")
+#: Targets of each service in a failure domain.
 TARGETS_OF_SERVICE = 4
 #: Seconds from the start of a process to its registration, and to serving.
 REGISTER_SECONDS, SERVE_SECONDS = 0.05, 0.1
@@ -114,7 +120,7 @@
         super().__init__(fleet, number, incarnation, alone=True)
         # The base class marks the VM as serving.
         self.members.own.stage = Stage.STARTING
-        self.next_at = fleet.clock.time
+        self.next_round_at = fleet.clock.time
         self.started_at = fleet.clock.time
         self.stopped_at = None
         registry = TargetRegistry(Journal(self.name, self.domain), fleet.clock)
@@ -134,7 +140,7 @@
         """Return whether the VM is shutting down."""
         return self.running and self.stopped_at is not None
 
-    def take(self, data):
+    def receive(self, data):
         """Process a datagram; reply at once to a VM that was not live before."""
         newcomer = self.gossip.receive(data)
         if newcomer is not None:
@@ -187,7 +193,7 @@
         self.rows = CountingRows()
         self.targets = list(_targets(self.regions))
         self._scheduled = []
-        self._numbers = count()
+        self._call_numbers = count()
         self._past_rankings = 0
         for number in range(size):
             self.start(number)
@@ -208,9 +214,9 @@
     def start(self, number):
         """Start or restart the process of a VM."""
         incarnation = int(self.clock.time * 1e9)
-        before = self._by_number(number)
-        if before is not None:
-            self._past_rankings += before.owners.rankings
+        previous = self._by_number(number)
+        if previous is not None:
+            self._past_rankings += previous.owners.rankings
         vm = StoppableVm(self, number, incarnation)
         self.schedule(REGISTER_SECONDS, vm.register)
         self.schedule(SERVE_SECONDS, vm.serve)
@@ -224,14 +230,14 @@
     def schedule(self, seconds, action):
         """Call ``action()`` in ``seconds`` of simulated time."""
         self._scheduled.append(
-            ScheduledCall(self.clock.time + seconds, next(self._numbers), action)
+            ScheduledCall(self.clock.time + seconds, next(self._call_numbers), action)
         )
         self._scheduled.sort(key=attrgetter("at", "number"))
 
     def run(self, seconds):
         """Advance the simulated time."""
-        for _ in range(round(seconds / STEP)):
-            self.clock.time += STEP
+        for _ in range(round(seconds / STEP_SECONDS)):
+            self.clock.time += STEP_SECONDS
             while self._scheduled and self._scheduled[0].at <= self.clock.time:
                 self._scheduled.pop(0).action()
             for vm in list(self.vms.values()):
@@ -270,7 +276,7 @@
 
 
 def stop_one_by_one(fleet, vm_count):
-    """Stop VMs at a fixed interval, without a wait for restarts."""
+    """Stop VMs at a fixed interval, without waiting for restarts."""
     for vm in fleet.serving()[:vm_count]:
         fleet.stop(vm)
         fleet.run(STOP_INTERVAL_SECONDS)
