--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,4 +1,4 @@
-"""Randomized soak test with fault injection, over separate processes.
+"""Randomized soak test with fault injection, on separate processes.
 
 Each seed starts a store, targets and VMs, sends requests and injects overlapping
 faults: VMs killed, paused or suspended, restarted, or started with a skewed wall clock;
@@ -178,17 +178,17 @@
         for undo in due:
             undo()
 
-    def _vm(self):
+    def _random_vm(self):
         return self._rng.choice(list(self._fleet.vms.values()))
 
     def _kill(self):
-        vm = self._vm()
+        vm = self._random_vm()
         vm.process.kill()
         vm.process.wait()
         return lambda: self._start(vm)
 
     def _stop(self):
-        vm = self._vm()
+        vm = self._random_vm()
         # Another fault may have started a new process by the time of the restart.
         stopped = vm.process
         stopped.send_signal(signal.SIGTERM)
@@ -208,7 +208,7 @@
             self._fleet.start_vm(vm, clock_skew=skew)
 
     def _pause(self):
-        paused = self._vm().process
+        paused = self._random_vm().process
         paused.send_signal(signal.SIGSTOP)
         return lambda: paused.send_signal(signal.SIGCONT)
 
@@ -218,7 +218,7 @@
         return lambda: self._fleet.switch_store(down=None)
 
     def _store_refuses(self):
-        self._fleet.switch_store(refused=[self._fleet.store_host(self._vm())])
+        self._fleet.switch_store(refused=[self._fleet.store_host(self._random_vm())])
         return lambda: self._fleet.switch_store(refused=[])
 
     def _store_loses(self):
@@ -247,32 +247,32 @@
         self._fleet.switch_target(target, **{name: value})
         return lambda: self._fleet.switch_target(target, **{name: normal})
 
-    def _link(self):
+    def _random_link(self):
         names = [target_link(each) for each in TARGETS]
         for vm in self._fleet.vms.values():
             names += [store_link(vm), front_link(vm)]
         return self._rng.choice(names)
 
     def _delay_link(self):
-        link = self._link()
+        link = self._random_link()
         self._fleet.switch_link(link, delay_s=self._rng.uniform(*LINK_DELAY_SECONDS))
         return lambda: self._fleet.switch_link(link, delay_s=0.0)
 
     def _cut_link(self):
-        link = self._link()
+        link = self._random_link()
         self._fleet.switch_link(link, cut=self._rng.choice(("up", "down", "both")))
         return lambda: self._fleet.switch_link(link, cut=None)
 
     def _refuse_link(self):
-        link = self._link()
+        link = self._random_link()
         self._fleet.switch_link(link, refuse=True, reset=True)
         return lambda: self._fleet.switch_link(link, refuse=False)
 
     def _reset_link(self):
-        self._fleet.switch_link(self._link(), reset=True)
+        self._fleet.switch_link(self._random_link(), reset=True)
 
     def _silence_link(self):
-        self._fleet.switch_link(self._link(), silence=True)
+        self._fleet.switch_link(self._random_link(), silence=True)
 
     def _evacuate(self):
         domain = self._rng.choice(list(DOMAINS))
@@ -285,7 +285,7 @@
 
 
 def check_target_removal(fleet, seed):
-    """Yield a line if requests reach a removed target, or none after its restart.
+    """Yield a line if a removed target gets requests, or gets none after a restart.
 
     Clients keep sending. The target either announces its drain or its entry is removed.
     """
@@ -300,9 +300,9 @@
     time.sleep(PROPAGATION_SECONDS - removal_delay + DRAIN_SECONDS + RUN_RECORD_SECONDS)
     count = len(fleet.record(target)["runs"])
     time.sleep(DRAIN_SECONDS)
-    late = [run[0] for run in fleet.record(target)["runs"][count:]]
-    if late:
-        yield f"{target} got requests after its drain: {late}"
+    late_ids = [run[0] for run in fleet.record(target)["runs"][count:]]
+    if late_ids:
+        yield f"{target} got requests after its drain: {late_ids}"
     fleet.announce(target, sequence=1, born=1)
     try:
         wait_for(lambda: len(fleet.record(target)["runs"]) > count, RECOVERY_SECONDS)
@@ -314,14 +314,14 @@
     """Yield a line for each violation.
 
     :param sent: every :class:`SentRequest`.
-    :param runs: ``[request id, path, milliseconds, digest]`` of every run.
+    :param runs: ``[request id, path, deadline in ms, body digest]`` of every run.
     """
     counts = Counter(run[0] for run in runs)
     for request in sent:
         if not request.safe and counts[request.id] > 1:
             yield f"{request.id}: ran {counts[request.id]} times"
         if request.status == 503 and counts[request.id]:
-            yield f"{request.id}: refused as not run, but ran"
+            yield f"{request.id}: refused, but ran"
         if request.status == 200:
             yield from _check_success(request)
 
@@ -335,14 +335,17 @@
         yield f"{request.id}: incomplete response"
 
 
-def run_seed(seed, seconds, config, vms_each=1, with_stops=True):
-    """Run one seed; return the violations and the number of requests by outcome.
+def run_seed(seed, seconds, config, vms_per_domain=1, with_stops=True):
+    """Run one seed; return report lines and the number of requests by outcome.
 
-    :param vms_each: number of VMs in each failure domain.
+    The lines are the violations, followed by the injected faults; without a violation
+    there are none.
+
+    :param vms_per_domain: number of VMs in each failure domain.
     :param with_stops: whether planned stops follow the faults.
     """
     rng = random.Random(seed)
-    vms = dict.fromkeys(DOMAINS, vms_each)
+    vms = dict.fromkeys(DOMAINS, vms_per_domain)
     config["hosts"][0]["paths"].extend(long_routes())
     # With odd seeds, a paused process behaves like a suspended VM.
     suspends = seed % 2 == 1
@@ -374,11 +377,11 @@
         violations.extend(check(clients.sent, fleet.runs()))
         spans = fleet.spans()
         violations.extend(stops.check(spans))
-        ends = Counter(request.status for request in clients.sent)
-        ends.update(stops.outcome_counts(spans))
+        outcomes = Counter(request.status for request in clients.sent)
+        outcomes.update(stops.outcome_counts(spans))
     if violations:
         violations.extend(f"fault: {line}" for line in [*faults.log, *stops.log])
-    return violations, ends
+    return violations, outcomes
 
 
 def _check_recovery(fleet, seed):
@@ -411,8 +414,8 @@
     args = parser.parse_args()
     failed = []
     for seed in range(args.first, args.first + args.seeds):
-        violations, ends = run_seed(seed, args.seconds, config(), args.vms)
-        print(f"seed {seed}: {dict(ends)}, {len(violations)} lines on broken promises")
+        violations, outcomes = run_seed(seed, args.seconds, config(), args.vms)
+        print(f"seed {seed}: {dict(outcomes)}, {len(violations)} lines on violations")
         for line in violations:
             print(f"  {line}")
         if violations:
--- a/standins/soak_stops.py
+++ b/standins/soak_stops.py
@@ -17,6 +17,7 @@
 from standins.stops.records import NOT_RUN_STATUSES
 from standins.stops.tally import Outcome, Tally, collect_runs
 
+#: Number of steps in each seed, besides those below.
 STEPS = 3
 #: Shares of seeds with a stop of the whole fleet, and with a kill during a shutdown.
 FLEET_STOP_SHARE = 0.5
@@ -35,17 +36,17 @@
 #: Seconds of load before the first signal.
 LOAD_SECONDS = 2.0
 LAST_RESPONSES_SECONDS = 20.0
-#: Client errors; every request of the soak test is valid.
+#: Client errors are violations, since every request of the soak test is valid.
 CLIENT_ERRORS = range(400, 500)
 
 
 def long_routes():
-    """Return routes whose requests may outlast the start of a shutdown."""
+    """Return routes with deadlines that let requests run into a shutdown."""
     return configuration()["hosts"][0]["paths"]
 
 
 def persistent_clients(fleet, domains, seed, stopper):
-    """Return clients for the targets' number of slots, most of them with pipelining."""
+    """Return clients, few enough for the targets' slots, most of them pipelining."""
     size = Size(
         domains, vms=0, targets=0, pipelining=6, persistent=2, single=1.0, objects=6
     )
@@ -232,7 +233,7 @@
         return {f"stops: {each.value}": count for each, count in counts.items()}
 
     def _tally(self, spans):
-        """Return the :class:`Tally` of the planned stops; ``None`` without stops."""
+        """Return the :class:`Tally` of completed stops; ``None`` if there are none."""
         stops = [each for each in self._stopper.stops if each.ready_at is not None]
         if not stops:
             return None
@@ -261,6 +262,6 @@
         if attempt.signed or attempt.status is None:
             continue
         if attempt.status in NOT_RUN_STATUSES and count:
-            yield f"{attempt.id}: refused as not run, but ran"
+            yield f"{attempt.id}: refused, but ran"
         if attempt.status not in NOT_RUN_STATUSES and attempt.status in CLIENT_ERRORS:
             yield f"{attempt.id} at {attempt.vm}: client error {attempt.status}"
