--- a/standins/lab/experiment.py
+++ b/standins/lab/experiment.py
@@ -92,7 +92,7 @@
 
 
 def _inject(fleet, scenario, stopper, restarts):
-    """Inject and undo the faults at their instants."""
+    """Inject and undo the faults at their times."""
     began_at = time.monotonic()
     steps = []
     for fault in scenario.faults:
--- a/standins/lab/load.py
+++ b/standins/lab/load.py
@@ -30,6 +30,7 @@
     """The result of one request.
 
     :param sent_at: seconds from the start of the load.
+    :param domain: failure domain of the client, or the use of a persistent connection.
     :param status: of the last response; ``None`` without one.
     :param attempts: number of attempts.
     :param failed: ids of attempts that failed before the deadline and were not refused.
@@ -100,22 +101,24 @@
                 return
             await sleep(max(0.0, at - self._clock.now()))
             number += 1
-            request = f"{domain}-{number}"
+            request_id = f"{domain}-{number}"
             object_key = rng.randrange(self._scenario.objects)
-            await group.spawn(self._request, domain, request, object_key, rng)
+            await group.spawn(self._request, domain, request_id, object_key, rng)
 
-    async def _request(self, domain, request, object_key, rng):
+    async def _request(self, domain, request_id, object_key, rng):
         began_at = self._clock.now()
         deadline = began_at + self._scenario.deadline
         status, failed = None, []
         for attempt in range(1, MAX_ATTEMPTS + 1):
-            name = f"{request}-{attempt}"
-            status, wait = await self._attempt(domain, name, object_key, deadline, rng)
+            attempt_id = f"{request_id}-{attempt}"
+            status, wait = await self._attempt(
+                domain, attempt_id, object_key, deadline, rng
+            )
             if (
                 status not in (200, 503)
                 and self._clock.now() < deadline - TIMED_OUT_MARGIN_SECONDS
             ):
-                failed.append(name)
+                failed.append(attempt_id)
             if status is not None and status != 503:
                 break
             if self._clock.now() + wait >= deadline or attempt == MAX_ATTEMPTS:
@@ -126,12 +129,12 @@
         result = Result(sent_at, domain, seconds, status, attempt, failed)
         self.results.append(result)
 
-    async def _attempt(self, domain, request, object_key, deadline, rng):
+    async def _attempt(self, domain, attempt_id, object_key, deadline, rng):
         """Return the status, and the delay of a retry in seconds."""
         remaining = int(1000 * (deadline - self._clock.now()))
         headers = {
             "host": "a.example",
-            "request-id": request,
+            "request-id": attempt_id,
             "deadline-ms": str(max(1, remaining)),
             "cookie": f"Affinity-Key={object_key}",
         }
@@ -149,16 +152,16 @@
         """Send a message on a new connection and return the response."""
         stream = await connect(host, port, deadline, self._clock)
         try:
-            asking = exchange(stream, message, MAX_RESPONSE_BYTES)
-            return await with_deadline(deadline, self._clock, asking)
+            exchanging = exchange(stream, message, MAX_RESPONSE_BYTES)
+            return await with_deadline(deadline, self._clock, exchanging)
         finally:
             await stream.close()
 
     async def _look_up(self, domain):
-        """Return the hosts from a look-up for a failure domain, which is cached."""
-        known, until = self._lookups.get(domain, (None, 0.0))
-        if self._clock.now() < until:
-            return known
+        """Return the hosts from a look-up, cached for :data:`LOOKUP_SECONDS`."""
+        cached_hosts, expires_at = self._lookups.get(domain, (None, 0.0))
+        if self._clock.now() < expires_at:
+            return cached_hosts
         region = self._scenario.failure_domains[domain]
         path = f"/v1/resolve?name=a.example&region={region}&zone={domain}"
         for vm in self._fleet.vms.values():
--- a/standins/lab/persistent_load.py
+++ b/standins/lab/persistent_load.py
@@ -1,4 +1,4 @@
-"""Clients of an experiment with persistent connections, unaffected by look-ups."""
+"""Clients of an experiment that keep their connections, whatever look-ups return."""
 
 from threading import Thread
 
@@ -13,7 +13,7 @@
     """Sends requests on persistent connections until the VM closes them.
 
     :param fleet: the :class:`SteeringFleet`.
-    :param stopper: the :class:`Stopper`, which knows the stopped VMs.
+    :param stopper: the :class:`Stopper`, which records the stopped VMs.
     """
 
     def __init__(self, fleet, scenario, stopper):
--- a/standins/lab/report.py
+++ b/standins/lab/report.py
@@ -5,10 +5,11 @@
 import pygal
 from hdrh.histogram import HdrHistogram
 
-#: A request is "given up" when an attempt ran at a target but failed, before the
-#: deadline, without the target's response.
+#: A request is "in aim" when it succeeded within the latency objective, and "given up"
+#: when an attempt ran at a target but failed, before the deadline, without the target's
+#: response.
 OUTCOMES = ("in aim", "late", "refused", "given up", "failed")
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 #: Largest latency of the histogram, in milliseconds, and its significant digits.
 MAX_LATENCY_MS = 60_000
 SIGNIFICANT_DIGITS = 3
@@ -28,7 +29,7 @@
             self.counts[outcome(result, latency_objective)] += 1
             self.retried += result.attempts > 1
             if result.status == 200:
-                self._latencies.record_value(int(result.seconds * MILLISECONDS))
+                self._latencies.record_value(int(result.seconds * MS_PER_SECOND))
 
     @property
     def total(self):
@@ -46,6 +47,7 @@
         return f"| {name} | {self.total} | {counts} | {self.retried} | {times} |"
 
 
+#: "asked" is the number of requests, "came back" that of requests with a retry.
 HEADING = (
     f"| | asked | {' | '.join(OUTCOMES)} | came back | p50 ms | p99 ms |\n"
     f"|{' --- |' * (len(OUTCOMES) + 5)}"
--- a/standins/lab/scenario.py
+++ b/standins/lab/scenario.py
@@ -71,7 +71,7 @@
 
 
 class ScenarioError(Exception):
-    """An invalid scenario file; the text has a line with the path of each fault."""
+    """An invalid scenario file; the text has a line with the path of each error."""
 
 
 class Fault:
@@ -103,6 +103,7 @@
     """A deployment, its load and its faults; durations are in seconds.
 
     :param document: the content of a scenario file, valid by :data:`SCHEMA`.
+    :ivar length: of the load.
     :ivar failure_domains: the region of each.
     :ivar vms: number of VMs in each failure domain.
     :ivar targets: ``{name: (failure domain, slots)}``.
@@ -111,6 +112,7 @@
     :ivar persistent: number of other clients with a persistent connection.
     :ivar work: work of a target per request for a cached object.
     :ivar uncached_factor: factor of the work for an object that is not cached.
+    :ivar cached_objects: number of objects that a target caches.
     :ivar objects: number of objects that are requested.
     """
 
