--- a/standins/stops/__main__.py
+++ b/standins/stops/__main__.py
@@ -25,13 +25,13 @@
 SUBNET = 12
 #: Seconds of load in which targets fill their object caches without extra work, from
 #: there to the first stop, and after the last stop.
-LEARNING_SECONDS = 4.0
+CACHE_FILL_SECONDS = 4.0
 WARM_UP_SECONDS = 6.0
 SETTLE_SECONDS = 2.0
 #: Seconds until all requests have ended, including retries.
 LAST_RESPONSES_SECONDS = 20.0
 #: Seconds after which the run is aborted.
-LONGEST_SECONDS = 600
+MAX_RUN_SECONDS = 600
 DESCRIPTION = """Stop VMs as planned under load, and count requests by outcome.
 
 Goals: 0 requests abandoned while they ran at a target, 0 without a response after a VM
@@ -42,9 +42,9 @@
 def main():
     """Run the load test, print its report and exit with 1 if a goal is missed."""
     args = _parser().parse_args()
-    signal.signal(signal.SIGALRM, _end)
-    signal.signal(signal.SIGTERM, _end)
-    signal.alarm(LONGEST_SECONDS)
+    signal.signal(signal.SIGALRM, _abort)
+    signal.signal(signal.SIGTERM, _abort)
+    signal.alarm(MAX_RUN_SECONDS)
     print(f"seed {args.seed}", flush=True)
     report = run_stops(args)
     print(report.table())
@@ -54,7 +54,7 @@
     sys.exit(0 if all(report.goals().values()) else 1)
 
 
-def _end(signum, frame):
+def _abort(signum, frame):
     """Abort the run on a signal; the fleet's context manager kills all processes."""
     sys.exit(f"aborted by {signal.Signals(signum).name}")
 
@@ -84,7 +84,7 @@
         thread = threading.Thread(target=clients.run, daemon=True)
         thread.start()
         try:
-            time.sleep(LEARNING_SECONDS)
+            time.sleep(CACHE_FILL_SECONDS)
             _set_work(fleet, args.unknown)
             time.sleep(WARM_UP_SECONDS)
             began_at = time.time()
@@ -115,12 +115,12 @@
     return Report(tally, clients, stopper.stops, refusals, heading)
 
 
-def _set_work(fleet, unknown):
+def _set_work(fleet, uncached_seconds):
     for target in fleet.targets:
         fleet.switch_target(
             target,
             work_s=CACHED_WORK_SECONDS,
-            learning_x=unknown / CACHED_WORK_SECONDS,
+            learning_x=uncached_seconds / CACHED_WORK_SECONDS,
             remembers=CACHED_OBJECTS,
         )
 
--- a/standins/stops/clients.py
+++ b/standins/stops/clients.py
@@ -40,7 +40,8 @@
     """All clients of a run.
 
     :param size: the :class:`Size`.
-    :param stopper: the :class:`Stopper`, which knows the stopped VMs and the next one.
+    :param stopper: the :class:`Stopper`, which records the stopped VMs and the next
+        one.
     """
 
     def __init__(self, fleet, size, seed, stopper):
@@ -53,7 +54,7 @@
         self._directories = []
         self.requests = []
         self.attempts = []
-        self.opened = []
+        self.connection_records = []
 
     @property
     def clock(self):
@@ -123,7 +124,7 @@
 
     async def send_with_retries(self, request, directory, failed):
         """Send a request on a connection of its own, with retries."""
-        await self._send_once(request, directory, failed)
+        await self._send_on_new_connection(request, directory, failed)
         await self.retry(request, directory)
 
     async def retry(self, request, directory):
@@ -131,9 +132,9 @@
         while (wait := self._retry_delay(request)) is not None:
             await sleep(wait)
             failed = {attempt.vm for attempt in request.attempts}
-            await self._send_once(request, directory, failed)
+            await self._send_on_new_connection(request, directory, failed)
 
-    async def _send_once(self, request, directory, failed):
+    async def _send_on_new_connection(self, request, directory, failed):
         connection = await self.open(directory, failed, request)
         if connection is None:
             return
@@ -148,7 +149,7 @@
         :param request: gets a failed attempt if the connection fails.
         """
         vm = await directory.choose(failed)
-        connection = await open_connection(vm, self.opened, self._clock)
+        connection = await open_connection(vm, self.connection_records, self._clock)
         if connection is None:
             failed.add(vm.name)
             if request is not None:
@@ -187,7 +188,7 @@
         vm = self._stopper.next_vm
         if vm is None or vm.name in failed:
             return await self.open(directory, failed)
-        return await open_connection(vm, self.opened, self._clock)
+        return await open_connection(vm, self.connection_records, self._clock)
 
     def new_request(self, rng, client, kind):
         """Return a new request for a random object."""
--- a/standins/stops/connection.py
+++ b/standins/stops/connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP connection, with support of pipelining."""
+"""A client's HTTP connection, with support for pipelining."""
 
 from collections import deque
 
@@ -10,14 +10,13 @@
 from standins.stops.records import ConnectionRecord
 
 RECEIVE_BYTES = 1 << 16
-#: Connect timeout.
 CONNECT_TIMEOUT_SECONDS = 1.0
 PART_BYTES = 2000
 #: Seconds between two parts of a request body.
 PART_GAP_SECONDS = 0.03
 #: Seconds after its deadline at which a client abandons a request.
 RESPONSE_GRACE_SECONDS = 0.5
-#: Seconds of a read from an idle connection.
+#: Timeout of a read from an idle connection.
 IDLE_READ_SECONDS = 1.0
 
 
@@ -37,12 +36,12 @@
 class ClientConnection:
     """One connection to a VM.
 
-    :param opened: the :class:`ConnectionRecord` that gets its end.
+    :param record: the :class:`ConnectionRecord`, which gets the time of the close.
     """
 
-    def __init__(self, sock, opened, clock):
+    def __init__(self, sock, record, clock):
         self._sock = sock
-        self._opened = opened
+        self._record = record
         self._clock = clock
         self._pending = deque()
         self._buffer = b""
@@ -56,12 +55,12 @@
     @property
     def vm(self):
         """Return the name of the VM."""
-        return self._opened.vm
+        return self._record.vm
 
     @property
     def is_open(self):
         """Return whether another request may be sent."""
-        return self._opened.closed_at is None and not self._is_closing
+        return self._record.closed_at is None and not self._is_closing
 
     async def send(self, attempt, path, object_key):
         """Send a request; its response is read by :meth:`read_response`."""
@@ -133,8 +132,8 @@
         :param client_timed_out: whether the client closed it.
         """
         now = self._clock.now()
-        if self._opened.closed_at is None:
-            self._opened.closed_at = now
+        if self._record.closed_at is None:
+            self._record.closed_at = now
         lost = [pending.attempt for pending in self._pending]
         self._pending.clear()
         for attempt in lost:
@@ -170,10 +169,10 @@
             await self._sock.sendall(data)
 
 
-async def open_connection(vm, opened, clock):
+async def open_connection(vm, connection_records, clock):
     """Return a :class:`ClientConnection` to a VM; ``None`` if connecting fails.
 
-    :param opened: the list that gets its :class:`ConnectionRecord`.
+    :param connection_records: the list that gets its :class:`ConnectionRecord`.
     """
     deadline = clock.now() + CONNECT_TIMEOUT_SECONDS
     connecting = open_socket(vm.host, FRONT_PORT)
@@ -182,5 +181,5 @@
     except (TimeoutError, *CONNECTION_ERRORS):
         return None
     record = ConnectionRecord(vm.name, clock.now())
-    opened.append(record)
+    connection_records.append(record)
     return ClientConnection(sock, record, clock)
--- a/standins/stops/deployment.py
+++ b/standins/stops/deployment.py
@@ -17,7 +17,7 @@
     "headerTimeout": "3000ms",
     "idleTimeout": "15000ms",
 }
-#: Request kinds of the configuration.
+#: Kind of the route in the configuration, by kind of request.
 ROUTE_KINDS = {SAFE: "safe", ONCE: "unsafe", UPLOAD: "upload"}
 
 
--- a/standins/stops/directory.py
+++ b/standins/stops/directory.py
@@ -17,7 +17,7 @@
 #: Maximum TTL of a cached look-up.
 MAX_TTL_SECONDS = 5.0
 MAX_RESPONSE_BYTES = 1 << 16
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
 class Directory:
@@ -38,7 +38,7 @@
     async def choose(self, failed):
         """Return a VM for a new connection.
 
-        :param failed: names of VMs to avoid, if others are known.
+        :param failed: names of VMs to avoid, if there are others.
         """
         if self._clock.now() >= self._expires_at:
             await self._look_up()
@@ -56,20 +56,20 @@
             except (TimeoutError, *CONNECTION_ERRORS):
                 continue
             if response.status == 200:
-                self._store(json.loads(response.body))
+                self._update_cache(json.loads(response.body))
                 return
 
     async def _request_lookup(self, vm):
         deadline = self._clock.now() + LOOKUP_TIMEOUT_SECONDS
         stream = await connect(vm.host, READY_PORT, deadline, self._clock)
         try:
-            asking = exchange(stream, Message(path=self._path), MAX_RESPONSE_BYTES)
-            return await with_deadline(deadline, self._clock, asking)
+            exchanging = exchange(stream, Message(path=self._path), MAX_RESPONSE_BYTES)
+            return await with_deadline(deadline, self._clock, exchanging)
         finally:
             await stream.close()
 
-    def _store(self, lookup):
+    def _update_cache(self, lookup):
         hosts = [address.rpartition(":")[0] for address in lookup["addresses"]]
         self._cached_vms = [self._vms[host] for host in hosts]
-        ttl = int(lookup["ttl"].removesuffix("ms")) / MILLISECONDS
+        ttl = int(lookup["ttl"].removesuffix("ms")) / MS_PER_SECOND
         self._expires_at = self._clock.now() + min(ttl, MAX_TTL_SECONDS)
--- a/standins/stops/pipelining.py
+++ b/standins/stops/pipelining.py
@@ -33,8 +33,8 @@
         self._rng = rng
         self._requests = {}
         self._next_at = 0.0
-        #: Whether the last response was a refusal; then all clients wait between
-        #: requests.
+        #: Whether the last response was a refusal; if so, the client waits between
+        #: requests even if it always pipelines.
         self._refused = False
 
     async def run(self):
--- a/standins/stops/plan.py
+++ b/standins/stops/plan.py
@@ -1,4 +1,4 @@
-"""Plans: the order of VM stops, and faults that happen at the same time."""
+"""Plans: the order of VM stops, and faults concurrent with them."""
 
 import threading
 import time
@@ -12,6 +12,7 @@
 TOGETHER_SECONDS = 3.0
 #: Maximum seconds from a stop to the concurrent fault.
 MAX_FAULT_DELAY_SECONDS = 2.0
+#: Seconds from a kill to the restart, and the length of a store outage.
 KILLED_SECONDS = 1.0
 OUTAGE_SECONDS = 3.0
 #: Seconds from the drain of a target to the removal of its entry, and to its restart.
@@ -35,7 +36,7 @@
 
     @property
     def next_vm(self):
-        """Return the VM that is stopped next; ``None`` if unknown."""
+        """Return the VM that is stopped next; ``None`` if none is set."""
         return self._next
 
     def set_next(self, vm):
@@ -92,6 +93,8 @@
 class ConcurrentFaults:
     """Faults concurrent with planned stops; each one is undone later.
 
+    The method of each fault takes the VMs that are stopping.
+
     :param fleet: the :class:`SteeringFleet`.
     """
 
--- a/standins/stops/records.py
+++ b/standins/stops/records.py
@@ -10,7 +10,8 @@
 class Request:
     """A client's request with all its attempts.
 
-    :param client: connection use of its client: ahead, kept or single.
+    :param client: connection use of its client: ``ahead`` (pipelining), ``kept``
+        (persistent) or ``single``.
     :param kind: a :class:`Kind`.
     :param object_key: the object that it requests.
     :param first_at: when the first attempt was sent.
--- a/standins/stops/report.py
+++ b/standins/stops/report.py
@@ -24,7 +24,7 @@
 
     def __init__(self, tally, clients, stops, refusals, heading):
         self._tally = tally
-        self._opened = clients.opened
+        self._connection_records = clients.connection_records
         self._requests = clients.requests
         self._stops = stops
         self._refusals = refusals
@@ -44,7 +44,7 @@
             "once-only requests run twice": len(tally.run_twice()),
             "answers to other requests": len(tally.misdelivered()),
             "connections last closed at": round(
-                seconds_to_last_close(self._opened, self._stops), 2
+                seconds_to_last_close(self._connection_records, self._stops), 2
             ),
             "refused %": round(100 * tally.refused_share(), 2),
             "refused in the worst 2 s %": round(100 * tally.max_refused_share(), 1),
@@ -122,8 +122,8 @@
         seconds = Counter()
         for attempt in self._refused():
             seconds_after_signal = self._tally.seconds_after_signal(attempt)
-            inside = seconds_after_signal is not None and seconds_after_signal >= 0
-            seconds[str(int(seconds_after_signal)) if inside else "not stopping"] += 1
+            stopping = seconds_after_signal is not None and seconds_after_signal >= 0
+            seconds[str(int(seconds_after_signal)) if stopping else "not stopping"] += 1
         return dict(sorted(seconds.items()))
 
     def _refused_requests(self):
--- a/standins/stops/tally.py
+++ b/standins/stops/tally.py
@@ -15,11 +15,18 @@
 LATE_RUN_SHARE = 5 / 6
 #: Seconds before its deadline from which an attempt counts as timed out.
 TIMED_OUT_MARGIN_SECONDS = 0.1
-_ERROR = 400
+_MIN_ERROR_STATUS = 400
 
 
 class Outcome(Enum):
-    """The outcome of an attempt; the objective of ``LATE`` covers all attempts."""
+    """The outcome of an attempt.
+
+    ``LATE`` attempts were served after the latency objective of the request, which
+    covers all its attempts. ``ABANDONED`` ones ran at a target whose response did not
+    reach the client; ``ABANDONED_LATE`` ones did so near the end of the grace period,
+    when a VM may abandon them. ``CLOSE_RACE`` ones may have been sent while the VM
+    closed the connection.
+    """
 
     SERVED = "served"
     LATE = "late"
@@ -114,19 +121,19 @@
 
     def refused_share(self):
         """Return the share of attempts that were refused."""
-        return _share(self.attempts, self.outcomes)
+        return _refused_share(self.attempts, self.outcomes)
 
-    def max_refused_share(self, window=2.0, step=0.1, least=20):
+    def max_refused_share(self, window=2.0, step=0.1, min_attempts=20):
         """Return the largest share of refused attempts in a sliding window.
 
         :param window: length in seconds.
-        :param least: minimum number of attempts in a window.
+        :param min_attempts: minimum number of attempts in a window.
         """
         at, worst = self.began_at, 0.0
         while at < self.ended_at:
             sent = [each for each in self.attempts if at <= each.sent_at < at + window]
-            if len(sent) >= least:
-                worst = max(worst, _share(sent, self.outcomes))
+            if len(sent) >= min_attempts:
+                worst = max(worst, _refused_share(sent, self.outcomes))
             at += step
         return worst
 
@@ -207,11 +214,11 @@
         return attempt.ended_at >= self.began_at and attempt.sent_at <= self.ended_at
 
 
-def seconds_to_last_close(opened, stops):
-    """Return the seconds from SIGTERM to the last close of a connection."""
+def seconds_to_last_close(connection_records, stops):
+    """Return the longest time from a VM's SIGTERM to its last close of a connection."""
     latest = 0.0
     for stop in stops:
-        for each in opened:
+        for each in connection_records:
             is_of_stop = each.vm == stop.vm and each.opened_at < stop.ended_at
             if is_of_stop and each.closed_at >= stop.signalled_at:
                 latest = max(latest, each.closed_at - stop.signalled_at)
@@ -231,12 +238,12 @@
 
 
 def _outcome_of_response(attempt):
-    if attempt.status >= _ERROR:
+    if attempt.status >= _MIN_ERROR_STATUS:
         return Outcome.FAILED_AT_TARGET
     return Outcome.LATE if attempt.ended_at > attempt.soft_deadline else Outcome.SERVED
 
 
-def _share(attempts, outcomes):
+def _refused_share(attempts, outcomes):
     refused = (Outcome.REFUSED, Outcome.REFUSED_BUT_RAN)
     count = sum(outcomes[each] in refused for each in attempts)
     return count / len(attempts) if attempts else 0.0
