--- a/src/heathercleat/process/capacity/leases.py
+++ b/src/heathercleat/process/capacity/leases.py
@@ -352,8 +352,9 @@
                     yield home, latency
 
     def _homes_in(self, domain, service):
-        placement = self._vm.text.placement
-        homes = self._directory.assigned_homes(domain, placement, service)
+        text = self._vm.text
+        drained = text.drained_vms(self._clock.wall())
+        homes = self._directory.assigned_homes(domain, text.placement, service, drained)
         if domain == self._vm.settings.failure_domain:
             return self._vm.local_homes(service) or homes
         return homes
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -172,7 +172,8 @@
         if domain == self._local_domain:
             names = self._membership.live_names()
         else:
-            entries = self._vm.vm_directory.available_in(domain)
+            drained = self._vm.text.drained_vms(self._clock.wall())
+            entries = self._vm.vm_directory.available_in(domain, drained)
             names = [entry.name for entry in entries]
         return self._vm.text.placement.homes(domain, names)
 
--- a/src/heathercleat/process/membership/directory.py
+++ b/src/heathercleat/process/membership/directory.py
@@ -49,16 +49,24 @@
         """Return the entries of one failure domain."""
         return self._by_domain.get(failure_domain, [])
 
-    def available_in(self, failure_domain):
-        """Return the entries of one failure domain that are not leaving."""
-        return [entry for entry in self.vms_in(failure_domain) if not entry.leaving]
+    def available_in(self, failure_domain, drained=frozenset()):
+        """Return the entries of one failure domain that are not leaving.
 
-    def assigned_homes(self, failure_domain, placement, service):
+        :param drained: names of VMs to leave out.
+        """
+        return [
+            entry
+            for entry in self.vms_in(failure_domain)
+            if not entry.leaving and entry.name not in drained
+        ]
+
+    def assigned_homes(self, failure_domain, placement, service, drained=frozenset()):
         """Return the distinct VMs to which a placement assigns a service's targets.
 
         :param placement: the :class:`Placement` of the current configuration.
+        :param drained: names of the drained VMs, which are no homes.
         """
-        names = [entry.name for entry in self.available_in(failure_domain)]
+        names = [entry.name for entry in self.available_in(failure_domain, drained)]
         homes = placement.homes_of(service, failure_domain, names)
         return [self._by_name[name] for name in homes]
 
--- a/src/heathercleat/process/vm.py
+++ b/src/heathercleat/process/vm.py
@@ -269,11 +269,12 @@
         The homes are computed from the VM list, which may be out of date.
         """
         domain = self._settings.failure_domain
+        drained = self.text.drained_vms(self._clock.wall())
         entries = {entry.name: entry for entry in self._available_vms(domain)}
         homes = {
             entry.name: entry
             for entry in self.vm_directory.assigned_homes(
-                domain, self.text.placement, service
+                domain, self.text.placement, service, drained
             )
         }
         return [
--- a/src/heathercleat/version/text.py
+++ b/src/heathercleat/version/text.py
@@ -237,6 +237,17 @@
         ]
         return self.ramps.avoided_domains(drains, now, caller)
 
+    def drained_vms(self, now):
+        """Return the names of the entry VMs with a drain of their own in force.
+
+        They are homes of no targets, unlike the VMs of a drained failure domain.
+        """
+        return {
+            drain.drained_name
+            for drain in self.drains.values()
+            if drain.scope is DrainScope.VM and drain.in_force(now)
+        }
+
     def find_vm_drain(self, vm, failure_domain, now):
         """Return the drain that removes an entry VM from look-ups, or ``None``."""
         for drain in self.drains.values():
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,6 +16,7 @@
 from heathercleat.process.clock import SystemClock
 from heathercleat.process.configuration.platform import VmEntry, VmList
 from heathercleat.process.membership.directory import Directory
+from heathercleat.version.text import Drain, DrainScope
 from tests.fakes import FakeLinks, FakeVm, ManualClock
 from tests.test_slots import HOME, make_target
 from tests.test_text import make_text
@@ -102,3 +103,18 @@
     run(act)
     assert returned()[-1] == LeaseReturn(7, 0)
     assert holder.leases_for("lookup") == []
+
+
+def test_vm_that_takes_over_from_a_drained_one_is_asked_for_leases():
+    service, links, holder = make_holder([])
+    entries = [
+        VmEntry(f"vm-{number}", f"127.0.0.{number}", "north-b", False)
+        for number in (2, 3)
+    ]
+    holder._directory.adopt(VmList(2, tuple(entries)))
+    placement = holder._vm.text.placement
+    (home,) = holder._directory.assigned_homes("north-b", placement, service)
+    (other,) = [entry for entry in entries if entry != home]
+    holder._vm.text.drains["d"] = Drain("d", DrainScope.VM, home.name, 0.0)
+    run(holder.request_leases, service, 1)
+    assert [host for host, _ in links.calls] == [other.host]
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -135,6 +135,22 @@
     assert bool(other) is has_weight
 
 
+def test_vm_that_takes_over_from_a_drained_one_is_polled():
+    parts = Parts(peer_response=Readiness({"lookup": SLOTS}))
+    entries = [
+        VmEntry(f"north-b-{number}", f"127.0.0.{number}", "north-b", False)
+        for number in (2, 3)
+    ]
+    parts.vm.vm_directory.adopt(VmList(2, tuple(entries)))
+    placement, drains = parts.vm.text.placement, parts.vm.text.drains
+    directory = parts.vm.vm_directory
+    (home,) = directory.assigned_homes("north-b", placement, parts.service)
+    (other,) = [entry for entry in entries if entry != home]
+    drains["d"] = Drain("d", DrainScope.VM, home.name, 0.0)
+    parts.poll_homes()
+    assert [host for host, _ in parts.links.calls] == [other.host]
+
+
 def test_drained_targets_do_not_reduce_the_share():
     parts = Parts()
     parts.vm.text.drains["d"] = Drain("d", DrainScope.TARGET, "t1", 0.0)
