--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -14,7 +14,8 @@
 
 ROOT = Path(__file__).parent.parent
 COPIED_PATHS = ("src", "tests", "standins", "bench", "tools", "pyproject.toml", "docs")
-STEERING = "src/heathercleat/steering"
+PACKAGE = "src/heathercleat"
+STEERING = f"{PACKAGE}/steering"
 #: Seconds after which the tests of a mutation count as failed.
 TEST_TIMEOUT_SECONDS = 90
 
@@ -888,6 +889,24 @@
         "-k",
         "run_on",
     ),
+    Mutation(
+        "DRAINED-vm-asked-for-leases",
+        f"{PACKAGE}/process/capacity/leases.py",
+        "domain, text.placement, service, drained",
+        "domain, text.placement, service",
+        "tests/test_leases.py",
+        "-k",
+        "drained",
+    ),
+    Mutation(
+        "DRAINED-vm-polled",
+        f"{PACKAGE}/process/capacity/readiness.py",
+        "available_in(domain, drained)",
+        "available_in(domain)",
+        "tests/test_readiness.py",
+        "-k",
+        "takes_over",
+    ),
 )
 
 
