--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,3 +1,5 @@
+"""Tests of which targets may get requests while their table entries change."""
+
 import pytest
 
 from heathercleat.steering.process.capacity.registry import MISSING_GRACE_SECONDS
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,3 +1,5 @@
+"""Tests that claims and leases never exceed the slots or shift cap of a target."""
+
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
--- a/tests/test_slow_targets.py
+++ b/tests/test_slow_targets.py
@@ -1,3 +1,5 @@
+"""Tests that a target far slower than the others of its service gets few requests."""
+
 import json
 
 import pytest
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,3 +1,5 @@
+"""Tests that the soak test detects violations, and that a short run has none."""
+
 import pytest
 
 from standins.soak import SentRequest, check, run_seed
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -1,3 +1,5 @@
+"""Tests that spillover stays within the shift cap and overloads no target."""
+
 import threading
 import time
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,3 +1,5 @@
+"""Tests that gaps between the ticks of the process are counted as stalls."""
+
 import pytest
 
 from heathercleat.process.stalls import MAX_TICK_GAP_SECONDS, TICK_SECONDS, Stalls
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,3 +1,5 @@
+"""Tests of the encoding of the tables that one VM sends to another."""
+
 import pytest
 
 from heathercleat.steering.connection.forwarded import (
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -1,3 +1,5 @@
+"""Tests of the choice of a destination, of retries and of waits for a slot."""
+
 import pytest
 from curio import run
 
--- a/tests/test_steering_path.py
+++ b/tests/test_steering_path.py
@@ -1,3 +1,5 @@
+"""Tests of requests through a fleet of steering VMs, with and without faults."""
+
 import signal
 import socket
 import threading
--- a/tests/test_steering_start.py
+++ b/tests/test_steering_start.py
@@ -1,3 +1,5 @@
+"""Tests that VMs, targets and the store may start in any order."""
+
 import pytest
 
 from standins.fleet import wait_for
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,3 +1,5 @@
+"""Tests that crashes quarantine a request, and that a complete response clears it."""
+
 import random
 
 import msgpack
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -1,3 +1,5 @@
+"""Tests that claim rows are removed once their retention time is over, not before."""
+
 import pytest
 from curio import run, spawn
 
--- a/tests/test_table_store.py
+++ b/tests/test_table_store.py
@@ -1,3 +1,5 @@
+"""Tests of the client of the platform's table store."""
+
 import json
 import os
 import sys
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -1,3 +1,5 @@
+"""Tests of a VM's view of the targets of a service, their capacity and affinity."""
+
 import pytest
 
 from heathercleat.steering.process.capacity.capacity_reports import CapacityReports
--- a/tests/test_text.py
+++ b/tests/test_text.py
@@ -1,3 +1,5 @@
+"""Tests of the parsing and validation of the operators' configuration."""
+
 import json
 from pathlib import Path
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,3 +1,5 @@
+"""Tests of the ``heathercleat trace`` command."""
+
 import json
 
 import pytest
--- a/tests/test_transition.py
+++ b/tests/test_transition.py
@@ -1,3 +1,5 @@
+"""Tests that limits hold while homes still use different configuration versions."""
+
 import json
 
 import pytest
