--- a/tests/test_once_failures.py
+++ b/tests/test_once_failures.py
@@ -16,7 +16,7 @@
 CALLERS = 6
 SERVICE = "rule-editing"
 WORK_SECONDS = 0.05
-SWEEP_SECONDS = 9.0
+LOAD_SECONDS = 9.0
 
 
 @pytest.fixture
@@ -64,9 +64,9 @@
         self._caller.clear_lookups()
 
     def _destinations(self, lookup):
-        owner = lookup["ticket_vm"]["address"]
-        others = [vm.host for vm in self._fleet.vms.values() if vm.host != owner]
-        return [owner, owner, *others]
+        issuer = lookup["ticket_vm"]["address"]
+        others = [vm.host for vm in self._fleet.vms.values() if vm.host != issuer]
+        return [issuer, issuer, *others]
 
     def _send(self, host, headers):
         path = f"/s/{SERVICE}/rules"
@@ -81,11 +81,11 @@
 
 
 def sweep(fleet, fault):
-    """Send edits while ``fault`` is called again and again.
+    """Send edits while ``fault`` is called repeatedly.
 
-    Return the last outcome and the number of runs by key.
+    Return the last outcomes and the numbers of runs, each by key.
     """
-    until = time.monotonic() + SWEEP_SECONDS
+    until = time.monotonic() + LOAD_SECONDS
     editors = [Editor(fleet, number) for number in range(CALLERS)]
     threads = [threading.Thread(target=each.run, args=(until,)) for each in editors]
     for thread in threads:
@@ -183,7 +183,7 @@
     check_outcomes(outcomes, runs)
 
 
-def test_key_of_a_dead_owner_is_closed_out_as_not_run(fleet):
+def test_key_of_a_dead_issuer_is_closed_out_as_not_run(fleet):
     first = fleet.vms["north-a-1"]
     caller = Caller([first.host])
     lookup = caller.look_up(SERVICE)
@@ -203,16 +203,16 @@
     assert not [run for run in fleet.runs() if run[2] == "never-sent-before"]
 
 
-def test_outcome_is_unknown_without_the_owner_and_the_platform(fleet):
+def test_outcome_is_unknown_without_the_issuer_and_the_platform(fleet):
     fleet.switch_platform(down=True)
     first = fleet.vms["north-a-1"]
 
-    def ticket_without_claims():
+    def look_up_without_platform():
         caller = Caller([first.host])
         return caller.look_up(SERVICE)
 
     time.sleep(2.0)
-    lookup = ticket_without_claims()
+    lookup = look_up_without_platform()
     first.process.kill()
     other = fleet.vms["north-a-2"]
     headers = {"heathercleat-ticket": lookup["ticket"], "idempotency-key": "k"}
--- a/tests/test_operator_edits.py
+++ b/tests/test_operator_edits.py
@@ -1,4 +1,4 @@
-"""Tests that edits made through a VM with an old configuration lose nothing."""
+"""Tests that edits through a VM with an old configuration undo no other edit."""
 
 import json
 
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Tests that each target has exactly one owner, as near and strong as possible."""
+"""Tests that each target has exactly one owner, preferably a near and strong VM."""
 
 from tests.steering_parts import Parts, entry, make_heartbeat
 
@@ -6,7 +6,7 @@
 
 
 def advance(parts, seconds):
-    """Advance the time with the regular checks of a running process."""
+    """Advance the time in short steps and update the live members after each."""
     for _ in range(int(seconds * 10)):
         parts.clock.time += 0.1
         parts.members.update_live()
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -156,12 +156,12 @@
         self.read_responses()
 
     def detect_disconnects(self):
-        async def look():
+        async def detect():
             task = await spawn(self.node.active_requests.run, daemon=True)
             await sleep(0.02)
             await task.cancel()
 
-        self.kernel.run(look)
+        self.kernel.run(detect)
 
     def read_responses(self):
         """Read the responses that have arrived."""
@@ -381,7 +381,7 @@
         self.accepted_at_stop = set(self.pipelined.node.pending) | set(self._waiting())
 
     def _waiting(self):
-        """Return the name of a read exclusive request that waits, in a list."""
+        """Return a list with the name of the exclusive request that waits, if any."""
         pending = self.pipelined.node.pending
         served = self.responded + len(pending)
         following = self.pipelined.sent[served : served + 1]
--- a/tests/test_planned_stops.py
+++ b/tests/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Tests that a stop of a VM cuts no request of its clients."""
+"""Tests that a planned stop of a VM interrupts no request of its clients."""
 
 import threading
 import time
@@ -13,7 +13,7 @@
 
 DOMAINS = {"north-a": "north", "north-b": "north"}
 TARGETS = {"i-1": ("s1", "north-a", 8)}
-#: Run times of the request that keeps the VM busy and of later ones, in seconds.
+#: Run times of the request that keeps the VM busy and of those sent after the signal.
 LONG_RUN_SECONDS, LATE_RUN_SECONDS = 4.6, 2.6
 #: Paths of an idempotent request and of one that may run at most once.
 PATHS = {"safe": "/one/two/x", "once": "/one/x"}
@@ -84,7 +84,7 @@
     return thread
 
 
-def send_at_once(clients):
+def send_concurrently(clients):
     """Send a request of each kind concurrently; return the statuses by kind."""
     statuses = {}
 
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("earlier_runs", [0, 40])
-def test_request_accepted_late_in_a_stop_is_not_cut(fleet, vm, earlier_runs):
+def test_request_accepted_late_in_a_stop_is_not_interrupted(fleet, vm, earlier_runs):
     """Short earlier runs must not limit the expected duration of a later one."""
     earlier_client = PersistentClient(vm)
     for number in range(earlier_runs):
@@ -112,7 +112,7 @@
     stopped_at = time.monotonic()
     fleet.switch_target("i-1", work_s=LATE_RUN_SECONDS)
     time.sleep(max(0.0, stopped_at + LATE_SEND_SECONDS - time.monotonic()))
-    statuses = send_at_once(clients)
+    statuses = send_concurrently(clients)
     vm.process.wait(10)
     assert set(statuses.values()) <= {200, 503}
     served = {name for name, status in statuses.items() if status == 200}
--- a/tests/test_quarantine_command.py
+++ b/tests/test_quarantine_command.py
@@ -22,9 +22,9 @@
 ROW_WRITE_SECONDS = 2.0
 
 
-def run_quarantine(capsys, *words):
+def run_quarantine(capsys, *args):
     """Run the command and return the JSON that it prints."""
-    main(["quarantine", *words, "--json"])
+    main(["quarantine", *args, "--json"])
     return json.loads(capsys.readouterr().out)
 
 
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("slots_in_use", "served"), [(1, True), (3, False)])
-def test_busy_target_is_reserved_for_its_known_objects(slots_in_use, served):
+def test_busy_target_is_reserved_for_requests_with_its_affinity(slots_in_use, served):
     parts = Parts([entry("t1", slots=4), entry("t2", slots=4)])
     fill(parts, "t1")
     (other,) = (each for each in parts.ledger.all() if each.entry.id == "t2")
@@ -83,9 +83,9 @@
     parts = Parts([entry("t1", slots=1)])
     late = call(parts.clock, id="late")
     late.soft_deadline = parts.clock.now() - 1.0
-    returned = call(parts.clock, is_client_retry=True, id="back")
+    retried = call(parts.clock, is_client_retry=True, id="back")
     first = call(parts.clock, id="first")
-    assert service_order(parts, [late, first, returned]) == ["back", "first", "late"]
+    assert service_order(parts, [late, first, retried]) == ["back", "first", "late"]
 
 
 def test_route_of_higher_priority_goes_first():
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -198,7 +198,10 @@
 
 
 def served_since(loads, domain, since):
-    """Return the requests sent since an instant that a domain served."""
+    """Return the requests sent since an instant that a domain served.
+
+    Without requests since then, return all requests.
+    """
     results = [each for load in loads for each in list(load.results)]
     recent = [each for each in results if each.sent_at >= since]
     return in_domain(recent, domain) if recent else results
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -61,21 +61,21 @@
     assert ids(parts) == ["t2"]
 
 
-def test_full_list_read_after_an_outage_keeps_lapsing_entries():
+def test_full_list_read_after_an_outage_keeps_missing_entries():
     parts = Parts([entry("t1"), entry("t2")])
     end_store_outage(parts)
     parts.registry.replace([entry("t2")])
     assert ids(parts) == ["t1", "t2"]
 
 
-def test_lapsing_entry_is_reported_as_a_change_once():
+def test_missing_entry_is_reported_as_a_change_once():
     parts = Parts([entry("t1"), entry("t2")])
     end_store_outage(parts)
     assert parts.registry.update([], ["t1"])
     assert not parts.registry.update([], ["t1"])
 
 
-def test_draining_target_is_removed_without_a_lapse():
+def test_draining_target_is_removed_at_once_after_an_outage():
     parts = Parts([entry("t1", draining=True), entry("t2")])
     end_store_outage(parts)
     parts.registry.update([], ["t1"])
@@ -83,7 +83,7 @@
     assert not parts.registry.contains("t1")
 
 
-def test_lapse_times_are_taken_from_the_list_of_another_vm():
+def test_remaining_use_is_taken_from_the_list_of_another_vm():
     parts = Parts([entry("t1"), entry("t2"), entry("t3")])
     parts.registry.replace([entry("t3")], {"t1": 1.5})
     assert ids(parts) == ["t1", "t3"]
@@ -92,14 +92,14 @@
     assert ids(parts) == ["t3"]
 
 
-def test_target_that_another_vm_knows_to_be_removed_does_not_lapse():
+def test_target_that_another_vm_has_removed_is_removed_at_once():
     parts = Parts([entry("t1"), entry("t2")])
     end_store_outage(parts)
     parts.registry.replace([entry("t2")], {})
     assert ids(parts) == ["t2"]
 
 
-def test_lapse_is_never_extended():
+def test_remaining_use_is_never_extended():
     parts = Parts([entry("t1"), entry("t2")])
     parts.registry.replace([entry("t2")], {"t1": 1.0})
     parts.clock.time += 0.5
@@ -107,7 +107,7 @@
     assert parts.registry.remaining_use_seconds() == {"t1": 0.5}
 
 
-def test_removed_target_is_not_restored_by_another_vms_lapse():
+def test_removed_target_is_not_restored_by_another_vms_list():
     parts = Parts([entry("t1"), entry("t2")])
     parts.registry.update([], ["t1"])
     parts.registry.replace([entry("t2")], {"t1": 2.0})
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -141,7 +141,7 @@
     assert all(each.status == 200 for each in late)
 
 
-def test_region_that_is_lost_and_returns_cold_overloads_nobody(fleet):
+def test_region_that_is_lost_and_returns_cold_overloads_no_target(fleet):
     """All VMs and targets of the north fail, and restart with cold targets."""
     north = [vm for vm in fleet.vms.values() if vm.domain != "south-a"]
     targets = [name for name in fleet.targets if name.startswith("north")]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""VMs start without operator modules; settings and metrics keep their form."""
+"""VMs start without operator modules; settings and metrics keep their format."""
 
 import json
 import subprocess
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -38,7 +38,7 @@
 from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
 NO_SLOT = "no free slot"
-#: Index of the instant until which an attempt may wait, in the dispatcher's arguments.
+#: Index of the instant until which an attempt may wait, in a dispatcher's arguments.
 LOCAL_UNTIL_INDEX, FORWARD_UNTIL_INDEX = 2, 3
 
 
@@ -50,14 +50,14 @@
         self.results = list(results)
         self.tried = []
 
-    async def run(self, call, *where):
-        self.tried.append(where)
+    async def run(self, call, *args):
+        self.tried.append(args)
         self.clock.time += 0.01
         result = self.results.pop(0)
         if callable(result):
             return result(call)
         if result.reason == NO_SLOT:
-            until = where[LOCAL_UNTIL_INDEX if len(where) == 3 else FORWARD_UNTIL_INDEX]
+            until = args[LOCAL_UNTIL_INDEX if len(args) == 3 else FORWARD_UNTIL_INDEX]
             self.clock.time = max(self.clock.time, until)
         return result
 
@@ -306,7 +306,7 @@
 
 
 def full_affinity_scene():
-    """Return a setup and a sticky call whose affinity target is full; one is idle."""
+    """Return a setup, a sticky call and its full affinity target; another is idle."""
     scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
     request = call(scene.parts.clock, route(sticky=True), affinity="/a")
     affinity_target = scene.places.select_free(request, set(), set()).target
@@ -365,7 +365,7 @@
 
 def wait_deadlines(scene):
     """Return the instants until which the attempts could wait at the owner."""
-    return [where[FORWARD_UNTIL_INDEX] for where in scene.forward.tried]
+    return [args[FORWARD_UNTIL_INDEX] for args in scene.forward.tried]
 
 
 def test_request_waits_at_an_affinity_target_reported_to_have_a_free_slot():
--- a/tests/test_steering_path.py
+++ b/tests/test_steering_path.py
@@ -83,7 +83,7 @@
     assert sum(each["shed"] for each in records) == 0
 
 
-def test_route_with_regions_is_served_only_there(fleet):
+def test_route_with_regions_is_served_only_in_them(fleet):
     statuses = run_concurrently(
         12,
         lambda number: fleet.send(
--- a/tests/test_steering_stop.py
+++ b/tests/test_steering_stop.py
@@ -30,7 +30,7 @@
     @property
     def is_started(self):
         self.requests += 1
-        raise EOFError("the request was taken")
+        raise EOFError("the request was started")
 
 
 def make_socket_pair():
@@ -76,13 +76,13 @@
 
 def test_connection_accepted_after_the_close_is_not_served():
     node = FakeNode()
-    opened = make_listeners(node)
-    opened.close()
+    listeners = make_listeners(node)
+    listeners.close()
 
     async def main():
         sock, client = make_socket_pair()
         client.sendall(REQUEST)
-        await opened._serve_client(sock, None)
+        await listeners._serve_client(sock, None)
 
     run(main)
     assert node.requests == 0
@@ -90,16 +90,16 @@
 
 def test_open_connections_are_closed_with_the_listeners():
     node = FakeNode()
-    opened = make_listeners(node)
+    listeners = make_listeners(node)
 
     async def main():
         sock, client = make_socket_pair()
-        task = await spawn(opened._serve_client, sock, None)
+        task = await spawn(listeners._serve_client, sock, None)
         await sleep(0)
-        opened.close()
+        listeners.close()
         await task.join()
         return client
 
     client = run(main)
     assert client.recv(100) == b""
-    assert not opened.is_busy
+    assert not listeners.is_busy
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -287,10 +287,10 @@
 
     @rule(vm=st.integers(0, 2))
     def restart(self, vm):
-        """Restart a VM; crashes that only this VM knew are lost."""
+        """Restart a VM; crashes that only this VM recorded are lost."""
         others = [each for each in self.vms if each is not self.vms[vm]]
-        known = {incarnation_id for each in others for incarnation_id in _crashes(each)}
-        self.seen &= known
+        kept = {incarnation_id for each in others for incarnation_id in _crashes(each)}
+        self.seen &= kept
         self.vms[vm] = make_suspects(self.clock)
 
     @rule(seconds=st.floats(0.1, 2 * EXEMPTION_SECONDS))
@@ -312,10 +312,10 @@
                 for receiver in self.vms:
                     tell(sender, receiver)
         assert len({vm.digest for vm in self.vms}) == 1
-        verdicts = {vm.refused_until("f") is None for vm in self.vms}
-        assert len(verdicts) == 1
+        allowed = {vm.refused_until("f") is None for vm in self.vms}
+        assert len(allowed) == 1
         if len(self.seen) >= CRASHES_TO_QUARANTINE and not self.has_response:
-            assert verdicts == {False}
+            assert allowed == {False}
 
 
 def _crashes(suspects):
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -28,7 +28,7 @@
 SUSPENDED_SECONDS = [0.5, 2.0, 5.0]
 WAIT_MS = 1000
 #: Limit on the time from the resumption to the client's response: the rest of the
-#: request's timer, and a path through two VMs.
+#: request's timeout, and the delay of a response that is forwarded by another VM.
 MAX_DELAY_SECONDS = 1.3
 
 
@@ -105,7 +105,7 @@
     assert ended_at[0] - resumed_at <= MAX_DELAY_SECONDS
 
 
-def test_held_clock_excludes_suspensions():
+def test_suspend_aware_clock_excludes_suspensions():
     now = [100.0]
     clock = SuspendAwareClock(lambda: now[0])
     now[0] += MAX_STEP_SECONDS / 2
--- a/tests/test_table_store.py
+++ b/tests/test_table_store.py
@@ -90,7 +90,7 @@
     snapshot = run_client(client.read, "servers")
     removal.join()
     changes = run_client(client.follow, "servers", snapshot.version, 0.0)
-    assert "k0000" in keys(snapshot), "removed too early to tell anything"
+    assert "k0000" in keys(snapshot), "the row was removed before its page was read"
     assert [(row.key, row.value) for row in changes.rows] == [("k0000", None)]
 
 
--- a/tests/test_target_departures.py
+++ b/tests/test_target_departures.py
@@ -29,8 +29,8 @@
 #: Time after the removal of its entry in which requests may still reach a target.
 DRAIN_SECONDS = 2.0
 OUTAGE_SECONDS = 3.0
-#: Limit on the time from the end of a lapse to the last request at the target: the
-#: interval of the check for expired lapses, and a path through two VMs.
+#: Limit on the time from the end of the grace period to the last request at the target:
+#: the interval at which missing targets expire, and the time to forward a request.
 MAX_DELAY_SECONDS = 0.5
 SEND_SECONDS = 5.0
 
@@ -72,23 +72,23 @@
     sent = dict(send_until(fleet, vm, left_at + SEND_SECONDS))
     served_ids = {run[0] for run in fleet.record(leaving)["runs"]}
     late = [each for each in served_ids if sent[each] > left_at + DRAIN_SECONDS]
-    assert served_ids, "the target served nothing before it left"
+    assert served_ids, "the VM stopped using the target before the first request"
     assert late == []
 
 
-def test_target_removed_in_a_total_outage_is_used_until_its_lapse_ends(
+def test_target_removed_in_a_total_outage_is_used_until_its_grace_period_ends(
     fleet,
 ):
     vm = fleet.vms[READER]
-    lapsing = f"i-{vm.domain}"
+    missing = f"i-{vm.domain}"
     fleet.switch_store(down="busy")
     time.sleep(OUTAGE_SECONDS)
-    fleet.put("servers", lapsing, None)
+    fleet.put("servers", missing, None)
     fleet.switch_store(down=None)
     returned_at = time.monotonic()
     sent = dict(send_until(fleet, vm, returned_at + SEND_SECONDS))
     request_times = [
-        sent[run[0]] - returned_at for run in fleet.record(lapsing)["runs"]
+        sent[run[0]] - returned_at for run in fleet.record(missing)["runs"]
     ]
     assert (
         MISSING_GRACE_SECONDS / 2
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -189,7 +189,7 @@
     assert other is not affinity_target
 
 
-def test_number_of_remembered_objects_is_bounded():
+def test_number_of_cached_affinity_keys_is_bounded():
     region = ViewSetup().region("north")
     for each in range(MAX_CACHED_AFFINITY_KEYS + 1):
         region.affinity_targets(f"/{each}", 1, ANY, 0.0)
