--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -50,7 +50,7 @@
     OtherCallers,
     fleet,  # noqa: F401
 )
-from tests.test_steer import Scene
+from tests.test_steer import SteeringSetup
 from tests.test_suspects import tell
 
 HEARTBEATS_TO_CONVERGE = 12
@@ -321,25 +321,30 @@
 
 
 def test_suspected_request_is_isolated_at_one_of_few_targets():
-    scene = Scene([], entries=[entry(f"t{number}", slots=2) for number in range(8)])
-    few = scene.view.regions("s1")["north"].isolation_candidates
+    setup = SteeringSetup(
+        [], entries=[entry(f"t{number}", slots=2) for number in range(8)]
+    )
+    few = setup.view.regions("s1")["north"].isolation_candidates
     few = [each.entry.id for each in few]
     others = {f"t{number}" for number in range(8)} - set(few)
     assert len(few) == 2
-    request = scene.call()
+    request = setup.call()
     for first in few:
         request.needs_isolation = True
-        assert scene.places.select_free(request, (), ()).target == first
-        scene.parts.ledger.get(first).claim(scene.parts.clock.now())
-    assert scene.places.select_free(request, (), ()).target in others
+        assert setup.destinations.select_free(request, (), ()).target == first
+        setup.parts.ledger.get(first).claim(setup.parts.clock.now())
+    assert setup.destinations.select_free(request, (), ()).target in others
 
 
 def test_suspected_request_is_not_isolated_at_the_only_target_with_free_slots():
-    scene = Scene([], entries=[entry("t1", slots=2)])
-    request = scene.call()
+    setup = SteeringSetup([], entries=[entry("t1", slots=2)])
+    request = setup.call()
     request.needs_isolation = True
-    assert scene.places._find_isolated(scene.places._eligible_targets(request)) is None
-    assert scene.places.select_free(request, (), ()).target == "t1"
+    assert (
+        setup.destinations._find_isolated(setup.destinations._eligible_targets(request))
+        is None
+    )
+    assert setup.destinations.select_free(request, (), ()).target == "t1"
 
 
 def test_request_whose_target_crashed_is_isolated_when_retried(view):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -31,7 +31,7 @@
 from standins.steering_fleet import SteeringFleet
 from tests.platform_samples import config
 from tests.steering_parts import Parts, call, entry, make_heartbeat
-from tests.test_steer import Scene, answered
+from tests.test_steer import SteeringSetup, answered
 
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
 TARGETS = {
@@ -255,23 +255,23 @@
 def test_refusal_of_the_owner_is_final():
     """The owner may know of a crash before this VM is notified."""
     refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED_REASON)
-    scene = Scene([refused, answered()])
+    setup = SteeringSetup([refused, answered()])
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call())
+        setup.run(setup.call())
     assert caught.value.code is ResultCode.QUARANTINED
-    assert caught.value.retry_at > scene.parts.clock.now()
-    assert len(scene.local.tried) == 1
+    assert caught.value.retry_at > setup.parts.clock.now()
+    assert len(setup.local.tried) == 1
 
 
 def test_quarantine_after_an_attempt_reports_an_unknown_outcome():
     """A refusal would state that it has not run."""
     unknown = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
     refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED_REASON)
-    scene = Scene([unknown, refused, answered()])
+    setup = SteeringSetup([unknown, refused, answered()])
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call())
+        setup.run(setup.call())
     assert caught.value.code is ResultCode.ANSWER_LOST
-    assert len(scene.local.tried) == 2
+    assert len(setup.local.tried) == 2
 
 
 def test_request_that_begins_to_crash_targets_is_quarantined(fleet):
@@ -293,14 +293,14 @@
     crashed = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
     crashed.crashed_incarnation = "t1"
     remote = [entry("t1", domain="south-a")]
-    scene = Scene([], entries=remote, forwarded=[crashed])
-    scene.suspects.record_crash("", "t2")
-    scene.suspects.record_crash("", "t3")
-    dispatcher = scene.steering._dispatcher
+    setup = SteeringSetup([], entries=remote, forwarded=[crashed])
+    setup.suspects.record_crash("", "t2")
+    setup.suspects.record_crash("", "t3")
+    dispatcher = setup.steering._dispatcher
     destination = Destination("vm-2", None, (), is_remote=False)
-    scene.parts.members.record_heartbeat(make_heartbeat("vm-2"))
-    run(dispatcher.run, scene.call(), destination, (), scene.parts.clock.now() + 1.0)
-    assert scene.suspects.refused_until("") is not None
+    setup.parts.members.record_heartbeat(make_heartbeat("vm-2"))
+    run(dispatcher.run, setup.call(), destination, (), setup.parts.clock.now() + 1.0)
+    assert setup.suspects.refused_until("") is not None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -29,7 +29,7 @@
 from heathercleat.steering.request.local import LocalDispatcher
 from tests.fakes import ManualClock
 from tests.steering_parts import Parts, call, entry, route
-from tests.test_steer import Scene, answered, ended, no_slot
+from tests.test_steer import SteeringSetup, answered, ended, no_slot
 
 GRACE_SECONDS = 6.0
 #: Seconds after the stop signal at which the last responses are sent.
@@ -210,38 +210,38 @@
 
 
 def test_waiting_request_is_refused_when_it_can_no_longer_be_finished():
-    scene = Scene([no_slot(), answered()])
+    setup = SteeringSetup([no_slot(), answered()])
     for _ in range(MIN_RUNS):
-        record_run(scene.shutdown.run_times, scene.parts.clock, scene.call(), 0.2)
-    request = scene.call()
-    now = scene.parts.clock.now()
+        record_run(setup.shutdown.run_times, setup.parts.clock, setup.call(), 0.2)
+    request = setup.call()
+    now = setup.parts.clock.now()
     request.deadline = now + DISTANT_SECONDS
     request.is_client_retry = True
-    needed = scene.shutdown.run_times.bound(request)
-    scene.shutdown.begin(now, grace_for(needed + 0.02))
+    needed = setup.shutdown.run_times.bound(request)
+    setup.shutdown.begin(now, grace_for(needed + 0.02))
     with pytest.raises(RequestError) as caught:
-        scene.run(request)
+        setup.run(request)
     assert LEAVING_REASON in str(caught.value)
-    assert len(scene.local.tried) == 1
+    assert len(setup.local.tried) == 1
 
 
 @pytest.mark.parametrize("first", [ended(AttemptOutcome.UNKNOWN), answered(500)])
 def test_request_is_not_retried_when_it_can_no_longer_be_finished(first):
-    scene = Scene([first, answered()])
+    setup = SteeringSetup([first, answered()])
     for _ in range(MIN_RUNS):
-        record_run(scene.shutdown.run_times, scene.parts.clock, scene.call(), 0.2)
-    request = scene.call()
-    now = scene.parts.clock.now()
+        record_run(setup.shutdown.run_times, setup.parts.clock, setup.call(), 0.2)
+    request = setup.call()
+    now = setup.parts.clock.now()
     request.deadline = now + DISTANT_SECONDS
-    needed = scene.shutdown.run_times.bound(request)
-    scene.shutdown.begin(now, grace_for(needed + 0.005))
+    needed = setup.shutdown.run_times.bound(request)
+    setup.shutdown.begin(now, grace_for(needed + 0.005))
     if first.response:
-        assert scene.run(request).status == 500
+        assert setup.run(request).status == 500
     else:
         with pytest.raises(RequestError) as caught:
-            scene.run(request)
+            setup.run(request)
         assert caught.value.code is ResultCode.ANSWER_LOST
-    assert len(scene.local.tried) == 1
+    assert len(setup.local.tried) == 1
 
 
 class SlowPool:
--- a/tests/test_steer.py
+++ b/tests/test_steer.py
@@ -76,7 +76,7 @@
     return AttemptResult(AttemptOutcome.NOT_SENT, reason=NO_SLOT, wait=0.01)
 
 
-class Scene:
+class SteeringSetup:
     """Steering with scripted attempts at targets of this VM and of other VMs."""
 
     def __init__(self, results, entries=None, forwarded=(), slack=60.0):
@@ -106,7 +106,7 @@
         region_loss_rates = RegionLossRates(
             members, self.reports, own_loss_rates, clock
         )
-        self.places = places = DestinationSelector(
+        self.destinations = destinations = DestinationSelector(
             view, members, estimates, region_loss_rates, self.shift, clock
         )
         self.suspects = Suspects(parts.journal, clock)
@@ -120,7 +120,7 @@
             self.crash_limits,
         )
         self.steering = Steering(
-            places,
+            destinations,
             dispatcher,
             self.shift,
             lambda service: self.budget,
@@ -140,35 +140,35 @@
 
 
 def test_response_of_a_target_is_final():
-    scene = Scene([answered(404)])
-    assert scene.run(scene.call()).status == 404
+    setup = SteeringSetup([answered(404)])
+    assert setup.run(setup.call()).status == 404
 
 
 @pytest.mark.parametrize("kind", [RequestKind.UNSAFE, RequestKind.UPLOAD])
 @pytest.mark.parametrize("outcome", [AttemptOutcome.UNKNOWN, AttemptOutcome.TIMED_OUT])
 def test_request_that_may_have_run_is_not_retried(kind, outcome):
-    scene = Scene([ended(outcome), answered()])
+    setup = SteeringSetup([ended(outcome), answered()])
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call(kind))
-    assert len(scene.local.tried) == 1
+        setup.run(setup.call(kind))
+    assert len(setup.local.tried) == 1
     assert caught.value.code.status in (502, 504)
     assert caught.value.retry_at is None
 
 
 @pytest.mark.parametrize("kind", list(RequestKind))
 def test_request_refused_by_a_target_is_retried_at_another(kind):
-    scene = Scene([ended(AttemptOutcome.REFUSED, "t1"), answered(target="t2")])
-    assert scene.run(scene.call(kind)).status == 200
-    assert "t1" in scene.local.tried[1][1]
+    setup = SteeringSetup([ended(AttemptOutcome.REFUSED, "t1"), answered(target="t2")])
+    assert setup.run(setup.call(kind)).status == 200
+    assert "t1" in setup.local.tried[1][1]
 
 
 def test_safe_request_without_a_response_is_retried():
-    scene = Scene([ended(AttemptOutcome.UNKNOWN), answered(target="t2")])
-    assert scene.run(scene.call()).status == 200
+    setup = SteeringSetup([ended(AttemptOutcome.UNKNOWN), answered(target="t2")])
+    assert setup.run(setup.call()).status == 200
 
 
 def test_safe_request_runs_on_no_more_targets_than_its_route_allows():
-    scene = Scene(
+    setup = SteeringSetup(
         [
             ended(AttemptOutcome.UNKNOWN, "t1"),
             ended(AttemptOutcome.UNKNOWN, "t2"),
@@ -176,70 +176,70 @@
         ]
     )
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call(attempts=2))
+        setup.run(setup.call(attempts=2))
     assert caught.value.code is ResultCode.ANSWER_LOST
-    assert len(scene.local.tried) == 2
+    assert len(setup.local.tried) == 2
 
 
 def test_server_error_is_returned_when_all_attempts_fail():
-    scene = Scene([answered(500, "t1"), answered(500, "t2")])
-    assert scene.run(scene.call(attempts=2)).status == 500
+    setup = SteeringSetup([answered(500, "t1"), answered(500, "t2")])
+    assert setup.run(setup.call(attempts=2)).status == 500
 
 
 def test_without_budget_a_refused_request_is_reported_as_not_run():
-    scene = Scene([ended(AttemptOutcome.REFUSED), answered()], slack=0.0)
+    setup = SteeringSetup([ended(AttemptOutcome.REFUSED), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call(RequestKind.UNSAFE))
+        setup.run(setup.call(RequestKind.UNSAFE))
     assert caught.value.code is ResultCode.NO_ROOM
-    assert caught.value.retry_at > scene.parts.clock.now()
-    assert len(scene.local.tried) == 1
+    assert caught.value.retry_at > setup.parts.clock.now()
+    assert len(setup.local.tried) == 1
 
 
 def test_without_budget_a_safe_request_that_may_have_run_is_not_reported_as_not_run():
-    scene = Scene([ended(AttemptOutcome.UNKNOWN), answered()], slack=0.0)
+    setup = SteeringSetup([ended(AttemptOutcome.UNKNOWN), answered()], slack=0.0)
     with pytest.raises(RequestError) as caught:
-        scene.run(scene.call())
+        setup.run(setup.call())
     assert caught.value.code is ResultCode.ANSWER_LOST
 
 
 def test_attempt_that_sent_nothing_costs_no_budget():
     refused = ended(AttemptOutcome.NOT_SENT, reason="connect")
-    scene = Scene([refused, refused, answered(target="t3")], slack=0.0)
-    assert scene.run(scene.call()).status == 200
+    setup = SteeringSetup([refused, refused, answered(target="t3")], slack=0.0)
+    assert setup.run(setup.call()).status == 200
 
 
-def full_targets_scene(results):
-    scene = Scene(results)
-    for target in scene.parts.ledger.all():
-        while target.free(scene.parts.clock.now()):
-            target.claim(scene.parts.clock.now())
-    return scene
+def full_targets_setup(results):
+    setup = SteeringSetup(results)
+    for target in setup.parts.ledger.all():
+        while target.free(setup.parts.clock.now()):
+            target.claim(setup.parts.clock.now())
+    return setup
 
 
 def test_request_without_a_slot_in_time_is_refused_at_once():
     no_slot_in_time = AttemptResult(
         AttemptOutcome.NOT_SENT, reason=NO_SLOT_IN_TIME_REASON, wait=9.0
     )
-    scene = full_targets_scene([no_slot_in_time] * 50)
-    request = scene.call()
+    setup = full_targets_setup([no_slot_in_time] * 50)
+    request = setup.call()
     with pytest.raises(RequestError) as caught:
-        scene.run(request)
+        setup.run(request)
     assert caught.value.code is ResultCode.NO_ROOM
-    assert caught.value.retry_at > scene.parts.clock.now()
+    assert caught.value.retry_at > setup.parts.clock.now()
     assert (
-        scene.parts.clock.now() - request.arrived_at
+        setup.parts.clock.now() - request.arrived_at
         <= request.route.latency_objective / 4
     )
 
 
 @pytest.mark.parametrize("returned", [True, False])
 def test_request_waits_for_a_slot_past_its_soft_deadline(returned):
-    scene = full_targets_scene([no_slot()] * 500)
-    request = scene.call()
+    setup = full_targets_setup([no_slot()] * 500)
+    request = setup.call()
     request.is_client_retry = returned
     with pytest.raises(RequestError):
-        scene.run(request)
-    assert request.soft_deadline < scene.parts.clock.now() <= request.deadline + 0.1
+        setup.run(request)
+    assert request.soft_deadline < setup.parts.clock.now() <= request.deadline + 0.1
 
 
 def test_request_of_a_disconnected_client_is_not_retried():
@@ -247,92 +247,94 @@
         request.is_disconnected = True
         return ended(AttemptOutcome.REFUSED)
 
-    scene = Scene([disconnect, answered()])
+    setup = SteeringSetup([disconnect, answered()])
     with pytest.raises(CallerDisconnectedError):
-        scene.run(scene.call())
-    assert len(scene.local.tried) == 1
+        setup.run(setup.call())
+    assert len(setup.local.tried) == 1
 
 
-def remote_region_scene(free, forwarded):
+def remote_region_setup(free, forwarded):
     """Return a northern VM whose own target is full, beside a southern target."""
     remote_target = entry("t9", domain="south-a", slots=10)
-    scene = Scene([no_slot()] * 50, [entry("t1", slots=1), remote_target], forwarded)
-    scene.parts.members.record_heartbeat(
+    setup = SteeringSetup(
+        [no_slot()] * 50, [entry("t1", slots=1), remote_target], forwarded
+    )
+    setup.parts.members.record_heartbeat(
         make_heartbeat("vm-3", domain="south-a", region="south")
     )
-    (own,) = scene.parts.ledger.all()
-    own.claim(scene.parts.clock.now())
-    scene.reports.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
-    return scene
+    (own,) = setup.parts.ledger.all()
+    own.claim(setup.parts.clock.now())
+    setup.reports.record_report("vm-3", [["t9", free, 10, 0]], [["s1", 0.0, 0.0]], [])
+    return setup
 
 
 @pytest.mark.parametrize("sticky", [True, False])
 def test_owner_without_a_report_is_tried(sticky):
     """A VM without traffic gets no reports, but must serve the requests it receives."""
-    scene = Scene([], [entry("t1", domain="north-b")], [answered()])
-    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
-    request = call(scene.parts.clock, route(sticky=sticky), affinity="/a")
-    assert scene.run(request).status == 200
-    assert len(scene.forward.tried) == 1
+    setup = SteeringSetup([], [entry("t1", domain="north-b")], [answered()])
+    setup.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
+    request = call(setup.parts.clock, route(sticky=sticky), affinity="/a")
+    assert setup.run(request).status == 200
+    assert len(setup.forward.tried) == 1
 
 
 def test_request_moves_to_a_region_with_free_slots():
-    scene = remote_region_scene(10, [answered(target="t9")])
-    assert scene.run(scene.call()).status == 200
-    assert len(scene.forward.tried) == 1
+    setup = remote_region_setup(10, [answered(target="t9")])
+    assert setup.run(setup.call()).status == 200
+    assert len(setup.forward.tried) == 1
 
 
 def test_last_slots_of_a_region_are_left_to_its_own_clients():
-    scene = remote_region_scene(1, [answered(target="t9")])
+    setup = remote_region_setup(1, [answered(target="t9")])
     with pytest.raises(RequestError):
-        scene.run(scene.call())
-    assert scene.forward.tried == []
+        setup.run(setup.call())
+    assert setup.forward.tried == []
 
 
 def test_request_stays_in_the_regions_of_its_route():
-    scene = remote_region_scene(10, [answered(target="t9")])
+    setup = remote_region_setup(10, [answered(target="t9")])
     with pytest.raises(RequestError):
-        scene.run(scene.call(regions=["north"]))
-    assert scene.forward.tried == []
+        setup.run(setup.call(regions=["north"]))
+    assert setup.forward.tried == []
 
 
 def test_unreachable_vm_is_not_tried_again():
-    scene = remote_region_scene(
+    setup = remote_region_setup(
         10, [AttemptResult(AttemptOutcome.NOT_SENT, reason="VM: refused")]
     )
     with pytest.raises(RequestError):
-        scene.run(scene.call())
-    assert len(scene.forward.tried) == 1
+        setup.run(setup.call())
+    assert len(setup.forward.tried) == 1
 
 
-def full_affinity_scene():
+def full_affinity_setup():
     """Return a setup, a sticky call and its full affinity target; another is idle."""
-    scene = Scene([], [entry("t1", slots=2), entry("t2", slots=2)])
-    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    affinity_target = scene.places.select_free(request, set(), set()).target
-    target = scene.parts.ledger.get(affinity_target)
-    while target.free(scene.parts.clock.now()):
-        target.claim(scene.parts.clock.now())
-    scene.parts.clock.time += SUMMARY_TTL_SECONDS
-    return scene, request, affinity_target
+    setup = SteeringSetup([], [entry("t1", slots=2), entry("t2", slots=2)])
+    request = call(setup.parts.clock, route(sticky=True), affinity="/a")
+    affinity_target = setup.destinations.select_free(request, set(), set()).target
+    target = setup.parts.ledger.get(affinity_target)
+    while target.free(setup.parts.clock.now()):
+        target.claim(setup.parts.clock.now())
+    setup.parts.clock.time += SUMMARY_TTL_SECONDS
+    return setup, request, affinity_target
 
 
 def test_request_goes_to_an_idle_target_while_its_affinity_target_is_full():
-    scene, request, affinity_target = full_affinity_scene()
-    destination = scene.places.select_free(request, set(), set())
+    setup, request, affinity_target = full_affinity_setup()
+    destination = setup.destinations.select_free(request, set(), set())
     assert destination.target not in (None, affinity_target)
 
 
 def test_request_that_would_be_late_elsewhere_waits_for_its_affinity_target():
-    scene, request, affinity_target = full_affinity_scene()
-    request.affinity_until = scene.parts.clock.now() + 0.05
-    assert scene.places.select_free(request, set(), set()) is None
+    setup, request, affinity_target = full_affinity_setup()
+    request.affinity_until = setup.parts.clock.now() + 0.05
+    assert setup.destinations.select_free(request, set(), set()) is None
     request.give_up_at = request.affinity_until
-    assert scene.places.select_queue(request, set(), set()).preferred == (
+    assert setup.destinations.select_queue(request, set(), set()).preferred == (
         affinity_target,
     )
-    scene.parts.clock.time = request.affinity_until
-    assert scene.places.select_free(request, set(), set()).target not in (
+    setup.parts.clock.time = request.affinity_until
+    assert setup.destinations.select_free(request, set(), set()).target not in (
         None,
         affinity_target,
     )
@@ -346,61 +348,61 @@
         affinity_waits.append(request.affinity_until - request.arrived_at)
         return answered()
 
-    scene = Scene([record_wait])
-    scene.response_times.record("r1", 0.1, True)
-    scene.response_times.record("r1", elsewhere, False)
-    scene.run(call(scene.parts.clock, route(sticky=True), affinity="/a"))
+    setup = SteeringSetup([record_wait])
+    setup.response_times.record("r1", 0.1, True)
+    setup.response_times.record("r1", elsewhere, False)
+    setup.run(call(setup.parts.clock, route(sticky=True), affinity="/a"))
     assert (affinity_waits[0] > 0.0) is waits
 
 
-def remote_affinity_scene(forwarded):
+def remote_affinity_setup(forwarded):
     """Return a setup whose only target belongs to a VM that reports a free slot."""
-    scene = Scene([], [entry("t1", domain="north-b")], forwarded)
-    scene.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
-    scene.reports.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
-    scene.response_times.record("r1", 0.1, True)
-    scene.response_times.record("r1", 0.5, False)
-    return scene
+    setup = SteeringSetup([], [entry("t1", domain="north-b")], forwarded)
+    setup.parts.members.record_heartbeat(make_heartbeat("vm-2", domain="north-b"))
+    setup.reports.record_report("vm-2", [("t1", 1, 2, 1)], [("s1", 0.0, 0.0)], [])
+    setup.response_times.record("r1", 0.1, True)
+    setup.response_times.record("r1", 0.5, False)
+    return setup
 
 
-def wait_deadlines(scene):
+def wait_deadlines(setup):
     """Return the instants until which the attempts could wait at the owner."""
-    return [args[FORWARD_UNTIL_INDEX] for args in scene.forward.tried]
+    return [args[FORWARD_UNTIL_INDEX] for args in setup.forward.tried]
 
 
 def test_request_waits_at_an_affinity_target_reported_to_have_a_free_slot():
-    scene = remote_affinity_scene([answered()])
-    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
-    scene.run(request)
-    assert wait_deadlines(scene) == [request.affinity_until]
+    setup = remote_affinity_setup([answered()])
+    request = call(setup.parts.clock, route(sticky=True), affinity="/a")
+    setup.run(request)
+    assert wait_deadlines(setup) == [request.affinity_until]
     assert request.affinity_until - request.arrived_at > 2 * STALE_REPORT_WAIT_SECONDS
 
 
 def test_full_affinity_target_is_tried_once_per_recheck_interval():
     """Each attempt at a full target sends the body again, so attempts are limited."""
-    scene = remote_affinity_scene([no_slot() for _ in range(20)])
-    scene.response_times.record("r1", 5.0, False)
-    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    setup = remote_affinity_setup([no_slot() for _ in range(20)])
+    setup.response_times.record("r1", 5.0, False)
+    request = call(setup.parts.clock, route(sticky=True), affinity="/a")
     request.soft_deadline = request.deadline
     with pytest.raises(RequestError):
-        scene.run(request)
-    assert len(scene.forward.tried) <= 1.0 / FORWARDED_RECHECK_SECONDS + 1
+        setup.run(request)
+    assert len(setup.forward.tried) <= 1.0 / FORWARDED_RECHECK_SECONDS + 1
 
 
 def test_request_without_affinity_waits_briefly_on_a_stale_report():
-    scene = remote_affinity_scene([answered()])
-    request = call(scene.parts.clock, route())
-    scene.run(request)
-    assert wait_deadlines(scene) == [request.arrived_at + STALE_REPORT_WAIT_SECONDS]
+    setup = remote_affinity_setup([answered()])
+    request = call(setup.parts.clock, route())
+    setup.run(request)
+    assert wait_deadlines(setup) == [request.arrived_at + STALE_REPORT_WAIT_SECONDS]
 
 
 @pytest.mark.parametrize(("size", "most"), [(0, 5), (LARGE_BODY_BYTES, 2)])
 def test_large_bodies_are_resent_less_often(size, most):
-    scene = remote_affinity_scene([no_slot() for _ in range(20)])
-    scene.response_times.record("r1", 5.0, False)
-    request = call(scene.parts.clock, route(sticky=True), affinity="/a")
+    setup = remote_affinity_setup([no_slot() for _ in range(20)])
+    setup.response_times.record("r1", 5.0, False)
+    request = call(setup.parts.clock, route(sticky=True), affinity="/a")
     request.body = b"x" * size
     request.soft_deadline = request.deadline
     with pytest.raises(RequestError):
-        scene.run(request)
-    assert 1 <= len(scene.forward.tried) <= most
+        setup.run(request)
+    assert 1 <= len(setup.forward.tried) <= most
