--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -51,7 +51,7 @@
     fleet,  # noqa: F401
 )
 from tests.test_steer import SteeringSetup
-from tests.test_suspects import tell
+from tests.test_suspects import gossip
 
 HEARTBEATS_TO_CONVERGE = 12
 ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
@@ -253,7 +253,7 @@
     clock = ManualClock()
     here, there = View(clock), View(clock)
     limit_sender(here)
-    tell(here.suspects, there.suspects)
+    gossip(here.suspects, there.suspects)
     assert there.is_refused(b"k=1")
 
 
@@ -263,8 +263,8 @@
     for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         there.record_response()
     limit_unknown_senders(here)
-    tell(here.suspects, there.suspects)
-    tell(there.suspects, here.suspects)
+    gossip(here.suspects, there.suspects)
+    gossip(there.suspects, here.suspects)
     assert not here.is_refused()
     assert here.suspects.digest == there.suspects.digest
 
@@ -392,8 +392,8 @@
         assert view.refusal(request) is None
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
-    def tell(self, sender, receiver):
-        tell(self.views[sender].suspects, self.views[receiver].suspects)
+    def gossip(self, sender, receiver):
+        gossip(self.views[sender].suspects, self.views[receiver].suspects)
 
     @rule(vm=st.integers(0, 2))
     def restart(self, vm):
@@ -424,7 +424,7 @@
         for _ in range(HEARTBEATS_TO_CONVERGE):
             for sender_view in self.views:
                 for receiver in self.views:
-                    tell(sender_view.suspects, receiver.suspects)
+                    gossip(sender_view.suspects, receiver.suspects)
         crashes_by_key = [_crashes_by_key(view) for view in self.views]
         announced = set().union(*map(_announced_keys, self.views))
         for key in announced.difference(*map(_expiring_keys, self.views)):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -45,7 +45,7 @@
         suspects.record_crash(fingerprint, incarnation_id)
 
 
-def tell(sender, receiver):
+def gossip(sender, receiver):
     for update in list(sender.updates()):
         receiver.merge(SuspectUpdate.of(update.fields()))
 
@@ -62,8 +62,8 @@
     suspects, other = make_suspects(), make_suspects()
     for _ in range(5):
         suspects.record_crash("f", "i-1")
-        tell(suspects, other)
-        tell(other, suspects)
+        gossip(suspects, other)
+        gossip(other, suspects)
     assert suspects.refused_until("f") is None
     assert other.refused_until("f") is None
 
@@ -73,16 +73,16 @@
     for vm, incarnation_id in zip(vms, INCARNATIONS, strict=False):
         vm.record_crash("f", incarnation_id)
     for vm in vms[1:]:
-        tell(vm, vms[0])
+        gossip(vm, vms[0])
     assert vms[0].refused_until("f") is not None
 
 
 def test_complete_response_clears_a_request_everywhere():
     one, other = make_suspects(), make_suspects()
     record_crashes(one, 3)
-    tell(one, other)
+    gossip(one, other)
     other.record_response("f")
-    tell(other, one)
+    gossip(other, one)
     assert one.refused_until("f") is None
     assert one.digest == other.digest
 
@@ -95,9 +95,9 @@
     suspects.record_response("f")
     clock.time += EXEMPTION_SECONDS / 2
     record_crashes(other if at_other_vm else suspects, CRASHES_TO_QUARANTINE)
-    tell(other, suspects)
+    gossip(other, suspects)
     assert suspects.refused_until("f") is None
-    tell(suspects, other)
+    gossip(suspects, other)
     assert other.refused_until("f") is None
 
 
@@ -174,7 +174,7 @@
     one.on_quarantine(reported.append)
     other.on_quarantine(reported.append)
     record_crashes(one, 5)
-    tell(one, other)
+    gossip(one, other)
     assert [each.fingerprint for each in reported] == ["f"]
 
 
@@ -187,9 +187,9 @@
     one.record_crash("f", "i-1", "two", "s1")
     other.record_crash("f", "i-2", "two", "s1")
     other.record_crash("f", "i-3", "two", "s1")
-    tell(one, other)
-    tell(other, one)
-    tell(other, third)
+    gossip(one, other)
+    gossip(other, one)
+    gossip(other, third)
     assert [(each.route, each.service) for each in reported] == [("two", "s1")] * 2
 
 
@@ -283,7 +283,7 @@
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
     def send_updates(self, sender, receiver):
-        tell(self.vms[sender], self.vms[receiver])
+        gossip(self.vms[sender], self.vms[receiver])
 
     @rule(vm=st.integers(0, 2))
     def restart(self, vm):
@@ -310,7 +310,7 @@
         for _ in range(3):
             for sender in self.vms:
                 for receiver in self.vms:
-                    tell(sender, receiver)
+                    gossip(sender, receiver)
         assert len({vm.digest for vm in self.vms}) == 1
         allowed = {vm.refused_until("f") is None for vm in self.vms}
         assert len(allowed) == 1
@@ -346,8 +346,8 @@
     for number in range(MAX_CRASHES):
         one.record_crash("f", f"i-{number}")
         other.record_crash("f", f"j-{number}")
-    tell(one, other)
-    tell(other, one)
+    gossip(one, other)
+    gossip(other, one)
     (here,), (there,) = one.all(), other.all()
     assert set(here.ends) == set(there.ends)
     assert len(here.ends) == MAX_CRASHES
@@ -359,8 +359,8 @@
     for number in range(40):
         rng.choice(vms).record_crash(f"f{number % 7}", rng.choice(INCARNATIONS))
     for _ in range(60):
-        tell(*rng.sample(vms, 2))
+        gossip(*rng.sample(vms, 2))
     for sender in vms:
         for receiver in vms:
-            tell(sender, receiver)
+            gossip(sender, receiver)
     assert len({vm.digest for vm in vms}) == 1
