--- a/bench/control.py
+++ b/bench/control.py
@@ -21,7 +21,7 @@
 from tests.fakes import FakePlatform
 from tests.test_once_failures import kill_and_restart as kill_one
 from tests.test_once_failures import pause_and_resume as pause_one
-from tests.test_once_failures import sweep
+from tests.test_once_failures import run_edits_under_faults
 
 EXAMPLES = Path("examples")
 IN_FORCE_LIMIT_SECONDS = 20.0
@@ -69,7 +69,7 @@
                 fleet.switch_platform(down=True)
                 time.sleep(1.5)
             rng = random.Random(7)
-            outcomes, runs = sweep(fleet, partial(fault, fleet, rng))
+            outcomes, runs = run_edits_under_faults(fleet, partial(fault, fleet, rng))
         counts = Counter(outcomes.values())
         shares[name] = counts["unknown"] / max(1, sum(counts.values()))
         run_twice = sum(1 for count in runs.values() if count > 1)
--- a/tests/test_once_failures.py
+++ b/tests/test_once_failures.py
@@ -80,7 +80,7 @@
         return response_headers.get("heathercleat-run")
 
 
-def sweep(fleet, fault):
+def run_edits_under_faults(fleet, fault):
     """Send edits while ``fault`` is called repeatedly.
 
     Return the last outcomes and the numbers of runs, each by key.
@@ -136,12 +136,12 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_kills_run_no_edit_twice(fleet, seed):
     rng = random.Random(seed)
-    check_outcomes(*sweep(fleet, lambda: kill_and_restart(fleet, rng)))
+    check_outcomes(*run_edits_under_faults(fleet, lambda: kill_and_restart(fleet, rng)))
 
 
 def test_pauses_run_no_edit_twice(fleet):
     rng = random.Random(3)
-    check_outcomes(*sweep(fleet, lambda: pause_and_resume(fleet, rng)))
+    check_outcomes(*run_edits_under_faults(fleet, lambda: pause_and_resume(fleet, rng)))
 
 
 def test_pauses_without_the_platform_run_no_edit_twice(fleet):
@@ -157,7 +157,7 @@
         time.sleep(rng.uniform(0.2, 2.0))
         vm.process.send_signal(signal.SIGCONT)
 
-    check_outcomes(*sweep(fleet, fault))
+    check_outcomes(*run_edits_under_faults(fleet, fault))
 
 
 def test_lost_replies_of_the_platform_run_no_edit_twice(fleet):
@@ -165,7 +165,7 @@
         fleet.switch_platform(lose_replies=2)
         time.sleep(0.1)
 
-    check_outcomes(*sweep(fleet, fault))
+    check_outcomes(*run_edits_under_faults(fleet, fault))
 
 
 def test_cut_responses_run_no_edit_twice(fleet):
@@ -179,7 +179,7 @@
             fleet.switch_target(name, cut=False)
         time.sleep(1.0)
 
-    outcomes, runs = sweep(fleet, fault)
+    outcomes, runs = run_edits_under_faults(fleet, fault)
     check_outcomes(outcomes, runs)
 
 
