--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -392,7 +392,7 @@
         assert view.refusal(request) is None
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
-    def gossip(self, sender, receiver):
+    def tell(self, sender, receiver):
         gossip(self.views[sender].suspects, self.views[receiver].suspects)
 
     @rule(vm=st.integers(0, 2))
