--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -71,7 +71,7 @@
         pass
 
 
-def test_requests_cut_at_the_same_time_cause_one_ejection():
+def test_requests_that_fail_at_the_same_time_cause_one_ejection():
     parts = Parts([entry("t1", slots=4)])
     target = owned_target(parts)
     started_at = parts.clock.now()
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -63,7 +63,7 @@
     assert parts.members.find_live("vm-2").is_serving
 
 
-def test_vm_known_from_the_store_only_is_not_live():
+def test_vm_read_from_the_store_only_is_not_live():
     parts = Parts(TARGETS)
     parts.members.add_known("vm-9", "127.0.9.9", "north-a", "north")
     assert parts.members.find_live("vm-9") is None
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -261,7 +261,7 @@
     assert not pipelined.connection.is_busy
 
 
-def test_stop_responds_to_all_read_requests_and_closes(pipelined):
+def test_stop_responds_to_all_requests_read_so_far_and_closes(pipelined):
     for _ in range(3):
         pipelined.send()
     pipelined.node.is_stopping = True
@@ -281,7 +281,7 @@
     assert pipelined.received == ["q0"]
 
 
-def test_client_that_always_pipelines_is_closed_in_a_stop(pipelined):
+def test_connection_of_a_client_that_always_pipelines_is_closed_in_a_stop(pipelined):
     pipelined.send()
     pipelined.send()
     pipelined.node.stop()
@@ -303,7 +303,7 @@
     assert pipelined.closed
 
 
-def test_malformed_head_after_an_exclusive_request_closes_in_a_stop(pipelined):
+def test_malformed_head_in_a_stop_closes_the_connection(pipelined):
     pipelined.send("POST")
     pipelined.respond("q0")
     pipelined.node.is_stopping = True
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def text():
-    """Return three regions of two domains; intake depends on lookup and rules."""
+    """Return a text with three regions; intake depends on lookup and rules."""
     document = make_text()
     kinds = document["services"]["lookup"]["requests"]
     domains = [f"{region}-{side}" for region in ("x", "y", "z") for side in "ab"]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -105,7 +105,7 @@
 
     @rule()
     def hand_over_and_adopt(self):
-        """Move the target to a new home, which knows only the handover."""
+        """Move the target to a new home, which has only the data of the handover."""
         handover = self.ledger.hand_over("t", "other")
         self.entry = self.ledger.adopt(
             make_target(), handover.holds, levels=handover.levels
--- a/tests/test_spill.py
+++ b/tests/test_spill.py
@@ -136,9 +136,9 @@
             time.sleep(6.0)
     assert count_overloads(fleet) == 0
     assert sampler.largest_rise() <= CAP_SLOTS
-    late = [each for each in load.results if each.sent_at > lost_at + 3.0]
-    assert late
-    assert all(each.status == 200 for each in late)
+    after_loss = [each for each in load.results if each.sent_at > lost_at + 3.0]
+    assert after_loss
+    assert all(each.status == 200 for each in after_loss)
 
 
 def test_region_that_is_lost_and_returns_cold_overloads_no_target(fleet):
@@ -203,17 +203,19 @@
         fleet.heal()
         time.sleep(2.0)
     assert count_overloads(fleet) == 0
-    during = [each for each in south.results if cut_at + 1 < each.sent_at < healed_at]
-    assert all(each.status == 200 for each in during)
-    assert all(each.target.startswith("south") for each in during)
-    inside = [
+    south_results = [
+        each for each in south.results if cut_at + 1 < each.sent_at < healed_at
+    ]
+    assert all(each.status == 200 for each in south_results)
+    assert all(each.target.startswith("south") for each in south_results)
+    north_results = [
         each
         for each in north.results
         if cut_at + 2 < each.sent_at and each.sent_at + each.seconds < healed_at
     ]
-    served = sum(1 for each in inside if each.status == 200)
-    assert served > 0.85 * len(inside)
-    assert not any((each.target or "").startswith("south") for each in inside)
+    served = sum(1 for each in north_results if each.status == 200)
+    assert served > 0.85 * len(north_results)
+    assert not any((each.target or "").startswith("south") for each in north_results)
 
 
 def test_targets_that_become_ready_warm_up_gradually(fleet):
