--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -303,7 +303,7 @@
     assert pipelined.closed
 
 
-def test_malformed_head_in_a_stop_closes_the_connection(pipelined):
+def test_malformed_head_after_an_exclusive_request_closes_in_a_stop(pipelined):
     pipelined.send("POST")
     pipelined.respond("q0")
     pipelined.node.is_stopping = True
