--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -50,8 +50,8 @@
     OtherCallers,
     fleet,  # noqa: F401
 )
-from tests.test_steer import Scene
-from tests.test_suspects import tell
+from tests.test_steer import SteeringSetup
+from tests.test_suspects import gossip
 
 HEARTBEATS_TO_CONVERGE = 12
 ANSWERED = AttemptResult(AttemptOutcome.ANSWERED, TargetResponse(200, [], b""))
@@ -253,7 +253,7 @@
     clock = ManualClock()
     here, there = View(clock), View(clock)
     limit_sender(here)
-    tell(here.suspects, there.suspects)
+    gossip(here.suspects, there.suspects)
     assert there.is_refused(b"k=1")
 
 
@@ -263,8 +263,8 @@
     for _ in range(UNKNOWN_SENDERS_POLICY.refusal_threshold):
         there.record_response()
     limit_unknown_senders(here)
-    tell(here.suspects, there.suspects)
-    tell(there.suspects, here.suspects)
+    gossip(here.suspects, there.suspects)
+    gossip(there.suspects, here.suspects)
     assert not here.is_refused()
     assert here.suspects.digest == there.suspects.digest
 
@@ -321,25 +321,30 @@
 
 
 def test_suspected_request_is_isolated_at_one_of_few_targets():
-    scene = Scene([], entries=[entry(f"t{number}", slots=2) for number in range(8)])
-    few = scene.view.regions("s1")["north"].isolation_candidates
+    setup = SteeringSetup(
+        [], entries=[entry(f"t{number}", slots=2) for number in range(8)]
+    )
+    few = setup.view.regions("s1")["north"].isolation_candidates
     few = [each.entry.id for each in few]
     others = {f"t{number}" for number in range(8)} - set(few)
     assert len(few) == 2
-    request = scene.call()
+    request = setup.call()
     for first in few:
         request.needs_isolation = True
-        assert scene.places.select_free(request, (), ()).target == first
-        scene.parts.ledger.get(first).claim(scene.parts.clock.now())
-    assert scene.places.select_free(request, (), ()).target in others
+        assert setup.destinations.select_free(request, (), ()).target == first
+        setup.parts.ledger.get(first).claim(setup.parts.clock.now())
+    assert setup.destinations.select_free(request, (), ()).target in others
 
 
 def test_suspected_request_is_not_isolated_at_the_only_target_with_free_slots():
-    scene = Scene([], entries=[entry("t1", slots=2)])
-    request = scene.call()
+    setup = SteeringSetup([], entries=[entry("t1", slots=2)])
+    request = setup.call()
     request.needs_isolation = True
-    assert scene.places._find_isolated(scene.places._eligible_targets(request)) is None
-    assert scene.places.select_free(request, (), ()).target == "t1"
+    assert (
+        setup.destinations._find_isolated(setup.destinations._eligible_targets(request))
+        is None
+    )
+    assert setup.destinations.select_free(request, (), ()).target == "t1"
 
 
 def test_request_whose_target_crashed_is_isolated_when_retried(view):
@@ -388,7 +393,7 @@
 
     @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
     def tell(self, sender, receiver):
-        tell(self.views[sender].suspects, self.views[receiver].suspects)
+        gossip(self.views[sender].suspects, self.views[receiver].suspects)
 
     @rule(vm=st.integers(0, 2))
     def restart(self, vm):
@@ -419,7 +424,7 @@
         for _ in range(HEARTBEATS_TO_CONVERGE):
             for sender_view in self.views:
                 for receiver in self.views:
-                    tell(sender_view.suspects, receiver.suspects)
+                    gossip(sender_view.suspects, receiver.suspects)
         crashes_by_key = [_crashes_by_key(view) for view in self.views]
         announced = set().union(*map(_announced_keys, self.views))
         for key in announced.difference(*map(_expiring_keys, self.views)):
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Tests that each target has exactly one owner, as near and strong as possible."""
+"""Tests that each target has exactly one owner, preferably a near and strong VM."""
 
 from tests.steering_parts import Parts, entry, make_heartbeat
 
@@ -6,7 +6,7 @@
 
 
 def advance(parts, seconds):
-    """Advance the time with the regular checks of a running process."""
+    """Advance the time in short steps and update the live members after each."""
     for _ in range(int(seconds * 10)):
         parts.clock.time += 0.1
         parts.members.update_live()
@@ -63,7 +63,7 @@
     assert parts.members.find_live("vm-2").is_serving
 
 
-def test_vm_known_from_the_store_only_is_not_live():
+def test_vm_read_from_the_store_only_is_not_live():
     parts = Parts(TARGETS)
     parts.members.add_known("vm-9", "127.0.9.9", "north-a", "north")
     assert parts.members.find_live("vm-9") is None
