--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -156,12 +156,12 @@
         self.read_responses()
 
     def detect_disconnects(self):
-        async def look():
+        async def detect():
             task = await spawn(self.node.active_requests.run, daemon=True)
             await sleep(0.02)
             await task.cancel()
 
-        self.kernel.run(look)
+        self.kernel.run(detect)
 
     def read_responses(self):
         """Read the responses that have arrived."""
@@ -261,7 +261,7 @@
     assert not pipelined.connection.is_busy
 
 
-def test_stop_responds_to_all_read_requests_and_closes(pipelined):
+def test_stop_responds_to_all_requests_read_so_far_and_closes(pipelined):
     for _ in range(3):
         pipelined.send()
     pipelined.node.is_stopping = True
@@ -281,7 +281,7 @@
     assert pipelined.received == ["q0"]
 
 
-def test_client_that_always_pipelines_is_closed_in_a_stop(pipelined):
+def test_connection_of_a_client_that_always_pipelines_is_closed_in_a_stop(pipelined):
     pipelined.send()
     pipelined.send()
     pipelined.node.stop()
@@ -381,7 +381,7 @@
         self.accepted_at_stop = set(self.pipelined.node.pending) | set(self._waiting())
 
     def _waiting(self):
-        """Return the name of a read exclusive request that waits, in a list."""
+        """Return a list with the name of the exclusive request that waits, if any."""
         pending = self.pipelined.node.pending
         served = self.responded + len(pending)
         following = self.pipelined.sent[served : served + 1]
