--- a/src/heathercleat/cli/_inspect.py
+++ b/src/heathercleat/cli/_inspect.py
@@ -9,14 +9,15 @@
     """Add the ``status`` and ``explain`` commands to the parser."""
     status = commands.add_parser(
         "status",
-        help="show the state of all entry VMs, and the headroom",
+        help="show the state of all entry VMs, and the free slots of each service",
         description="Show the state of every entry VM that the called one knows.",
     )
     status.set_defaults(run=_status)
     explain = commands.add_parser(
         "explain",
         help="show how the requests of a caller are routed",
-        description="Show the look-up and the targets of a service, nearest first.",
+        description="Show the entry VMs that a look-up returns, and the targets of the "
+        "service, nearest to the called VM first.",
     )
     explain.add_argument("service")
     explain.add_argument("--client", metavar="IP", help="the caller's IP address")
--- a/src/heathercleat/cli/_trace.py
+++ b/src/heathercleat/cli/_trace.py
@@ -123,7 +123,7 @@
 def _state_changes(lines, request_lines):
     """Return the latest state changes of the VMs that handled a request."""
     ended_at = request_lines[-1]["at"]
-    # Without an attempt, the state of any VM may be the cause.
+    # Without an attempt, a state change of any VM may have affected the request.
     attempted_vms = {
         each.split(" ", 1)[0]
         for line in request_lines
--- a/src/heathercleat/errors.py
+++ b/src/heathercleat/errors.py
@@ -32,7 +32,8 @@
 class RequestError(HeathercleatError):
     """A request that is rejected with a final response.
 
-    :param retry_at: the earliest time for a retry, in epoch seconds, or ``None``.
+    :param retry_at: the earliest time for a retry, or ``None``; in epoch seconds if
+        raised by ``serve``, an instant of ``Clock.now()`` if raised by ``steer``.
     """
 
     def __init__(self, code, message, retry_at=None):
@@ -41,7 +42,7 @@
 
     @property
     def retry_at(self):
-        """Return the earliest time for a retry, in epoch seconds, or ``None``."""
+        """Return the earliest time for a retry, or ``None``; see the class."""
         return self._retry_at
 
 
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -66,7 +66,8 @@
     """Tracks the health of every target homed here.
 
     :param vm: the process: settings, configuration, journal.
-    :param ledger: the slots of the homed targets, which are blocked and warmed up here.
+    :param ledger: the slots of the homed targets; the tracker blocks and unblocks the
+        targets and starts their warm-ups.
     """
 
     def __init__(self, vm, ledger, clock):
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -2,8 +2,8 @@
 
 While a failure domain starts or its homes change, some targets have no home yet, or
 their slots may still be occupied by earlier requests. Callers sent there would have to
-wait for leases from other domains. Look-ups therefore send only the share of callers
-that the domain can serve, and the rest to other domains, until the slots are usable.
+wait for leases from other domains. Look-ups therefore send it only the share of callers
+that it can serve, and the rest to other domains, until the slots are usable.
 
 After each change of the membership or the configuration, the VMs of a domain poll its
 homes until all slots are usable. Meanwhile they also poll the homes of the nearest
@@ -107,16 +107,18 @@
             return
         async with ignore_after(FIRST_POLL_TIMEOUT_SECONDS):
             await self._polled.wait()
+        # After a timeout, later look-ups do not wait again.
         await self._polled.set()
 
     async def run(self):
         """Poll the homes while their readiness may change, forever."""
         while True:
-            if self._vm.text is not None and self._is_polling():
+            if self._vm.text is not None and self._should_poll():
                 await self._poll_homes()
             await sleep(CHECK_INTERVAL_SECONDS)
 
-    def _is_polling(self):
+    def _should_poll(self):
+        """Return whether to poll the homes now; a change starts a new poll period."""
         now = self._clock.now()
         state = self._vm.version, self._membership.digest
         if state != self._polled_state:
--- a/src/heathercleat/steering/process/capacity/run_times.py
+++ b/src/heathercleat/steering/process/capacity/run_times.py
@@ -17,8 +17,8 @@
     """A run in progress.
 
     :param started_at: instant at which its request was sent.
-    :param seconds: its duration as reported by the VM that ran it, or ``None``.
-    :param may_have_run: whether the request may have reached a target.
+    :param seconds: its duration as reported by the target's owner, or ``None``.
+    :param may_have_run: whether a target may have run the request.
     :param succeeded: whether a target sent a complete response without a server error.
     """
 
--- a/src/heathercleat/steering/process/quarantine/suspects.py
+++ b/src/heathercleat/steering/process/quarantine/suspects.py
@@ -198,14 +198,17 @@
         others = list(islice(self._suspects.values(), other_count))
         yield from sample(others, min(MAX_SAMPLED_UPDATES, other_count))
 
-    def _merge(self, suspect, ends, cleared, seconds):
+    def _merge(self, suspect, incarnation_ids, cleared, seconds):
         """Merge crashes and cleared crashes into a suspect.
 
         Only changes extend the retention; otherwise gossip would retain the suspect
         forever.
+
+        :param seconds: minimum seconds until the suspect expires; at most its
+            ``retention_seconds`` for a group.
         """
         digest, was_limited = suspect.digest, suspect.is_limited
-        change = suspect.add(ends, cleared)
+        change = suspect.add(incarnation_ids, cleared)
         if not change.any_changed:
             return
         now, is_group = self._clock.now(), _is_group(suspect)
@@ -224,11 +227,11 @@
         if len(self._suspects) > MAX_SUSPECTS:
             self._drop(next(iter(self._suspects)))
         if is_newly_limited:
-            self._announce(suspect)
+            self._report_limited(suspect)
         elif was_limited and not suspect.is_limited:
             self._log_release(suspect)
 
-    def _announce(self, suspect):
+    def _report_limited(self, suspect):
         if _is_group(suspect):
             self._log(Event.GROUP_LIMITED, suspect)
             return
--- a/src/heathercleat/steering/process/request_log.py
+++ b/src/heathercleat/steering/process/request_log.py
@@ -4,7 +4,7 @@
 
 #: Maximum log lines for single requests per second; further lines are only counted.
 MAX_LINES_PER_SECOND = 40
-_SERVER_ERROR = 500
+_FIRST_SERVER_ERROR_STATUS = 500
 
 
 class RequestLog:
@@ -26,7 +26,7 @@
         """Record a request that got a response from a target."""
         seconds = now - call.arrived_at
         result = "late" if now > call.soft_deadline else "in_time"
-        if response.status >= _SERVER_ERROR:
+        if response.status >= _FIRST_SERVER_ERROR_STATUS:
             result = "failed_at_target"
         self._count(call.route.name, result, seconds)
         if result != "in_time":
--- a/src/heathercleat/steering/process/store/tables.py
+++ b/src/heathercleat/steering/process/store/tables.py
@@ -110,7 +110,7 @@
     def snapshot(self, table, after):
         """Return a :class:`Snapshot` of a table's changes since a version.
 
-        :param table: the operators' or the targets' table.
+        :param table: name of the operators' or of the targets' table.
         :param after: the version, or 0 for all rows.
         """
         followers = {OPERATOR_TABLE: self.operator_rows, TARGET_TABLE: self.target_rows}
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -769,7 +769,7 @@
         "QUARANTINE-expiry",
         f"{STEERING}/process/quarantine/suspects.py",
         "if not change.any_changed:",
-        "if not change.any_changed and not ends:",
+        "if not change.any_changed and not incarnation_ids:",
         "tests/test_suspects.py",
         "-k",
         "alive",
