--- a/src/heathercleat/cli/_edit.py
+++ b/src/heathercleat/cli/_edit.py
@@ -28,7 +28,7 @@
         "--base",
         type=int,
         metavar="VERSION",
-        help="the version that the edit was made from; needed once there is one",
+        help="the version that the edit is based on; required once a version exists",
     )
     apply.add_argument("--edit-id", help="the id of an earlier edit, to retry it")
     add_client_options(apply)
--- a/src/heathercleat/platform/headers.py
+++ b/src/heathercleat/platform/headers.py
@@ -28,7 +28,7 @@
         if name == REQUEST_ID:
             request_id = value.decode("latin-1")
         elif name == DEADLINE_MS:
-            timeout = _parse_milliseconds(value)
+            timeout = _parse_timeout(value)
         elif name == b"cookie":
             affinity = (
                 _find_cookie(value.decode("latin-1"), AFFINITY_COOKIE) or affinity
@@ -78,7 +78,8 @@
     return [(RETRY_AFTER, f"{wait:.3f}".encode())]
 
 
-def _parse_milliseconds(value):
+def _parse_timeout(value):
+    """Return a number of milliseconds in seconds, or the default if malformed."""
     try:
         return int(value) / 1000
     except ValueError:
--- a/src/heathercleat/process/at_most_once/claims.py
+++ b/src/heathercleat/process/at_most_once/claims.py
@@ -28,12 +28,16 @@
 #: Zero-padded width of a bucket in a key, so that keys sort by time.
 BUCKET_DIGITS = 8
 CLAIM_PREFIX = "once/"
-#: Maximum size of a response body in an outcome row, in bytes.
+#: Maximum size of a stored response body, in bytes.
 MAX_STORED_BODY_BYTES = 16 * 1024
 
 
 class RowState(Enum):
-    """The state of a claim row."""
+    """The state of a claim row.
+
+    ``CLAIMED`` means that the writer may run the request, ``CLOSED`` that it will never
+    run, and ``DONE`` that its outcome is stored.
+    """
 
     CLAIMED = "claimed"
     CLOSED = "closed"
--- a/src/heathercleat/process/at_most_once/deduplication.py
+++ b/src/heathercleat/process/at_most_once/deduplication.py
@@ -36,7 +36,8 @@
     """The run of one ticket and key.
 
     ``digest`` identifies the content of the request; ``keep_until`` is epoch seconds;
-    ``finished`` is set when the run has ended.
+    ``is_claimed`` is whether this process has written the claim row; ``finished`` is
+    set when the run has ended.
     """
 
     digest: bytes
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -232,6 +232,7 @@
         return None
 
     def _set_block_reason(self, entry, reason):
+        """Block a target, or unblock it if ``reason`` is ``None``."""
         if entry.block_reason == reason:
             return
         has_recovered = reason is None and not entry.block_reason.startswith("drain")
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -39,8 +39,9 @@
 class PendingHandover:
     """The handover of a target that this VM hasn't adopted yet.
 
-    ``holds`` and ``levels`` are as in :class:`Handover`; ``expires_at`` is an instant
-    of ``clock.now()``.
+    ``holds`` and ``levels`` are the lists that ``targets`` and ``levels`` of the
+    :class:`Handover` have for the target; ``expires_at`` is an instant of
+    ``clock.now()``.
     """
 
     holds: list
@@ -272,6 +273,7 @@
         ]
 
     def _unreleased(self, name, holds):
+        """Yield the holds whose requests have not been reported as ended."""
         for hold in holds:
             use_id, *_ = hold
             if (name, use_id) not in self._released:
--- a/src/heathercleat/process/configuration/editing.py
+++ b/src/heathercleat/process/configuration/editing.py
@@ -111,6 +111,10 @@
         return None if row is None else unpack_head(row.value).version
 
     async def _check_base(self, edit, row):
+        """Check that the edit is based on the current version or has written it.
+
+        :raises ConflictError: if not.
+        """
         head = None if row is None else unpack_head(row.value)
         version = 0 if head is None else head.version
         if version == edit.base_version:
--- a/src/heathercleat/process/configuration/manager.py
+++ b/src/heathercleat/process/configuration/manager.py
@@ -180,7 +180,7 @@
             await sleep(uniform(0.8, 1.2) * POLL_INTERVAL_SECONDS)
 
     async def _start(self):
-        """Fetch the latest version from the seeds and the platform."""
+        """Fetch the latest configuration and VM list, then join the membership."""
         for seed in self._vm.settings.seeds:
             if seed != self._vm.settings.address:
                 await self._membership.exchange_views(seed)
--- a/src/heathercleat/process/status.py
+++ b/src/heathercleat/process/status.py
@@ -4,7 +4,8 @@
 def status_of(vm):
     """Return the state of a VM as a JSON object.
 
-    Limits and numbers of uses are in slots.
+    The limit of a target and its ``used``, ``free`` and ``foreign`` are in slots;
+    ``foreign`` counts those that other failure domains use.
     """
     return {
         "vm": vm.name,
--- a/src/heathercleat/request/lookup.py
+++ b/src/heathercleat/request/lookup.py
@@ -108,7 +108,7 @@
 
 
 def _draw_vms(domain, count):
-    """Return up to ``count`` such pairs of a domain, drawn at random by weight.
+    """Return up to ``count`` ``(entry VM, weight)`` pairs, drawn at random by weight.
 
     The weight is the number of the service's slots that the VM is the home of, since
     requests sent to their home need no lease.
--- a/src/heathercleat/steering/process/capacity/owners.py
+++ b/src/heathercleat/steering/process/capacity/owners.py
@@ -9,7 +9,11 @@
 
 
 class Assignment:
-    """The owners of a service's targets in a failure domain, with their inputs."""
+    """The owners of a service's targets in a failure domain.
+
+    :param targets: ids of the targets.
+    :param candidates: names of the VMs that may own them.
+    """
 
     __slots__ = ("targets", "candidates", "owners")
 
--- a/src/heathercleat/steering/process/capacity/slots.py
+++ b/src/heathercleat/steering/process/capacity/slots.py
@@ -24,6 +24,7 @@
     """Return whether a request may use one of the free slots of a target.
 
     :param entry: the :class:`TargetEntry`.
+    :param free: number of its free slots.
     :param preferred: ids of the request's affinity targets; empty if it has none.
     """
     if not preferred or entry.id in preferred:
--- a/src/heathercleat/steering/process/handover.py
+++ b/src/heathercleat/steering/process/handover.py
@@ -61,10 +61,10 @@
             self._idle_since = now
         if self.has_released:
             return
-        if now >= self._release_deadline or self._can_hand_over(now):
+        if now >= self._release_deadline or self._should_hand_over(now):
             self._members.stop_owning()
 
-    def _can_hand_over(self, now):
+    def _should_hand_over(self, now):
         """Return whether another leaving VM of the region should own the targets."""
         own = self._members.own
         in_region = [
--- a/src/heathercleat/steering/process/membership/gossip.py
+++ b/src/heathercleat/steering/process/membership/gossip.py
@@ -381,7 +381,7 @@
         return self._clock.now() < self._leaving_until
 
     def _select_regular(self, members):
-        """Return those of some VMs that get a heartbeat in each round."""
+        """Return those of ``members`` that get a heartbeat in each round."""
         topology = self._members.topology
         others = [each for each in members if each is not self._members.own]
         if topology.is_mesh:
--- a/src/heathercleat/steering/process/store/table_copy.py
+++ b/src/heathercleat/steering/process/store/table_copy.py
@@ -187,6 +187,7 @@
     def _record_removal(self, key, version):
         """Record the removal of a row."""
         self._change_versions.pop(key, None)
+        # Added again at the end, so that the oldest removal comes first.
         self._removals.pop(key, None)
         self._removals[key] = version
         if len(self._removals) > MAX_REMOVALS:
--- a/src/heathercleat/version/domain_ranking.py
+++ b/src/heathercleat/version/domain_ranking.py
@@ -50,8 +50,8 @@
     def rank_domains(self, service, caller_domain):
         """Return all failure domains in order of preference for a caller's domain.
 
-        Domains that serve the service come first, ordered by total latency including
-        dependencies, then by latency from the caller.
+        Domains that serve the service and are not avoided come first. The order is by
+        total latency including dependencies, then by latency from the caller.
         """
         serving_domains = self.serving_domains(service)
 
--- a/src/heathercleat/version/drain_ramp.py
+++ b/src/heathercleat/version/drain_ramp.py
@@ -94,6 +94,10 @@
 
 
 def _service_ramp_seconds(service, failure_domain):
+    """Return the seconds that one service needs.
+
+    0 if it has no shift cap, or if the cap allows no slots elsewhere.
+    """
     slots, allowed, window = 0, 0, 0.0
     for target in service.targets.values():
         if target.shift_cap is None:
--- a/src/heathercleat/version/validation.py
+++ b/src/heathercleat/version/validation.py
@@ -101,6 +101,7 @@
 
 
 def _reachable(services, start):
+    """Return a service and all its direct and indirect dependencies."""
     seen, pending = set(), [start]
     while pending:
         name = pending.pop()
