--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,5 @@
+"""Shared fixtures, Hypothesis profiles and the list of tests that may fail."""
+
 import os
 from pathlib import Path
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -27,8 +27,8 @@
 class FakePlatform:
     """A table in memory.
 
-    ``fail_before`` and ``fail_after`` are the numbers of next transactions that fail
-    before or after they take effect.
+    The next ``fail_before`` transactions fail without an effect. The next
+    ``fail_after`` ones take effect, but their replies are lost.
     """
 
     def __init__(self):
@@ -118,8 +118,8 @@
     def __init__(self):
         self.events = []
 
-    def write(self, event, **inputs):
-        self.events.append((event, inputs))
+    def write(self, event, **event_fields):
+        self.events.append((event, event_fields))
 
 
 class FakeVm:
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -23,7 +23,7 @@
 from tests.fakes import ManualClock
 from tests.platform_samples import SETTINGS
 
-COLD_RATE = 10.0
+COLD_REQUESTS_PER_SECOND = 10.0
 _versions = count(1)
 
 
@@ -122,7 +122,7 @@
         self.ledger = SlotLedger(
             self.owners,
             self.registry,
-            lambda name: Service(name, COLD_RATE),
+            lambda name: Service(name, COLD_REQUESTS_PER_SECOND),
             self.settings.bounds,
             self.held,
             self.journal,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,3 +1,5 @@
+"""Tests of the admission, queueing and refusal of requests at a VM."""
+
 import json
 
 import pytest
@@ -171,7 +173,7 @@
     assert max(instants) - min(instants) > 0.5
 
 
-def test_vm_that_may_not_act_admits_nothing_locally():
+def test_vm_that_may_not_act_as_home_admits_nothing_locally():
     vm, ledger, _, admission = make_parts(queue={"limit": 0, "wait_ms": 400})
     FakeMembership.can_act = False
     try:
@@ -182,7 +184,7 @@
     assert code_of(caught) is ResultCode.NO_ROOM
 
 
-def test_requests_wait_for_a_lease_if_no_slot_is_homed_here():
+def test_requests_wait_for_a_lease_if_this_vm_is_home_of_no_target():
     vm, ledger, _, admission = make_parts()
     ledger.drop_all()
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,3 +1,5 @@
+"""Tests of what callers receive when targets fail, drain or respond late."""
+
 import socket
 import threading
 import time
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,3 +1,5 @@
+"""Tests that a request that a target may have run is not reported as not run."""
+
 import h11
 import pytest
 from curio import run
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,3 +1,5 @@
+"""Tests of the single-file program that ``tools/build_binary.py`` builds."""
+
 import subprocess
 import sys
 from pathlib import Path
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -1,6 +1,6 @@
 """A request whose client disconnected must not reach a target from the owner's queue.
 
-This holds also for requests that may run at most once, as waiting ones have not run.
+This also holds for at-most-once requests, as a waiting request has not run.
 """
 
 import socket
--- a/tests/test_catalogues.py
+++ b/tests/test_catalogues.py
@@ -1,3 +1,5 @@
+"""Tests that the reference pages list what the code defines."""
+
 import re
 from pathlib import Path
 
@@ -62,10 +64,10 @@
     documented = set(
         re.findall(r"`(heathercleat_\w+)`", (DOCS / "metrics.md").read_text())
     )
-    pages = (Metrics(None)._registry, SteeringMetrics(dict))
-    known = {metric.name for page in pages for metric in page.collect()}
-    own = {name for name in known if name.startswith("heathercleat_")}
-    assert documented == own
+    collectors = (Metrics(None)._registry, SteeringMetrics(dict))
+    names = {metric.name for each in collectors for metric in each.collect()}
+    exported = {name for name in names if name.startswith("heathercleat_")}
+    assert documented == exported
 
 
 def test_links_between_pages_are_not_broken():
--- a/tests/test_owned_slots.py
+++ b/tests/test_owned_slots.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests.steering_parts import COLD_RATE, Parts, entry
+from tests.steering_parts import COLD_REQUESTS_PER_SECOND, Parts, entry
 
 
 def owned_target(parts, id="t1"):
@@ -49,7 +49,7 @@
     while target.free(parts.clock.now()):
         parts.ledger.release(target.claim(parts.clock.now()))
         sent += 1
-    assert 1 <= 2 * sent <= 1.5 * COLD_RATE
+    assert 1 <= 2 * sent <= 1.5 * COLD_REQUESTS_PER_SECOND
     parts.clock.time += 1.1
     assert target.free(parts.clock.now()) > 0
 
