--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,3 +1,5 @@
+"""Tests that an edit takes effect once and that no VM reverts to an older version."""
+
 import json
 
 import pytest
--- a/tests/test_configuration_failures.py
+++ b/tests/test_configuration_failures.py
@@ -1,3 +1,5 @@
+"""Tests that VMs adopt and keep versions while the platform or the network fails."""
+
 import copy
 import json
 import time
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -1,6 +1,6 @@
-"""A sender whose requests all differ must not crash targets without a limit.
+"""A sender whose requests all differ must not crash an unlimited number of targets.
 
-Each request has a new fingerprint, so limits per request do not apply.
+Each request has a new fingerprint, so the quarantine of single requests does not apply.
 """
 
 import random
@@ -67,33 +67,37 @@
         self.crash_limits = CrashLimits(self.suspects, clock)
         self._requests = iter(range(1_000_000))
 
-    def call(self, name=None, path=None):
-        """Return a request, by default with a new path each time."""
+    def call(self, cookie=None, path=None):
+        """Return a request, by default with a new path each time.
+
+        :param cookie: identifies the sender; ``None`` for a request without a sender.
+        """
         request = call(self.clock)
         path = path or b"/%d-%d" % (id(self), next(self._requests))
         request.headers = [(b"host", b"a")]
-        if name is not None:
-            request.headers.append((b"cookie", name))
+        if cookie is not None:
+            request.headers.append((b"cookie", cookie))
         request.fingerprint = fingerprint(b"GET", path, request.headers, b"")
         return request
 
     def refusal(self, request):
+        """Return the error of a refused request, or ``None`` if it is admitted."""
         return self.crash_limits.check_or_start_trial(request)
 
-    def is_refused(self, name=None):
-        return self.refusal(self.call(name)) is not None
+    def is_refused(self, cookie=None):
+        return self.refusal(self.call(cookie)) is not None
 
-    def record_crash(self, incarnation, request=None, name=None):
+    def record_crash(self, incarnation, request=None, cookie=None):
         """Admit a request and record that it crashed a target."""
-        request = request or self.call(name)
+        request = request or self.call(cookie)
         assert self.refusal(request) is None
         result = AttemptResult(AttemptOutcome.UNKNOWN, target=incarnation)
         result.crashed_incarnation = incarnation
         self.crash_limits.record_result(request, result, False)
 
-    def record_response(self, request=None, name=None):
+    def record_response(self, request=None, cookie=None):
         """Admit a request, record its response, and return the request."""
-        request = request or self.call(name)
+        request = request or self.call(cookie)
         assert self.refusal(request) is None
         self.crash_limits.record_result(
             request,
@@ -108,11 +112,11 @@
     return View(ManualClock())
 
 
-def limit_sender(view, name=b"k=1"):
-    view.record_response(name=name)
+def limit_sender(view, cookie=b"k=1"):
+    view.record_response(cookie=cookie)
     view.clock.time += EXEMPTION_SECONDS + 0.1
     for incarnation in INCARNATIONS[: SENDER_POLICY.refusal_threshold]:
-        view.record_crash(incarnation, name=name)
+        view.record_crash(incarnation, cookie=cookie)
 
 
 def limit_unknown_senders(view):
@@ -128,7 +132,7 @@
 
 
 def test_other_senders_are_admitted_beside_a_limited_one(view):
-    view.record_response(name=b"k=2")
+    view.record_response(cookie=b"k=2")
     limit_sender(view)
     assert not view.is_refused(b"k=2")
     assert not view.is_refused(b"k=3")
@@ -164,12 +168,12 @@
 
 
 def test_unknown_senders_are_refused_together_and_known_senders_are_not(view):
-    view.record_response(name=b"known")
+    view.record_response(cookie=b"known")
     view.clock.time += EXEMPTION_SECONDS + 0.1
     for number, incarnation in enumerate(
         INCARNATIONS[: UNKNOWN_SENDERS_POLICY.refusal_threshold]
     ):
-        view.record_crash(incarnation, name=b"new-%d" % number)
+        view.record_crash(incarnation, cookie=b"new-%d" % number)
     assert view.is_refused(b"another new one")
     assert view.is_refused()
     assert not view.is_refused(b"known")
@@ -226,7 +230,7 @@
 def test_trial_that_crashes_its_target_doubles_the_refusal_period(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
-    view.record_crash(INCARNATIONS[-1], name=b"k=1")
+    view.record_crash(INCARNATIONS[-1], cookie=b"k=1")
     refusal = view.refusal(view.call(b"k=1"))
     assert (
         refusal.retry_at == view.clock.now() + 2 * SENDER_POLICY.initial_refusal_seconds
@@ -236,7 +240,7 @@
 def test_trial_with_a_response_releases_its_sender(view):
     limit_sender(view)
     view.clock.time += SENDER_POLICY.initial_refusal_seconds + 0.1
-    view.record_response(name=b"k=1")
+    view.record_response(cookie=b"k=1")
     assert not view.is_refused(b"k=1")
 
 
@@ -272,8 +276,8 @@
 def test_cleared_crashes_leave_room_for_others(view):
     """Cleared crashes must not use up the limited number of stored crashes."""
     for incarnation in INCARNATIONS[:MAX_CRASHES]:
-        view.record_crash(incarnation, name=b"k=1")
-        view.record_response(name=b"k=1")
+        view.record_crash(incarnation, cookie=b"k=1")
+        view.record_response(cookie=b"k=1")
         view.clock.time += EXEMPTION_SECONDS + 0.1
     view.clock.time += CLEARED_RETENTION_SECONDS
     limit_sender(view)
@@ -465,11 +469,11 @@
     assert view.is_refused()
 
 
-#: The limit of unknown senders, as many again while VMs exchange updates, and two for
-#: a trial at each VM.
+#: The refusal threshold of unknown senders, as many again while VMs exchange updates,
+#: and two of a trial at each of the six VMs.
 MAX_TOTAL_CRASHES = 2 * UNKNOWN_SENDERS_POLICY.refusal_threshold + 2 * 6
 MIN_SERVED_SHARE = 0.95
-#: Seconds in which the other callers become known to all VMs.
+#: Seconds in which all VMs record the other callers as known senders.
 WARM_UP_SECONDS = 3.0
 
 
--- a/tests/test_covers.py
+++ b/tests/test_covers.py
@@ -1,3 +1,5 @@
+"""Tests of occupancy bounds: how long slots are held for requests of earlier homes."""
+
 import signal
 import time
 
@@ -131,7 +133,7 @@
     assert occupied_until(clock, LongService, bounds) == clock.time + seconds
 
 
-def find_exited(membership, clock):
+def record_home_exit(membership, clock):
     """Record that the process of a home was found to have exited."""
     membership.record_heartbeat(heartbeat())
     member = membership.members["north-a-2"]
@@ -142,16 +144,16 @@
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
-    find_exited(membership, clock)
+    record_home_exit(membership, clock)
     assert list(records.bounds_for(["t"])) == [make_bound(110.0, has_exited=True)]
 
 
-def test_exited_home_does_not_exclude_another_that_may_run():
+def test_exited_home_does_not_shorten_the_bound_while_another_may_run():
     _, clock, membership, _ = make_parts()
     records = OccupancyRecords(membership, clock)
     records.record("north-a-2", 1, {"t": [150.0, 110.0]})
     membership.apply_record(record(vm="north-a-3", state="dead"))
-    find_exited(membership, clock)
+    record_home_exit(membership, clock)
     assert list(records.bounds_for(["t"])) == [make_bound(150.0)]
 
 
@@ -188,13 +190,13 @@
         yield running
 
 
-def test_idle_targets_of_a_killed_home_return_before_the_longest_timeout(fleet):
+def test_idle_targets_of_a_killed_home_are_free_before_the_longest_timeout(fleet):
     home, _ = fleet.vms_by_target_count()
     home.process.kill()
     wait_for(lambda: fleet.free_slots() == 2 * SLOTS, seconds=8)
 
 
-def test_idle_targets_of_a_restarted_home_return_before_the_longest_timeout(fleet):
+def test_idle_targets_of_a_restarted_home_are_free_before_the_longest_timeout(fleet):
     home, _ = fleet.vms_by_target_count()
     home.process.kill()
     home.process.wait()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -42,9 +42,9 @@
 #: Seconds between two attempts of the caller.
 ATTEMPT_INTERVAL_SECONDS = 0.25
 ATTEMPTS = 40
-#: Seconds after the third crash from which all running VMs know of it.
+#: Seconds until all running VMs have learned of the third crash.
 STABLE_SECONDS = 3.0
-#: Most crashes after that.
+#: Maximum number of crashes after that.
 MAX_LATER_CRASHES = 3
 #: Three crashes, three more while VMs exchange updates, and two of an attempt in
 #: progress.
@@ -193,7 +193,7 @@
     assert others.statuses.count(200) > 0
 
 
-def test_lost_responses_of_targets_that_run_on_quarantine_nothing(fleet):
+def test_lost_responses_of_targets_that_keep_running_quarantine_nothing(fleet):
     for target in TARGETS:
         fleet.switch_target(target, lose=True)
     statuses = send_repeatedly(fleet, "POST", "/one/x", attempts=12)
@@ -208,8 +208,10 @@
     time.sleep(2.0)
     fleet.set_fatal_paths([], DOWN_SECONDS)
     lines = [line for vm in fleet.vms.values() for line in fleet.log(vm)]
-    caught = next(line for line in lines if line["name"] == "request_quarantined")
-    fleet.put(QUARANTINE_TABLE, caught["fingerprint"], None)
+    quarantine_line = next(
+        line for line in lines if line["name"] == "request_quarantined"
+    )
+    fleet.put(QUARANTINE_TABLE, quarantine_line["fingerprint"], None)
     time.sleep(STABLE_SECONDS)
     statuses = send_repeatedly(fleet, "POST", "/one/fatal", attempts=6)
     assert set(statuses) == {200}
@@ -264,7 +266,7 @@
 
 
 def test_quarantine_after_an_attempt_reports_an_unknown_outcome():
-    """A refusal would state that it has not run."""
+    """A refusal would state that the request has not run."""
     unknown = AttemptResult(AttemptOutcome.UNKNOWN, target="t1", reason="why")
     refused = AttemptResult(AttemptOutcome.NOT_SENT, reason=QUARANTINED_REASON)
     scene = Scene([unknown, refused, answered()])
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -59,7 +59,7 @@
         active_run.seconds = seconds
 
 
-def known_runs(clock, *seconds):
+def make_run_times(clock, *seconds):
     """Return :class:`RunTimes` with enough runs of a route to compute its bound."""
     runs = RunTimes(clock)
     for number in range(MIN_RUNS):
@@ -75,7 +75,7 @@
 
     def __init__(self, *seconds):
         self.clock = ManualClock()
-        self.runs = known_runs(self.clock, *seconds) if seconds else None
+        self.runs = make_run_times(self.clock, *seconds) if seconds else None
         self.shutdown = Shutdown(self.runs or RunTimes(self.clock), lambda: True)
         self.shutdown.begin(self.clock.now(), GRACE_SECONDS)
 
@@ -201,7 +201,7 @@
     ("work_seconds", "after", "expected"),
     [(0.1, 4.0, False), (0.1, 5.4, True), (5.0, 0.1, False)],
 )
-def test_time_is_short_only_for_routes_that_could_be_finished_at_first(
+def test_time_is_short_only_for_routes_whose_requests_could_finish_at_first(
     work_seconds, after, expected
 ):
     stop = PlannedStop(work_seconds)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -886,7 +886,7 @@
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
-        "run_on",
+        "keep_running",
     ),
 )
 
