--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,3 +1,5 @@
+"""Tests that drains fail no request, and of requests while the platform is slow."""
+
 import json
 import threading
 import time
@@ -61,7 +63,7 @@
     assert set(load.count()) == {200}
 
 
-def test_callers_in_a_closed_loop_under_leases_are_never_refused(fleet):
+def test_closed_loop_callers_served_by_leases_are_never_refused(fleet):
     """A caller may send a request before the granter knows that its last one ended."""
     assert drain(fleet, "d1", "target", "style-north-a").returncode == 0
     hosts = [vm.host for vm in fleet.vms.values() if vm.domain == "north-a"]
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -1,3 +1,5 @@
+"""Tests of the stand-ins that inject network faults and shift the time of day."""
+
 import json
 import os
 import socket
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -1,4 +1,4 @@
-"""A fenced VM must not connect to the platform."""
+"""A VM must not connect to a platform whose address is fenced."""
 
 import pytest
 from curio import run, sleep, spawn, tcp_server
--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -37,12 +37,12 @@
 HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
 #: Seconds between two checks of the lookups.
 POLL_SECONDS = 0.05
-#: Most VMs that monitor a VM or that it monitors.
+#: Maximum number of VMs that monitor a VM or that it monitors.
 MAX_PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-#: Heartbeats that carry an update to a partner, and updates for each stop: the VM is
-#: leaving, is gone, is back.
+#: Heartbeats that carry an update to a partner, and updates for each stop: the VM
+#: leaves, has ended, and serves again.
 HEARTBEATS_PER_UPDATE, UPDATES_PER_STOP = 3, 3
-#: Changes of the owners of targets for each stop: the VM leaves, and is back.
+#: Changes of the owners of targets for each stop: the VM leaves and serves again.
 OWNER_CHANGES_PER_STOP = 2
 
 
@@ -164,7 +164,7 @@
     assert costs.stops > 0
     assert costs.spent.writes == 2 * costs.stops
     assert costs.spent.reads == costs.stops
-    # A remaining VM sends at most one more round, and the updates to each partner.
+    # A remaining VM sends each partner at most one more heartbeat, and the updates.
     assert costs.messages <= costs.stops * size * MAX_PARTNERS
     max_updates = (
         MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,3 +1,5 @@
+"""Tests that a VM follows a table of the store, and takes changes from peers."""
+
 import pytest
 from curio import TaskGroup, run, sleep
 
@@ -109,7 +111,7 @@
 
     async def _relay(self, version, since):
         if self.peer is None:
-            raise PeerError("nobody answers")
+            raise PeerError("no peer answered")
         return self.peer if self.peer.last_significant_version > version else None
 
     @property
@@ -295,7 +297,7 @@
 def test_table_is_fetched_at_once_when_a_heartbeat_announces_a_newer_one():
     harness = FollowerHarness(Snapshot(0, []), reader=False)
     harness.store.put("a", b"1")
-    fetched_after = []
+    fetch_delays = []
 
     async def main():
         async with TaskGroup(wait=any) as group:
@@ -306,11 +308,11 @@
             await harness.follower.fetch_if_behind()
             while harness.keys != ["b"]:
                 await sleep(0.001)
-            fetched_after.append(harness.clock.now() - announced_at)
+            fetch_delays.append(harness.clock.now() - announced_at)
             await group.cancel_remaining()
 
     run(main)
-    assert fetched_after[0] < IDLE_PEER_INTERVAL_SECONDS / 4
+    assert fetch_delays[0] < IDLE_PEER_INTERVAL_SECONDS / 4
 
 
 def test_peers_are_polled_rarely_while_none_has_a_newer_table():
@@ -453,7 +455,7 @@
     assert copy.version == 10
 
 
-def test_outage_found_to_affect_all_between_two_calls_is_reported_once():
+def test_outage_that_affects_all_vms_only_between_two_calls_is_reported_once():
     harness = FollowerHarness(Snapshot(0, []), reader=True, is_answered_elsewhere=True)
 
     harness.run_steps(
--- a/tests/test_handing_over.py
+++ b/tests/test_handing_over.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("domain", [NEAR, ("north-b", "north"), FAR])
-def test_vms_that_leave_own_targets_where_none_serves(domain):
+def test_leaving_vms_own_targets_where_none_serves(domain):
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(make_heartbeat("vm-2", *domain, stage=LEAVING))
     assert owners_of(parts) == {"vm-1"}
@@ -70,7 +70,7 @@
     assert owners_of(parts) == {"vm-2"}
 
 
-def test_nearest_vm_that_leaves_owns_targets():
+def test_nearest_leaving_vm_owns_targets():
     parts = Parts([*TARGETS, entry("far", domain="south-a")])
     parts.members.leave()
     parts.members.record_heartbeat(make_heartbeat("vm-2", *FAR, stage=LEAVING))
@@ -95,7 +95,7 @@
     assert owners_of(parts) == {None}
 
 
-def test_weak_vm_that_leaves_owns_nothing_beside_a_strong_one():
+def test_weak_leaving_vm_owns_nothing_beside_a_strong_one():
     parts = Parts(TARGETS)
     parts.members.leave()
     parts.members.record_heartbeat(make_heartbeat("vm-2", strength=0.1, stage=LEAVING))
@@ -134,7 +134,7 @@
     return found, [each.partition(":")[0] for each in found.addresses]
 
 
-def test_vm_that_leaves_is_named_only_where_none_serves():
+def test_leaving_vm_is_in_lookups_only_where_none_serves():
     parts = Parts(TARGETS)
     parts.members.record_heartbeat(make_heartbeat("vm-2", *FAR, stage=LEAVING))
     found, addresses = lookup(parts)
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("stage", [Stage.STARTING, FINISHING])
-def test_vm_that_runs_no_requests_is_never_named(stage):
+def test_vm_that_runs_no_requests_is_never_in_lookups(stage):
     parts = Parts(TARGETS)
     parts.members.stop_owning()
     parts.members.record_heartbeat(make_heartbeat("vm-2", stage=stage))
@@ -173,7 +173,10 @@
         self.short_of_time_at = now + STOP_GRACE_SECONDS
 
     def run(self, until, has_clients=False):
-        """Advance to ``until`` seconds after the stop; return whether it is over."""
+        """Advance to ``until`` seconds after the stop signal.
+
+        :return: whether the VM has released its targets.
+        """
         clock = self.parts.clock
         while clock.time < self.started_at + until:
             clock.time += 0.05
@@ -200,14 +203,14 @@
     assert leaving.run(1.1)
 
 
-def test_one_leaving_vm_of_a_region_stays_and_idle_ones_hand_over():
+def test_one_leaving_vm_of_a_region_keeps_its_targets_and_idle_ones_hand_over():
     names = [f"vm-{number}" for number in range(2, 9)]
     leaving = LeavingVm(*(make_heartbeat(name, stage=LEAVING) for name in names))
     assert not leaving.run(2.4)
     assert leaving.run(3.0)
 
 
-def test_last_vm_of_a_region_stays_without_active_clients():
+def test_last_vm_of_a_region_keeps_its_targets_without_active_clients():
     leaving = LeavingVm(make_heartbeat("vm-2", *FAR, stage=LEAVING))
     assert not leaving.run(3.0)
 
@@ -361,7 +364,7 @@
         self.uses = []
 
     def run_requests(self, rng):
-        """Finish requests that are due and start one on every slot that looks free."""
+        """Finish requests that are due and start one on every free slot."""
         run_nonblocking(self.gossip.notify())
         now = self.network.clock.now()
         for use in [each for each in self.uses if each.deadline <= now]:
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -119,7 +119,7 @@
     assert len(parts.calls) == calls
 
 
-def test_uses_of_two_homes_have_different_numbers():
+def test_slot_uses_of_two_homes_have_different_ids():
     target = parse_text(json.dumps(make_text())).services["lookup"].targets[TARGET]
     ledgers = [SlotLedger(ManualClock()) for _ in range(2)]
     first, second = (
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -525,7 +525,7 @@
         "        candidates = serving\n",
         "tests/test_handing_over.py",
         "-k",
-        "named_only_where_none_serves",
+        "in_lookups_only_where_none_serves",
     ),
     Mutation(
         "HANDOVER-end",
