--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of simulated VMs: their cost, and how long lookups list stopped VMs."""
+"""Planned stops of simulated VMs: their cost, and how long look-ups list such VMs."""
 
 import random
 
@@ -35,7 +35,7 @@
 SMALL_FLEET, LARGE_FLEET = 9, 30
 #: Heartbeats after which all VMs of a fleet have an update, by fleet size.
 HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
-#: Seconds between two checks of the lookups.
+#: Seconds between two checks of the look-ups.
 POLL_SECONDS = 0.05
 #: Maximum number of VMs that monitor a VM or that it monitors.
 MAX_PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
@@ -52,7 +52,7 @@
 
 
 def vms_listing(fleet, stopped):
-    """Return the running VMs whose lookups may list one of the stopped ones."""
+    """Return the running VMs whose look-ups may list one of the stopped ones."""
     names = {vm.name for vm in stopped}
     return [
         vm
@@ -62,7 +62,7 @@
 
 
 def seconds_until_unlisted(fleet, stopped, limit=STOP_SECONDS):
-    """Return the seconds until no lookup lists the stopped VMs."""
+    """Return the seconds until no look-up lists the stopped VMs."""
     began = fleet.clock.time
     while vms_listing(fleet, stopped) and fleet.clock.time < began + limit:
         fleet.run(POLL_SECONDS)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -14,7 +14,7 @@
 from standins.fleet import PORTS, Fleet, call, wait_for
 from standins.load import Load
 
-#: Long enough for an upload to outlast the TTL of lookups and the margin after a stop.
+#: Long enough for an upload to outlast the TTL of look-ups and the margin after a stop.
 UPLOAD_PARTS = 30
 UPLOAD_PART = os.urandom(20_000)
 #: Short TTL, so that the VM closes its listener while the upload still runs.
--- a/tests/test_look_ups.py
+++ b/tests/test_look_ups.py
@@ -1,4 +1,4 @@
-"""Tests that lookups name near VMs first and overload none of them."""
+"""Tests that look-ups name near VMs first and overload none of them."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 PORT = 8381
 LOOKUPS = 400
-#: Seconds between two restarts of VMs, and for which clients cache a lookup at most.
+#: Seconds between two restarts of VMs, and for which clients cache a look-up at most.
 RESTART_INTERVAL_SECONDS = 2.0
 MAX_CACHE_SECONDS = 3 * LOOKUP_TTL_SECONDS
 
@@ -58,7 +58,7 @@
 
 
 def lookup_ips(counts, domain):
-    """Return the IP addresses that one lookup names."""
+    """Return the IP addresses that one look-up names."""
     addresses = directory(counts).lookup("north", domain).addresses
     return [each.partition(":")[0] for each in addresses]
 
@@ -90,7 +90,7 @@
     here, domains, others
 ):
     counts = {"a": here, **{f"b{number}": others for number in range(1, domains)}}
-    # The margin allows for lookups that select VMs at random.
+    # The margin allows for look-ups that select VMs at random.
     assert max(relative_load(counts).values()) <= MAX_OVER_SHARE * 1.1
 
 
@@ -124,7 +124,7 @@
 def restart_one_by_one(fleet):
     """Stop a failure domain at once and restart its VMs one after another.
 
-    Return the seconds until no client uses a lookup from before the last restart.
+    Return the seconds until no client uses a look-up from before the last restart.
     """
     domain = next(iter(fleet.regions))
     stopped = [vm for vm in fleet.serving() if vm.domain == domain]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -28,7 +28,7 @@
 from tests.steering_parts import Parts, make_heartbeat
 
 SMALL, LARGE = 8, 60
-#: Size of a fleet of which a starting VM greets only a part.
+#: Size of a fleet of which a starting VM contacts only a part.
 VERY_LARGE = 2000
 #: Numbers of VMs that are strong enough to serve requests, and of the others.
 STRONG, WEAK = 21, 63
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_loss_of_a_failure_domain_is_learned(count):
+def test_all_vms_learn_of_the_loss_of_a_failure_domain(count):
     network = start(count)
     for vm in network.vms.values():
         vm.running = vm.domain != "north-a"
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("count", [SMALL, LARGE])
-def test_leaving_vm_is_known_to_leave(count):
+def test_all_vms_learn_that_a_vm_leaves(count):
     network = start(count)
     vm = list(network.vms.values())[3]
     vm.members.set_serving(False)
@@ -131,7 +131,7 @@
     assert all(vm.name not in each.serving_names for each in network.running())
 
 
-def test_leaving_vm_is_known_to_leave_at_vms_without_requests():
+def test_vms_without_requests_learn_that_a_vm_leaves():
     network = start_with_idle_vms(SMALL, SMALL)
     vm = next(iter(network.vms.values()))
     vm.members.leave()
@@ -211,16 +211,16 @@
     )
 
 
-def test_greetings_of_a_vm_that_starts_do_not_grow_with_the_fleet():
-    greeting_counts = []
+def test_first_heartbeats_of_a_vm_that_starts_do_not_grow_with_the_fleet():
+    heartbeat_counts = []
     for rows in (VERY_LARGE, 2 * VERY_LARGE):
         vm = start_without_peers(rows)
         vm.network.run(START_SECONDS)
-        greeting_counts.append(vm.network.sent[vm.name])
-    assert greeting_counts[0] == greeting_counts[1]
+        heartbeat_counts.append(vm.network.sent[vm.name])
+    assert heartbeat_counts[0] == heartbeat_counts[1]
 
 
-def test_vm_that_hears_many_before_its_first_greeting_greets_the_rest():
+def test_vm_that_hears_many_before_it_sends_heartbeats_contacts_the_rest():
     vm = start_without_peers(LARGE)
     network = vm.network
     for number in range(1, MAX_MESH_SIZE + 2):
@@ -235,7 +235,7 @@
     assert network.sent[vm.name] >= unheard
 
 
-def test_vm_that_greets_only_some_others_learns_of_the_rest(monkeypatch):
+def test_vm_that_contacts_only_some_others_learns_of_the_rest(monkeypatch):
     network = start(LARGE)
     monkeypatch.setattr(gossip, "MAX_CONTACTED", 2)
     newcomer = SimulatedVm(network, LARGE)
@@ -287,7 +287,7 @@
     network.sent.clear()
     network.run(3.6)
     weak = [vm.name for vm in network.running() if vm.members.own.strength < 1.0]
-    # Four rounds to four monitored VMs, and as many answers.
+    # Four rounds to four monitored VMs, and as many responses.
     assert max(network.sent[name] for name in weak) <= 4 * 2 * 4
 
 
@@ -328,8 +328,8 @@
 
     def is_cut(sender, receiver):
         if Heartbeat.from_fields(unpack_first(network.datagram)).news:
-            known = sender.members.find(receiver.name)
-            if not sender.gossip._is_partner(known):
+            member = sender.members.find(receiver.name)
+            if not sender.gossip._is_partner(member):
                 non_partners.append(receiver.name)
         return False
 
--- a/tests/test_object_homes.py
+++ b/tests/test_object_homes.py
@@ -21,7 +21,7 @@
 from heathercleat.steering.request.estimates import Estimates
 from tests.steering_parts import Parts, call, entry, make_heartbeat, route
 
-NEAR, FAR = 2, 10
+NEAR_TARGETS, FAR_TARGETS = 2, 10
 OBJECTS = 240
 SLOTS = 4
 
@@ -30,9 +30,10 @@
     """A region with few targets and one with many; all slots are free."""
 
     def __init__(self, round_trip=0.07, run_seconds=0.1, samples=MAX_SAMPLES):
-        entries = [entry(f"n{number}", slots=SLOTS) for number in range(NEAR)]
+        entries = [entry(f"n{number}", slots=SLOTS) for number in range(NEAR_TARGETS)]
         entries += [
-            entry(f"s{number}", domain="south-a", slots=SLOTS) for number in range(FAR)
+            entry(f"s{number}", domain="south-a", slots=SLOTS)
+            for number in range(FAR_TARGETS)
         ]
         self.parts = parts = Parts(entries)
         clock, members = parts.clock, parts.members
@@ -57,7 +58,7 @@
         )
 
     def report(self, free):
-        reports = [[f"s{number}", free, SLOTS, 0] for number in range(FAR)]
+        reports = [[f"s{number}", free, SLOTS, 0] for number in range(FAR_TARGETS)]
         self.capacity_reports.record_report("vm-3", reports, [["s1", 0.0, 0.0]], [])
 
     def call(self, number=0, **fields):
@@ -80,15 +81,15 @@
 def test_region_with_few_targets_gets_its_share_of_the_objects():
     """Affinity targets must not be limited to the region of the request."""
     assert DestinationScene().region_counts()["n"] == pytest.approx(
-        OBJECTS * NEAR / (NEAR + FAR), rel=0.4
+        OBJECTS * NEAR_TARGETS / (NEAR_TARGETS + FAR_TARGETS), rel=0.4
     )
 
 
 def test_every_target_gets_its_share_of_the_objects():
     scene = DestinationScene()
     targets = Counter(scene.select(scene.call(each)).target for each in range(OBJECTS))
-    assert len(targets) == NEAR + FAR
-    assert max(targets.values()) <= 2 * OBJECTS / (NEAR + FAR)
+    assert len(targets) == NEAR_TARGETS + FAR_TARGETS
+    assert max(targets.values()) <= 2 * OBJECTS / (NEAR_TARGETS + FAR_TARGETS)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -79,11 +79,11 @@
 def test_expired_ticket_only_returns_recorded_outcomes():
     clock = ManualClock()
     table = DeduplicationTable(clock)
-    entry, first = table.begin(make_ticket(), "ran", b"x")
+    entry, is_first = table.begin(make_ticket(), "ran", b"x")
     run(table.finish, entry, EntryState.DONE, Outcome(200, [], b"done"))
     clock.time = 161.0
-    again, first = table.begin(make_ticket(), "ran", b"x")
-    assert again.outcome.body == b"done" and not first
+    again, is_first = table.begin(make_ticket(), "ran", b"x")
+    assert again.outcome.body == b"done" and not is_first
     with pytest.raises(HeathercleatError) as caught:
         table.begin(make_ticket(), "new", b"x")
     assert caught.value.code is ResultCode.TICKET_EXPIRED
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -462,7 +462,7 @@
         "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
-        "first_greeting",
+        "before_it_sends_heartbeats",
     ),
     Mutation(
         "SIZE-long-silence-at-start",
@@ -480,7 +480,7 @@
         "return unseen",
         "tests/test_membership.py",
         "-k",
-        "greetings",
+        "first_heartbeats",
     ),
     Mutation(
         "SIZE-updates-to-all",
