--- a/tests/test_configuration_failures.py
+++ b/tests/test_configuration_failures.py
@@ -103,7 +103,7 @@
         assert all_have_version(fleet, 2)
 
 
-def test_domain_without_the_platform_gets_versions_from_peers(fleet):
+def test_domain_cut_off_from_the_platform_gets_versions_from_peers(fleet):
     fleet.partition_off("south-a", ["platform"])
     time.sleep(0.5)
     fleet.apply(text_with_queue_limit(fleet, 9), 1)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -138,7 +138,7 @@
     assert not view.is_refused(b"k=3")
 
 
-def test_sender_that_repeats_one_request_is_known(view):
+def test_sender_that_repeats_one_request_is_a_known_sender(view):
     view.record_response(view.call(b"k=1", b"/popular"))
     view.record_response(view.call(b"k=1", b"/popular"))
     limit_unknown_senders(view)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -76,7 +76,12 @@
 
 
 class FollowerHarness:
-    """A follower of a scripted store, and the snapshots that it applied."""
+    """A follower of a scripted store, and the snapshots that it applied.
+
+    :param peer: the :class:`Snapshot` of a peer, or ``None`` if no peer answers.
+    :param reader: whether the VM reads the store itself.
+    :param is_answered_elsewhere: whether the store answers other VMs.
+    """
 
     def __init__(self, peer=None, reader=True, is_answered_elsewhere=False):
         self.store = ScriptedStore()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -220,7 +220,7 @@
     assert heartbeat_counts[0] == heartbeat_counts[1]
 
 
-def test_vm_that_hears_many_before_it_sends_heartbeats_contacts_the_rest():
+def test_vm_that_receives_many_heartbeats_before_it_sends_any_contacts_the_rest():
     vm = start_without_peers(LARGE)
     network = vm.network
     for number in range(1, MAX_MESH_SIZE + 2):
@@ -229,10 +229,10 @@
         run_nonblocking(other.gossip.send())
     vm.members.update_live()
     assert not vm.members.topology.is_mesh
-    unheard = sum(each.last_heartbeat_at is None for each in vm.members.others())
+    unseen = sum(each.last_heartbeat_at is None for each in vm.members.others())
     run_nonblocking(vm.gossip.round())
-    assert unheard > 0
-    assert network.sent[vm.name] >= unheard
+    assert unseen > 0
+    assert network.sent[vm.name] >= unseen
 
 
 def test_vm_that_contacts_only_some_others_learns_of_the_rest(monkeypatch):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -27,6 +27,7 @@
 
 
 async def with_claims(claims, act):
+    """Return the result of ``act()``, called while the claim table runs."""
     worker = await spawn(claims.run, daemon=True)
     try:
         return await act()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -462,7 +462,7 @@
         "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
-        "before_it_sends_heartbeats",
+        "before_it_sends_any",
     ),
     Mutation(
         "SIZE-long-silence-at-start",
