--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of simulated VMs: their cost, and how long look-ups list such VMs."""
+"""Planned stops of simulated VMs: their cost, and how long look-ups list them."""
 
 import random
 
