--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -462,7 +462,7 @@
         "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
-        "first_greeting",
+        "before_it_sends_any",
     ),
     Mutation(
         "SIZE-long-silence-at-start",
@@ -480,7 +480,7 @@
         "return unseen",
         "tests/test_membership.py",
         "-k",
-        "greetings",
+        "first_heartbeats",
     ),
     Mutation(
         "SIZE-updates-to-all",
@@ -525,7 +525,7 @@
         "        candidates = serving\n",
         "tests/test_handing_over.py",
         "-k",
-        "named_only_where_none_serves",
+        "in_lookups_only_where_none_serves",
     ),
     Mutation(
         "HANDOVER-end",
@@ -886,7 +886,7 @@
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
-        "run_on",
+        "keep_running",
     ),
 )
 
