--- a/tests/test_fleet_stops.py
+++ b/tests/test_fleet_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of simulated VMs: their cost, and how long lookups list stopped VMs."""
+"""Planned stops of simulated VMs: their cost, and how long look-ups list them."""
 
 import random
 
@@ -35,14 +35,14 @@
 SMALL_FLEET, LARGE_FLEET = 9, 30
 #: Heartbeats after which all VMs of a fleet have an update, by fleet size.
 HOPS = {SMALL_FLEET: 1, LARGE_FLEET: 2}
-#: Seconds between two checks of the lookups.
+#: Seconds between two checks of the look-ups.
 POLL_SECONDS = 0.05
-#: Most VMs that monitor a VM or that it monitors.
+#: Maximum number of VMs that monitor a VM or that it monitors.
 MAX_PARTNERS = 2 * (MONITORED_IN_REGION + MONITORED_OUTSIDE_REGION)
-#: Heartbeats that carry an update to a partner, and updates for each stop: the VM is
-#: leaving, is gone, is back.
+#: Heartbeats that carry an update to a partner, and updates for each stop: the VM
+#: leaves, has ended, and serves again.
 HEARTBEATS_PER_UPDATE, UPDATES_PER_STOP = 3, 3
-#: Changes of the owners of targets for each stop: the VM leaves, and is back.
+#: Changes of the owners of targets for each stop: the VM leaves and serves again.
 OWNER_CHANGES_PER_STOP = 2
 
 
@@ -52,7 +52,7 @@
 
 
 def vms_listing(fleet, stopped):
-    """Return the running VMs whose lookups may list one of the stopped ones."""
+    """Return the running VMs whose look-ups may list one of the stopped ones."""
     names = {vm.name for vm in stopped}
     return [
         vm
@@ -62,7 +62,7 @@
 
 
 def seconds_until_unlisted(fleet, stopped, limit=STOP_SECONDS):
-    """Return the seconds until no lookup lists the stopped VMs."""
+    """Return the seconds until no look-up lists the stopped VMs."""
     began = fleet.clock.time
     while vms_listing(fleet, stopped) and fleet.clock.time < began + limit:
         fleet.run(POLL_SECONDS)
@@ -164,7 +164,7 @@
     assert costs.stops > 0
     assert costs.spent.writes == 2 * costs.stops
     assert costs.spent.reads == costs.stops
-    # A remaining VM sends at most one more round, and the updates to each partner.
+    # A remaining VM sends each partner at most one more heartbeat, and the updates.
     assert costs.messages <= costs.stops * size * MAX_PARTNERS
     max_updates = (
         MAX_PARTNERS * HEARTBEATS_PER_UPDATE * (UPDATES_PER_STOP + MAX_REPAIRED_AT_ONCE)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -463,7 +463,7 @@
         "        if False:\n            # This VM may",
         "tests/test_membership.py",
         "-k",
-        "first_greeting",
+        "before_it_sends_any",
     ),
     Mutation(
         "SIZE-long-silence-at-start",
@@ -481,7 +481,7 @@
         "return unseen",
         "tests/test_membership.py",
         "-k",
-        "greetings",
+        "first_heartbeats",
     ),
     Mutation(
         "SIZE-updates-to-all",
@@ -526,7 +526,7 @@
         "        candidates = serving\n",
         "tests/test_handing_over.py",
         "-k",
-        "named_only_where_none_serves",
+        "in_lookups_only_where_none_serves",
     ),
     Mutation(
         "HANDOVER-end",
@@ -887,7 +887,7 @@
         "return True",
         "tests/test_crashing_requests.py",
         "-k",
-        "run_on",
+        "keep_running",
     ),
     Mutation(
         "DRAINED-vm-asked-for-leases",
