--- a/tests/test_steering_start.py
+++ b/tests/test_steering_start.py
@@ -55,7 +55,7 @@
     vm = fleet.vms["north-a-1"]
     fleet.start_vm(vm)
     wait_for(lambda: any(line["name"] == "vm_started" for line in fleet.log(vm)))
-    wait_for(lambda: fleet._get(vm, "/v1/ready") is not None)
+    wait_for(lambda: fleet._get_status(vm, "/v1/ready") is not None)
     assert not fleet.is_ready(vm)
     status, headers, _ = fleet.send(vm, "GET", "/one/x", "q1")
     assert status == 503
