--- a/src/heathercleat/cli/_steer.py
+++ b/src/heathercleat/cli/_steer.py
@@ -7,12 +7,14 @@
     """Add the ``steer`` command to the parser."""
     parser = commands.add_parser(
         "steer",
-        help="run a VM on the platform",
+        help="steer clients' requests to the targets of the platform",
         description="Steer clients' requests to the targets that the platform lists. "
         "On SIGTERM, finish open requests and exit.",
     )
     parser.add_argument(
-        "--settings", metavar="FILE", help="the platform's settings file"
+        "--settings",
+        metavar="FILE",
+        help="the settings file of the VM (default: $HEATHERCLEAT_SETTINGS)",
     )
     parser.add_argument("--metrics-port", type=int, metavar="PORT")
     parser.add_argument("--log-level", default="INFO", metavar="LEVEL")
--- a/src/heathercleat/process/at_most_once/sweeper.py
+++ b/src/heathercleat/process/at_most_once/sweeper.py
@@ -25,7 +25,7 @@
 class ClaimSweeper:
     """Removes claim rows that are no longer needed.
 
-    :param vm: the process: name, VM list, journal.
+    :param vm: the :class:`EntryVM` of this process.
     :param platform: the platform client.
     """
 
--- a/src/heathercleat/process/capacity/candidates.py
+++ b/src/heathercleat/process/capacity/candidates.py
@@ -47,7 +47,7 @@
 class CandidateCache:
     """Candidates by service, failure domain of the caller and avoided domains.
 
-    :param vm: the process: configuration, membership, VM list.
+    :param vm: the :class:`EntryVM` of this process.
     """
 
     def __init__(self, vm, clock):
--- a/src/heathercleat/process/capacity/health.py
+++ b/src/heathercleat/process/capacity/health.py
@@ -1,4 +1,4 @@
-"""Health of the targets homed here: outlier ejection, slow targets and probes.
+"""Health of targets whose home is this VM: outlier ejection, slow targets and probes.
 
 A target that fails several consecutive requests is ejected: it gets no requests for a
 time, then returns with one slot and warms up. A successful probe doesn't end the
@@ -63,9 +63,9 @@
 
 
 class HealthTracker:
-    """Tracks the health of every target homed here.
+    """Tracks the health of every target whose home is this VM.
 
-    :param vm: the process: settings, configuration, journal.
+    :param vm: the :class:`EntryVM` of this process.
     :param ledger: the slots of the homed targets; the tracker blocks and unblocks the
         targets and starts their warm-ups.
     """
--- a/src/heathercleat/process/capacity/homes.py
+++ b/src/heathercleat/process/capacity/homes.py
@@ -52,11 +52,11 @@
 class HomeManager:
     """Adds and removes targets in the ledger as their homes change.
 
-    :param vm: the process: settings, configuration, journal.
+    :param vm: the :class:`EntryVM` of this process.
     :param membership: the :class:`Membership` of the failure domain.
     :param ledger: the slots of the homed targets.
     :param links: the :class:`PeerLinks` to other VMs.
-    :param records: the :class:`OccupancyRecords`, bounds that other homes announced.
+    :param records: the :class:`OccupancyRecords`: the bounds announced by other homes.
     :param publisher: the :class:`OccupancyPublisher`, which announces the bounds of
         this VM.
     """
@@ -168,9 +168,9 @@
         self._ledger.release_hold(target, use_id)
 
     def _apply_configuration(self):
-        """Apply the limits of the configuration.
+        """Apply the configuration to the ledger: limits and removed targets.
 
-        While a new version spreads, the smaller of the old and new limits apply.
+        While a new version propagates, the smaller of the old and new limits applies.
         """
         text, now = self._vm.text, self._clock.now()
         has_expired_versions = self._transition.expire_superseded(now)
--- a/src/heathercleat/process/capacity/readiness.py
+++ b/src/heathercleat/process/capacity/readiness.py
@@ -47,7 +47,7 @@
 class ReadinessTracker:
     """Tracks the readiness of each service, here and in near failure domains.
 
-    :param vm: the process: configuration, settings, homes, VM list.
+    :param vm: the :class:`EntryVM` of this process.
     :param ledger: the slots of the targets homed here.
     :param membership: the :class:`Membership` of the failure domain.
     :param links: the :class:`PeerLinks` to other VMs.
--- a/src/heathercleat/process/capacity/slots.py
+++ b/src/heathercleat/process/capacity/slots.py
@@ -234,7 +234,7 @@
         """Stop being the home of a target.
 
         :param receiver: name of the new home, or ``None`` if there is none;
-            :meth:`release` returns it when a request that still runs has ended.
+            :meth:`release` returns it for each request that ends after the handover.
         :return: a :class:`TargetHandover`, or ``None`` if this VM is not the home.
         """
         entry = self._targets.pop(name, None)
--- a/src/heathercleat/process/membership/heartbeats.py
+++ b/src/heathercleat/process/membership/heartbeats.py
@@ -16,7 +16,7 @@
 class Heartbeats:
     """Sends heartbeats and detects failed VMs.
 
-    :param vm: the process: name, incarnation, versions, journal.
+    :param vm: the :class:`EntryVM` of this process.
     :param membership: the :class:`Membership` to update.
     :param links: the :class:`PeerLinks` to other VMs.
     """
--- a/src/heathercleat/process/membership/membership.py
+++ b/src/heathercleat/process/membership/membership.py
@@ -37,7 +37,7 @@
 class Membership:
     """The membership view of one VM.
 
-    :param vm: the process: name, settings, incarnation, journal.
+    :param vm: the :class:`EntryVM` of this process.
     :param links: the :class:`PeerLinks` to other VMs.
     """
 
--- a/src/heathercleat/process/membership/peer_links.py
+++ b/src/heathercleat/process/membership/peer_links.py
@@ -16,7 +16,7 @@
 class PeerLink:
     """A connection to one VM; calls are serialized.
 
-    :param vm: the process: settings, incarnation, fence.
+    :param vm: the :class:`EntryVM` of this process.
     :param host: IP address of the peer.
     """
 
@@ -128,7 +128,7 @@
 class PeerLinks:
     """The links of a process by host.
 
-    :param vm: the process: settings, incarnation, fence.
+    :param vm: the :class:`EntryVM` of this process.
     """
 
     def __init__(self, vm, clock):
--- a/src/heathercleat/process/observer.py
+++ b/src/heathercleat/process/observer.py
@@ -10,7 +10,7 @@
 class CallObserver:
     """Records the result of each call of a process.
 
-    :param vm: the process: clock, journal, metrics.
+    :param vm: the :class:`EntryVM` of this process.
     """
 
     def __init__(self, vm):
--- a/src/heathercleat/request/proxying.py
+++ b/src/heathercleat/request/proxying.py
@@ -100,13 +100,14 @@
 
 
 async def _run_attempt(vm, call, permit, deliver):
+    """Run one attempt and return what ``deliver(attempt, target name)`` returns."""
     started_at = vm.stalls.active_time()
     has_response_ended = False
     is_finished = False
 
     async def finish_response():
-        # Release the slot before the caller receives the end of the response: it may
-        # send its next request before this task runs again.
+        # Release the slot before the caller receives the end of the response: the
+        # caller may send its next request before this task runs again.
         nonlocal has_response_ended
         has_response_ended = True
         _record_success(vm, permit, attempt, vm.stalls.active_time() - started_at)
@@ -122,6 +123,7 @@
         error = failure
         if isinstance(failure, TimeoutError):
             error = attempt.timeout_error()
+        # If the target did not run the request, it has certainly finished with it.
         is_finished = error.not_run
         if not has_response_ended:
             _record_failure(vm, permit, error)
--- a/src/heathercleat/steering/connection/forwarded.py
+++ b/src/heathercleat/steering/connection/forwarded.py
@@ -31,8 +31,8 @@
     :param sock: the accepted curio socket.
     :param local: the :class:`LocalDispatcher`.
     :param active_requests: the :class:`ActiveRequests`, which detects disconnects.
-    :param snapshot: function that returns the :class:`Snapshot` of a table since a
-        version.
+    :param snapshot: function that returns a :class:`Snapshot` of the changes of a table
+        since a version.
     """
 
     def __init__(self, sock, local, active_requests, snapshot, clock):
@@ -51,10 +51,11 @@
             return
 
     async def _serve_next(self):
+        """Serve one request; return whether the connection can be reused."""
         head = await self._stream.next_event()
         if not isinstance(head, h11.Request):
             return False
-        # Durations in the order count from the arrival of the head, not of the body.
+        # Durations in a ForwardOrder start at the arrival of the head, not of the body.
         arrived_at = self._clock.now()
         body = await read_body(self._stream, MAX_BODY_BYTES)
         if head.target.startswith(STATE_PATH_PREFIX):
--- a/src/heathercleat/steering/process/membership/heartbeat.py
+++ b/src/heathercleat/steering/process/membership/heartbeat.py
@@ -17,12 +17,13 @@
 
 
 class Heartbeat:
-    """A heartbeat; the order of the slots is the wire format.
+    """A heartbeat; ``__slots__`` lists the fields in the order of the wire format.
 
     :param own: the sender's :class:`MemberUpdate` about itself.
     :param interval: seconds until the sender's next heartbeat.
     :param operator_version: version of the last change to the operators' table.
-    :param target_version: version of the last significant change to the targets.
+    :param target_version: version of the last significant change to the targets; see
+        :class:`TableCopy`.
     :param store_answers: whether the store responds to the sender's calls; ``False`` if
         the sender makes none.
     :param digest: see :attr:`Members.digest`.
--- a/src/heathercleat/steering/process/membership/members.py
+++ b/src/heathercleat/steering/process/membership/members.py
@@ -32,9 +32,10 @@
     increased by each update. A VM refutes its own death with a higher stamp, as in the
     SWIM protocol.
 
-    The strength of a VM is its capacity in cores, limited by its CPU and its link. Of
-    the VMs of a region, those with at least :data:`STRONG_SHARE` of the highest
-    strength are strong. If these have too little strength together, all are strong.
+    The strength of a VM is the number of cores that it can use, limited by its CPU and
+    the bandwidth of its link. Of the VMs of a region, those with at least
+    :data:`STRONG_SHARE` of the highest strength are strong. If these have too little
+    strength together, all are strong.
 
     :param settings: the :class:`NodeSettings` of this VM.
     :param incarnation: see :class:`Member`; also the first stamp of this VM.
@@ -318,7 +319,7 @@
         member.strength = update.strength
 
     def _changes_membership(self, member, update):
-        """Return whether an update changes the live VMs or the stage of one."""
+        """Return whether an update changes the live VMs, a stage or an incarnation."""
         return (
             self._live.get(member.vm) is not member
             or member.stage != update.stage
--- a/src/heathercleat/steering/process/shutdown.py
+++ b/src/heathercleat/steering/process/shutdown.py
@@ -44,7 +44,7 @@
     A request is sent to a target only if it will complete before the process exits.
     This is known if its deadline is before the exit. For a request that arrived while
     connections were kept open, it is also known if the bound on its route's run time
-    ends before the exit.
+    is less than the time left before the exit.
 
     :param run_times: the :class:`RunTimes`.
     :param others_serve: returns whether another VM serves clients.
--- a/src/heathercleat/steering/request/destinations.py
+++ b/src/heathercleat/steering/request/destinations.py
@@ -108,8 +108,8 @@
     def select_queue(self, call, avoid, avoid_vms):
         """Return the :class:`Destination` with the queue to wait in, or ``None``.
 
-        The queue of the affinity target is preferred, unless its wait is too long. The
-        alternative is the queue with the shortest wait in this region.
+        The queue at the owner of the affinity target is preferred, unless its wait is
+        too long. The alternative is the queue with the shortest wait in this region.
         """
         eligible = self._eligible_targets(call, avoid, avoid_vms)
         max_wait = call.give_up_at - eligible.now
--- a/src/heathercleat/version/client_blocks.py
+++ b/src/heathercleat/version/client_blocks.py
@@ -57,6 +57,8 @@
         :param domain: one of the table's failure domains, or ``None``.
         """
         domain_index = NO_DOMAIN if domain is None else self._domains.index(domain)
+        # Replace the ranges that start in the new one. Restore the domain of the last
+        # range that it overlaps for the addresses after it.
         first_index = bisect_right(self._starts, first) - 1
         last_index = bisect_right(self._starts, last) - 1
         following_domain_index = (
